--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -14,7 +14,7 @@
 import { type ConfigDocument, type ConfigSnapshot, readSnapshot } from '../core/configuration/documents.ts';
 import type { InForceRecord } from '../core/configuration/rollout.ts';
 import { CONFIG, CONFIG_HISTORY, CONFIG_IN_FORCE, OPEN, OWNER_KEY } from '../core/record/keys.ts';
-import type { StoredJob } from '../core/record/record.ts';
+import { decodeJobRecord } from '../core/record/record.ts';
 import { HttpClient } from '../http/client.ts';
 import { decodeStateReply, encodeStateOp } from '../protocol/state.ts';
 import type { Revision } from '../types/index.ts';
@@ -109,7 +109,7 @@
   }
 
   async openJobs(): Promise<JobSpec[]> {
-    return (await this.list(OPEN)).map((i) => (i.value as StoredJob).s);
+    return (await this.list(OPEN)).map((i) => decodeJobRecord(i).spec);
   }
 
   plan(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
--- a/src/core/intake/admission.ts
+++ b/src/core/intake/admission.ts
@@ -26,6 +26,10 @@
 
 /** Even with its list of awaited jobs in several values, a job must fit one transaction of the state service. */
 export function tooLarge(spec: JobSpec, limits: StateLimits): string | null {
-  if (recordPuts({ s: spec, t: TIME, w: NONCE }, limits) !== null) return null;
+  if (
+    recordPuts({ spec, acceptedAt: TIME, cancelled: false, writeId: NONCE, dependencyParts: 0 }, limits) !==
+    null
+  )
+    return null;
   return `the job is too large for a record of ${limits.txnOps - 1} values of ${limits.valueKb} KiB: name fewer jobs or machine types`;
 }
--- a/src/core/intake/intake.ts
+++ b/src/core/intake/intake.ts
@@ -12,7 +12,7 @@
 import type { Catalogue } from '../machines/catalogue.ts';
 import { CONFIG_NEWS, FINAL, OPEN } from '../record/keys.ts';
 import type { Lookup } from '../record/lookup.ts';
-import { recordPuts, type StoredJob } from '../record/record.ts';
+import { recordPuts } from '../record/record.ts';
 import { impossible } from './admission.ts';
 import { spread } from './overload.ts';
 import { TeamThrottle } from './team-throttle.ts';
@@ -76,8 +76,9 @@
 
   /** The record in one value; the owner alone makes larger ones, which others would have to gather. */
   private record(spec: JobSpec): Put[] | null {
-    const value: StoredJob = { s: spec, t: this.io.wall, w: `${this.nonceBase}.${++this.made}` };
-    const puts = recordPuts(value, this.settings.state);
+    const writeId = `${this.nonceBase}.${++this.made}`;
+    const record = { spec, acceptedAt: this.io.wall, cancelled: false, writeId, dependencyParts: 0 };
+    const puts = recordPuts(record, this.settings.state);
     return puts?.length === 1 ? puts : null;
   }
 
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -6,7 +6,8 @@
 import type { Outbox } from '../base/io.ts';
 import type { Settings, StateReply } from '../base/model.ts';
 import { Rank } from '../base/statebudget.ts';
-import { FINAL, type FinalRecord } from '../record/keys.ts';
+import { FINAL } from '../record/keys.ts';
+import { decodeFinalState } from '../record/record.ts';
 import type { Job } from './job.ts';
 import type { Jobs } from './jobs.ts';
 import type { Estimates } from './order.ts';
@@ -241,9 +242,10 @@
     const final = this.jobs.final(id);
     if (final !== null) return this.resolve(id, final.status, final.at);
     if (r.kind === 'item') {
-      const f = r.item.value as FinalRecord;
-      this.jobs.rememberFinal(id, f.s, f.t);
-      return this.resolve(id, f.s, (f.t ?? 0) as WallTime);
+      const { status, endedAt } = decodeFinalState(r.item);
+      const at = endedAt ?? (0 as WallTime);
+      this.jobs.rememberFinal(id, status, at);
+      return this.resolve(id, status, at);
     }
     // Not over, so not cancelled either: only this owner could have done that.
     if (r.kind === 'missing') this.unknown.delete(id);
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -5,8 +5,18 @@
 import type { Outbox } from '../base/io.ts';
 import type { Condition, Item, JobSpec, Put, UserAnswer } from '../base/model.ts';
 import { Rank } from '../base/statebudget.ts';
-import { FINAL, type FinalRecord, MORE, OPEN } from '../record/keys.ts';
-import { moreKeys, partOf, recordPuts, type StoredJob } from '../record/record.ts';
+import { FINAL, MORE, OPEN } from '../record/keys.ts';
+import {
+  decodeFinalState,
+  decodeJobRecord,
+  encodeFinalState,
+  encodeJobRecord,
+  type FinalState,
+  type JobRecord,
+  moreKeys,
+  partOf,
+  recordPuts,
+} from '../record/record.ts';
 import { bytesOf, Priorities, type Store, type Write, type WriteResult } from '../record/store.ts';
 import { Job } from './job.ts';
 import type { Progress } from './progress.ts';
@@ -56,11 +66,11 @@
   }
 
   load(item: Item): void {
-    const v = item.value as StoredJob;
-    const job = new Job(v.s, item.revision, v.t, this.io.now, true, this.waiting);
-    job.cancelled = v.c === 1;
-    job.parts = v.x ?? 0;
-    this.open.set(v.s.id, job);
+    const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
+    const job = new Job(spec, item.revision, acceptedAt, this.io.now, true, this.waiting);
+    job.cancelled = cancelled;
+    job.parts = dependencyParts;
+    this.open.set(spec.id, job);
   }
 
   /** Whether any job's record has further values. */
@@ -77,15 +87,15 @@
 
   /** A job on record that this owner does not know: taken in by another node under this term, and started by nobody. */
   adopt(item: Item): void {
-    const v = item.value as StoredJob;
-    const { id } = v.s;
+    const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
+    const { id } = spec;
     // Records of several values are made by owners only: this one is known, or is for the next owner to read.
-    if ((v.x ?? 0) > 0) return;
+    if (dependencyParts > 0) return;
     const known = this.open.get(id);
-    if (known !== undefined && v.c === 1) return this.foundCancelled(known, item);
+    if (known !== undefined && cancelled) return this.foundCancelled(known, item);
     if (known !== undefined || this.accepting.has(id) || this.finals.has(id)) return;
-    const job = new Job(v.s, item.revision, v.t, this.io.now, false, this.waiting);
-    job.cancelled = v.c === 1;
+    const job = new Job(spec, item.revision, acceptedAt, this.io.now, false, this.waiting);
+    job.cancelled = cancelled;
     this.open.set(id, job);
     this.io.log('info', 'job taken over from another node', { job: id });
     this.opened(job);
@@ -139,7 +149,8 @@
     }
     const nonce = this.store.nonce();
     const acceptedAt = this.io.wall;
-    const puts = recordPuts({ s: spec, t: acceptedAt, w: nonce }, this.store.limits);
+    const record = { spec, acceptedAt, cancelled: false, writeId: nonce, dependencyParts: 0 };
+    const puts = recordPuts(record, this.store.limits);
     if (puts === null) return answer({ kind: 'too-large', reason: 'the job is too large for a record' });
     this.accepting.set(spec.id, [answer]);
     const turn = this.beingAccepted.get(spec.team) ?? 0;
@@ -196,8 +207,8 @@
   readFinal(id: JobId, answer: (a: UserAnswer) => void): void {
     this.io.state({ kind: 'get', key: FINAL + id }, Rank.ask, (r) => {
       if (r.kind === 'item') {
-        const { s: status, t } = r.item.value as FinalRecord;
-        this.rememberFinal(id, status, t);
+        const { status, endedAt } = decodeFinalState(r.item);
+        this.rememberFinal(id, status, endedAt ?? undefined);
         answer({ kind: 'ended', id, status });
       } else if (r.kind === 'missing') answer({ kind: 'not-found' });
       else answer(retry('the state service does not answer'));
@@ -221,7 +232,7 @@
     this.asked.add(job);
     this.onEnded(job);
     const nonce = this.store.nonce();
-    const value = this.cancelledRecord(job, nonce);
+    const value = encodeJobRecord(this.cancelledRecord(job, nonce));
     const write: Write = {
       conditions: [{ key: OPEN + job.id, revision: job.revision }],
       puts: [{ key: OPEN + job.id, value }],
@@ -245,7 +256,7 @@
     // The term is over: whoever waits here is answered by the next owner, or by the record.
     if (r.kind === 'lost') return answer(retry('the job service is changing hands'));
     const marked =
-      r.kind === 'ok' || (r.kind === 'conflict' && (r.item?.value as StoredJob | undefined)?.c === 1);
+      r.kind === 'ok' || (r.kind === 'conflict' && r.item !== null && decodeJobRecord(r.item).cancelled);
     if (r.kind === 'ok') job.revision = r.revision;
     // Written by a copy of an earlier try: compared with what is there from now on.
     else if (r.kind === 'conflict' && r.item !== null) job.revision = r.item.revision;
@@ -260,11 +271,12 @@
   }
 
   /** A record from before the limits fell may be too large to write again; a cancelled job needs no lists. */
-  private cancelledRecord(job: Job, nonce: string): StoredJob {
-    const value: StoredJob = { s: job.spec, t: job.acceptedAt, c: 1, w: nonce };
-    if (job.parts === 0 && bytesOf(value) <= this.store.maxValue) return value;
-    const { awaits: _, ...rest } = job.spec;
-    return { ...value, s: { ...rest, types: null }, ...(job.parts > 0 ? { x: job.parts } : {}) };
+  private cancelledRecord(job: Job, writeId: string): JobRecord {
+    const { spec, acceptedAt, parts } = job;
+    const record = { spec, acceptedAt, cancelled: true, writeId, dependencyParts: parts };
+    if (parts === 0 && bytesOf(encodeJobRecord(record)) <= this.store.maxValue) return record;
+    const { awaits: _, ...rest } = spec;
+    return { ...record, spec: { ...rest, types: null } };
   }
 
   private cancelAgain(job: Job, answer: (a: UserAnswer) => void): void {
@@ -311,8 +323,9 @@
     const nonce = this.store.nonce();
     const conditions: Condition[] = [{ key: OPEN + job.id, revision: job.revision }];
     const drops = [OPEN + job.id, ...moreKeys(job.id, job.parts)];
-    const value: FinalRecord = { s: status, w: nonce, t: this.io.wall };
-    const puts: Put[] = [{ key: FINAL + job.id, value }];
+    const endedAt = this.io.wall;
+    const final: FinalState = { status, writeId: nonce, endedAt };
+    const puts: Put[] = [{ key: FINAL + job.id, value: encodeFinalState(final) }];
     const write: Write = {
       conditions,
       puts,
@@ -324,12 +337,12 @@
         job.writing = false;
         job.finishing = false;
         job.ending = null;
-        if (r.kind === 'ok') return this.close(job, status, value.t!);
+        if (r.kind === 'ok') return this.close(job, status, endedAt);
         if (r.kind === 'lost') return;
         this.io.log('info', 'final state not written', { job: job.id, result: r.kind });
         // A copy of an earlier try went through: what it says is what users are told.
-        const found = r.kind === 'conflict' ? (r.item?.value as FinalRecord | undefined) : undefined;
-        if (found !== undefined) this.close(job, found.s, (found.t ?? value.t!) as WallTime);
+        const found = r.kind === 'conflict' && r.item !== null ? decodeFinalState(r.item) : null;
+        if (found !== null) this.close(job, found.status, found.endedAt ?? endedAt);
         else if (r.kind === 'conflict') this.reread(job);
         else this.runAfter(job);
       },
@@ -345,7 +358,7 @@
       job.writing = false;
       if (r.kind === 'item') {
         job.revision = r.item.revision;
-        if ((r.item.value as StoredJob).c === 1) this.foundCancelled(job, r.item);
+        if (decodeJobRecord(r.item).cancelled) this.foundCancelled(job, r.item);
       }
       this.runAfter(job);
     });
--- a/src/core/record/keys.ts
+++ b/src/core/record/keys.ts
@@ -33,10 +33,3 @@
 export const MORE = 'a/';
 /** Jobs that are over. */
 export const FINAL = 'f/';
-
-export interface FinalRecord {
-  s: 'done' | 'cancelled';
-  w: string;
-  /** Wall time of the end; versions before 0.2 do not write it. */
-  t?: WallTime;
-}
--- a/src/core/record/lookup.ts
+++ b/src/core/record/lookup.ts
@@ -5,8 +5,8 @@
 import type { Outbox } from '../base/io.ts';
 import type { Condition, Settings, StateReply, UserAnswer } from '../base/model.ts';
 import { Rank } from '../base/statebudget.ts';
-import { FINAL, type FinalRecord, OPEN } from './keys.ts';
-import { moreKeys, partOf, type StoredJob } from './record.ts';
+import { FINAL, OPEN } from './keys.ts';
+import { decodeFinalState, decodeJobRecord, type JobRecord, moreKeys, partOf } from './record.ts';
 
 interface Waiting {
   id: JobId;
@@ -98,7 +98,7 @@
       const a: UserAnswer = {
         kind: 'ended',
         id: w.id,
-        status: (r.item.value as FinalRecord).s,
+        status: decodeFinalState(r.item).status,
       };
       this.remember(a);
       w.answer(a);
@@ -108,9 +108,9 @@
   private readOpen(w: Waiting): void {
     this.get(OPEN + w.id, (r) => {
       if (r.kind === 'item') {
-        const v = r.item.value as StoredJob;
-        if (v.c === 1) w.answer({ kind: 'ended', id: w.id, status: 'cancelled' });
-        else this.awaitsOf(v, (awaits) => this.derive(w, awaits));
+        const record = decodeJobRecord(r.item);
+        if (record.cancelled) w.answer({ kind: 'ended', id: w.id, status: 'cancelled' });
+        else this.awaitsOf(record, (awaits) => this.derive(w, awaits));
       } else if (r.kind === 'missing') this.readFinal(w);
       else w.answer(retry('the state service does not answer'));
     });
@@ -146,9 +146,9 @@
   }
 
   /** All that a job awaits, with the further values of its record; null when they cannot be read. */
-  private awaitsOf(v: StoredJob, then: (awaits: JobId[] | null) => void): void {
-    const all = [...(v.s.awaits ?? [])];
-    const keys = moreKeys(v.s.id, v.x ?? 0);
+  private awaitsOf(record: JobRecord, then: (awaits: JobId[] | null) => void): void {
+    const all = [...(record.spec.awaits ?? [])];
+    const keys = moreKeys(record.spec.id, record.dependencyParts);
     const next = (): void => {
       const key = keys.shift();
       if (key === undefined) return then(all);
@@ -174,13 +174,13 @@
     again = true,
   ): void {
     this.get(FINAL + id, (f) => {
-      if (f.kind === 'item') return then((f.item.value as FinalRecord).s);
+      if (f.kind === 'item') return then(decodeFinalState(f.item).status);
       if (f.kind !== 'missing') return then(null);
       this.get(OPEN + id, (o) => {
         if (o.kind === 'item') {
-          const v = o.item.value as StoredJob;
-          if (v.c === 1) then('cancelled');
-          else this.awaitsOf(v, then);
+          const record = decodeJobRecord(o.item);
+          if (record.cancelled) then('cancelled');
+          else this.awaitsOf(record, then);
         } else if (o.kind === 'missing' && again) this.readDependency(id, then, false);
         else then(null);
       });
@@ -215,7 +215,7 @@
     if (!this.budget.take(this.io.now)) return then('unclear');
     this.get(OPEN + id, (r) => {
       // What is no longer open was no service, or was cancelled.
-      if (r.kind === 'item' && (r.item.value as StoredJob).s.kind === 'service') then(id);
+      if (r.kind === 'item' && decodeJobRecord(r.item).spec.kind === 'service') then(id);
       else if (r.kind === 'item' || r.kind === 'missing') this.services(rest, then);
       else then('unclear');
     });
--- a/src/core/record/record.ts
+++ b/src/core/record/record.ts
@@ -1,57 +1,174 @@
-// A job's record: one value, and further ones for a list of awaited jobs that is longer than a value may be. All are
-// written in one transaction and dropped in one, so whoever finds the first finds the rest.
-import type { JobId, WallTime } from '../../types/index.ts';
-import type { Item, JobSpec, Put, StateLimits } from '../base/model.ts';
+// How jobs and their final states are stored. A job's record is one value, and further ones for a list of dependencies that is
+// longer than a value may be. All are written in one transaction and deleted in one, so whoever finds the first finds the rest.
+// The short field names belong to the stored form alone; everything else works with the types of this module.
+import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
+import type { Item, JobKind, JobSpec, Priority, Put, StateLimits } from '../base/model.ts';
 import { MORE, OPEN } from './keys.ts';
 import { bytesOf } from './store.ts';
 
-export interface StoredJob {
-  s: JobSpec;
-  /** Wall time of acceptance. */
+/** A job's specification as it is stored, and as controllers pass it to each other. */
+export interface StoredJobSpec {
+  id: JobId;
+  class: string;
+  team: TeamName;
+  kind: JobKind;
+  priority: Priority;
+  tasks: number;
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+  image: string;
+  imageGb: number;
+  types: TypeName[] | null;
+  zone: ZoneName | null;
+  oneZone: boolean;
+  spread: boolean;
+  spot: boolean;
+  estimateS: number;
+  checkpointS: number;
+  saveS: number;
+  deadlineS: number | null;
+  /** Absent when there are none, as in records of versions before 0.2. */
+  awaits?: JobId[];
+}
+
+/** The fields in the order in which every version writes them. */
+export const encodeJobSpec = (spec: JobSpec): StoredJobSpec => ({
+  id: spec.id,
+  class: spec.class,
+  team: spec.team,
+  kind: spec.kind,
+  priority: spec.priority,
+  tasks: spec.tasks,
+  cpus: spec.cpus,
+  gpus: spec.gpus,
+  memoryGb: spec.memoryGb,
+  image: spec.image,
+  imageGb: spec.imageGb,
+  types: spec.types,
+  zone: spec.zone,
+  oneZone: spec.oneZone,
+  spread: spec.spread,
+  spot: spec.spot,
+  estimateS: spec.estimateS,
+  checkpointS: spec.checkpointS,
+  saveS: spec.saveS,
+  deadlineS: spec.deadlineS,
+  ...(spec.awaits === undefined ? {} : { awaits: spec.awaits }),
+});
+
+export const decodeJobSpec = (stored: StoredJobSpec): JobSpec => {
+  const { awaits, ...rest } = stored;
+  return { ...rest, ...(awaits === undefined ? {} : { awaits }) };
+};
+
+/** What is on record of a job that is not over. */
+export interface JobRecord {
+  spec: JobSpec;
+  acceptedAt: WallTime;
+  cancelled: boolean;
+  /** Idempotency key of the write that made this value. */
+  writeId: string;
+  /** Number of further values, each with a part of the dependencies. */
+  dependencyParts: number;
+}
+
+interface StoredJobRecord {
+  s: StoredJobSpec;
   t: WallTime;
   c?: 1;
   w: string;
-  /** Number of further values, each with a part of `awaits`. */
   x?: number;
 }
 
+export const encodeJobRecord = (record: JobRecord): StoredJobRecord => ({
+  s: encodeJobSpec(record.spec),
+  t: record.acceptedAt,
+  ...(record.cancelled ? { c: 1 } : {}),
+  w: record.writeId,
+  ...(record.dependencyParts > 0 ? { x: record.dependencyParts } : {}),
+});
+
+export function decodeJobRecord(item: Item): JobRecord {
+  const { s, t, c, w, x } = item.value as StoredJobRecord;
+  return {
+    spec: decodeJobSpec(s),
+    acceptedAt: t,
+    cancelled: c === 1,
+    writeId: w,
+    dependencyParts: x ?? 0,
+  };
+}
+
+/** What is on record of a job that is over. */
+export interface FinalState {
+  status: 'done' | 'cancelled';
+  writeId: string;
+  /** Null in records of versions before 0.2. */
+  endedAt: WallTime | null;
+}
+
+interface StoredFinalState {
+  s: FinalState['status'];
+  w: string;
+  t?: WallTime;
+}
+
+export const encodeFinalState = (final: FinalState): StoredFinalState => ({
+  s: final.status,
+  w: final.writeId,
+  ...(final.endedAt === null ? {} : { t: final.endedAt }),
+});
+
+export function decodeFinalState(item: Item): FinalState {
+  const { s, w, t } = item.value as StoredFinalState;
+  return { status: s, writeId: w, endedAt: t ?? null };
+}
+
 export const moreKeys = (id: JobId, parts: number): string[] =>
   Array.from({ length: parts }, (_, i) => `${MORE}${id}/${i + 1}`);
 
-/** Room for the cancel mark and the number of parts, which may be added. */
-const SPARE = 32;
+/** Bytes left free for the cancellation mark and the number of parts, which may be added later. */
+const RESERVED_BYTES = 32;
 /** A job that is over takes one change for each of its values, and two more. */
 const OTHER_CHANGES = 2;
-const TRANSACTION_MAX = 48 * 1024;
+const TRANSACTION_MAX_BYTES = 48 * 1024;
+
+/** What is to be stored for a new job; null when one transaction cannot hold it. */
+export function recordPuts(record: JobRecord, limits: StateLimits): Put[] | null {
+  const maxBytes = Math.floor(limits.valueKb * 1024) - RESERVED_BYTES;
+  const key = OPEN + record.spec.id;
+  const value = encodeJobRecord(record);
+  if (bytesOf(value) <= maxBytes) return [{ key, value }];
+  const parts = splitDependencies(value, maxBytes);
+  const [first, ...more] = parts;
+  // The first value names at least one, so that a reader who knows no parts sees a job that waits.
+  if (first === undefined || first.length === 0 || more.length + OTHER_CHANGES > limits.txnOps) return null;
+  const head = { ...value, s: { ...value.s, awaits: first }, x: more.length };
+  const keys = moreKeys(record.spec.id, more.length);
+  const puts: Put[] = [{ key, value: head }, ...more.map((ids, i) => ({ key: keys[i]!, value: { a: ids } }))];
+  return bytesOf(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
+}
 
-/** What is to be put on record for a new job; null when one transaction cannot hold it. */
-export function recordPuts(value: StoredJob, limits: StateLimits): Put[] | null {
-  const room = Math.floor(limits.valueKb * 1024) - SPARE;
-  const key = OPEN + value.s.id;
-  if (bytesOf(value) <= room) return [{ key, value }];
+/** The dependencies in portions of which the first fits the job's own value and each other a value of its own. */
+function splitDependencies(value: StoredJobRecord, maxBytes: number): JobId[][] {
   const { awaits = [], ...rest } = value.s;
   const parts: JobId[][] = [];
   // Besides the list's own brackets, an id takes itself, two quotes and a comma.
-  let left = room - bytesOf({ ...value, s: { ...rest, awaits: [] } });
+  let leftBytes = maxBytes - bytesOf({ ...value, s: { ...rest, awaits: [] } });
   let part: JobId[] = [];
   for (const id of awaits) {
-    left -= id.length + 3;
-    if (left < 0) {
+    leftBytes -= id.length + 3;
+    if (leftBytes < 0) {
       parts.push(part);
       part = [];
-      left = room - bytesOf({ a: [] }) - id.length - 3;
+      leftBytes = maxBytes - bytesOf({ a: [] }) - id.length - 3;
     }
     part.push(id);
   }
   parts.push(part);
-  const [first, ...more] = parts;
-  // The first value names at least one, so that a reader who knows no parts sees a job that waits.
-  if (first === undefined || first.length === 0 || more.length + OTHER_CHANGES > limits.txnOps) return null;
-  const head: StoredJob = { ...value, s: { ...rest, awaits: first }, x: more.length };
-  const keys = moreKeys(value.s.id, more.length);
-  const puts = [{ key, value: head as unknown }, ...more.map((a, i) => ({ key: keys[i]!, value: { a } }))];
-  return bytesOf(puts) <= TRANSACTION_MAX ? puts : null;
+  return parts;
 }
 
-/** The part of `awaits` in one of the further values. */
+/** The dependencies in one of the further values. */
 export const partOf = (item: Item): JobId[] => (item.value as { a: JobId[] }).a;
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -4,16 +4,14 @@
   ExitReason,
   ForwardedAnswer,
   ForwardedReport,
-  JobSpec,
   JobStatus,
   PeerMessage,
-  Report,
   TaskReport,
   TaskState,
   UserAnswer,
   UserRequest,
-  WorkerAnswer,
 } from '../core/base/model.ts';
+import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from '../core/record/record.ts';
 import type {
   Attempt,
   JobId,
@@ -26,12 +24,14 @@
   ZoneName,
 } from '../types/index.ts';
 import { swiftford } from './generated/peer.js';
+import { readRelayedAnswer, readRelayedReport, relayedAnswer, relayedReport } from './relay.ts';
 
 const { Envelope, Ask, Reply, Fronted } = swiftford.peer;
 const MAX_FRAME = 256 * 1024;
 
 function askFields(id: number, r: UserRequest): swiftford.peer.IAsk {
-  if (r.op === 'submit') return { id, op: Ask.Op.SUBMIT, job: r.spec.id, spec: JSON.stringify(r.spec) };
+  if (r.op === 'submit')
+    return { id, op: Ask.Op.SUBMIT, job: r.spec.id, spec: JSON.stringify(encodeJobSpec(r.spec)) };
   return { id, op: r.op === 'status' ? Ask.Op.STATUS : Ask.Op.CANCEL, job: r.id };
 }
 
@@ -132,7 +132,7 @@
     case 'reply':
       return { reply: replyFields(m.id, m.answer) };
     case 'relay':
-      return { relay: { id: m.id, report: JSON.stringify(m.report) } };
+      return { relay: { id: m.id, report: JSON.stringify(relayedReport(m.report)) } };
     case 'load':
       return {
         load: {
@@ -150,7 +150,9 @@
     case 'fronted':
       return { fronted: frontedFields(m.id, m.answer) };
     case 'relayed':
-      return { relayed: { id: m.id, answer: m.answer === null ? '' : JSON.stringify(m.answer) } };
+      return {
+        relayed: { id: m.id, answer: m.answer === null ? '' : JSON.stringify(relayedAnswer(m.answer)) },
+      };
   }
 }
 
@@ -167,7 +169,7 @@
   const id = (a.job ?? '') as JobId;
   if (a.op === Ask.Op.STATUS) return { op: 'status', id };
   if (a.op === Ask.Op.CANCEL) return { op: 'cancel', id };
-  return { op: 'submit', spec: JSON.parse(a.spec ?? '') as JobSpec };
+  return { op: 'submit', spec: decodeJobSpec(JSON.parse(a.spec ?? '') as StoredJobSpec) };
 }
 
 function decodeAnswer(r: swiftford.peer.IReply): UserAnswer | null {
@@ -293,9 +295,13 @@
   if (e.ask) return { kind: 'ask', id: e.ask.id ?? 0, request: decodeAsk(e.ask) };
   if (e.reply) return { kind: 'reply', id: e.reply.id ?? 0, answer: decodeAnswer(e.reply) };
   if (e.relay)
-    return { kind: 'relay', id: e.relay.id ?? 0, report: JSON.parse(e.relay.report ?? '') as Report };
+    return {
+      kind: 'relay',
+      id: e.relay.id ?? 0,
+      report: readRelayedReport(JSON.parse(e.relay.report ?? '')),
+    };
   if (e.relayed) {
-    const answer = e.relayed.answer ? (JSON.parse(e.relayed.answer) as WorkerAnswer) : null;
+    const answer = e.relayed.answer ? readRelayedAnswer(JSON.parse(e.relayed.answer)) : null;
     return { kind: 'relayed', id: e.relayed.id ?? 0, answer };
   }
   return null;
