--- a/src/core/base/model.ts
+++ b/src/core/base/model.ts
@@ -1,14 +1,14 @@
 // The words of the field, shared by the core's modules and the protocol codecs.
 import type {
   Attempt,
-  HoldId,
+  FencingToken,
   JobId,
   MachineId,
   NodeId,
   Revision,
+  StoreLeaseId,
   TaskId,
   TeamName,
-  Token,
   TypeName,
   WallTime,
   ZoneName,
@@ -30,25 +30,25 @@
   memoryGb: number;
   image: string;
   imageGb: number;
-  types: TypeName[] | null;
+  machineTypes: TypeName[] | null;
   zone: ZoneName | null;
   oneZone: boolean;
   spread: boolean;
   spot: boolean;
-  estimateS: number;
-  checkpointS: number;
-  saveS: number;
+  estimatedRunS: number;
+  checkpointIntervalS: number;
+  checkpointDurationS: number;
   deadlineS: number | null;
   /** Jobs that must be done before any task of this one starts; absent when there are none, as in older records. */
-  awaits?: JobId[];
+  dependsOn?: JobId[];
 }
 
 /** Limits of the state service: the larger until it grants no more, the smaller for all that is written. */
-export interface StateLimits {
-  rps: number;
-  writeRps: number;
-  valueKb: number;
-  txnOps: number;
+export interface StoreLimits {
+  requestsPerS: number;
+  writesPerS: number;
+  maxValueKb: number;
+  maxTransactionOps: number;
 }
 
 export interface MachineType {
@@ -92,16 +92,16 @@
   peerListen: string;
   peers: { node: NodeId; zone: ZoneName; addr: string }[];
   cloudAddr: string;
-  stateAddr: string;
+  storeAddr: string;
   zones: ZoneName[];
   teams: Team[];
   objectives: Objective[];
-  workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
+  workers: { heartbeatS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
   /** What is safe to use from the start: the smaller of the limits now and those to come. */
-  state: StateLimits;
+  store: StoreLimits;
   /** The rate of changes granted until the limits to come are in force. */
-  writeRpsNow: number;
-  cloud: { rps: number; listLagS: number };
+  currentWritesPerS: number;
+  cloud: { requestsPerS: number; listLagS: number };
   sockets: number;
   /** What a node may hold in memory; null if the platform does not say. */
   ramMb: number | null;
@@ -110,25 +110,25 @@
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   task: TaskId;
   attempt: Attempt;
   state: TaskState;
-  why: ExitReason | null;
-  saved: boolean;
+  exitReason: ExitReason | null;
+  checkpointed: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: MachineId;
   addr: string;
   type: TypeName;
   zone: ZoneName;
   spot: boolean;
-  session: number;
+  agentEpoch: number;
   seq: number;
-  token: Token;
-  noticeS: number | null;
-  tasks: readonly TaskReport[];
+  fencingToken: FencingToken;
+  preemptionNoticeS: number | null;
+  tasks: readonly TaskStatus[];
 }
 
 export type Command =
@@ -138,7 +138,7 @@
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-export type UserAnswer =
+export type UserResponse =
   | { kind: 'accepted'; id: JobId }
   | { kind: 'known'; id: JobId; status: JobStatus }
   | {
@@ -147,7 +147,7 @@
       status: JobStatus;
       done: number;
       running: number;
-      awaits?: JobId[];
+      dependsOn?: JobId[];
       /** Why its waiting tasks can't start as things are. */
       reason?: string;
     }
@@ -158,9 +158,9 @@
   | { kind: 'not-found' }
   | { kind: 'retry'; afterS: number; reason: string; overload: boolean };
 
-export type WorkerAnswer =
-  | { kind: 'orders'; token: Token; commands: Command[] }
-  | { kind: 'elsewhere'; node: NodeId | null };
+export type HeartbeatResponse =
+  | { kind: 'commands'; fencingToken: FencingToken; commands: Command[] }
+  | { kind: 'redirect'; node: NodeId | null };
 
 export type UserRequest =
   | { op: 'submit'; spec: JobSpec }
@@ -177,46 +177,46 @@
   ageS: number;
 }
 
-export interface Condition {
+export interface StoreCondition {
   key: string;
   revision: Revision;
 }
-export interface Put {
+export interface StorePut {
   key: string;
   value: unknown;
-  hold?: HoldId;
+  lease?: StoreLeaseId;
 }
-export interface Item {
+export interface StoreItem {
   key: string;
   value: unknown;
   revision: Revision;
 }
 
-export type StateOp =
-  | { kind: 'commit'; conditions: Condition[]; puts: Put[]; drops: string[] }
+export type StoreRequest =
+  | { kind: 'compare-and-swap'; conditions: StoreCondition[]; puts: StorePut[]; deletes: string[] }
   | { kind: 'get'; key: string }
   | { kind: 'list'; prefix: string; after: string | null }
-  | { kind: 'grant'; ttlMs: number }
-  | { kind: 'extend'; hold: HoldId }
-  | { kind: 'revoke'; hold: HoldId }
+  | { kind: 'grant-lease'; ttlMs: number }
+  | { kind: 'renew-lease'; lease: StoreLeaseId }
+  | { kind: 'revoke-lease'; lease: StoreLeaseId }
   | { kind: 'watch'; prefix: string; after: Revision; waitMs: number };
 
 /** `refused`: not executed. `no-answer`: may have been, or may yet be, executed. */
-export type StateReply =
+export type StoreReply =
   | { kind: 'committed'; revision: Revision }
   | { kind: 'conflict'; failed: string[] }
-  | { kind: 'item'; item: Item }
+  | { kind: 'item'; item: StoreItem }
   | { kind: 'missing' }
-  | { kind: 'items'; items: Item[]; more: boolean; revision: Revision }
-  | { kind: 'granted'; hold: HoldId }
+  | { kind: 'items'; items: StoreItem[]; more: boolean; revision: Revision }
+  | { kind: 'lease-granted'; lease: StoreLeaseId }
   | { kind: 'ok' }
-  | { kind: 'changes'; revision: Revision; puts: Item[]; drops: string[] }
+  | { kind: 'changes'; revision: Revision; puts: StoreItem[]; deletes: string[] }
   | { kind: 'too-old' }
   | { kind: 'rejected'; reason: string }
   | { kind: 'refused'; busy: boolean }
   | { kind: 'no-answer' };
 
-export type CloudOp =
+export type CloudRequest =
   | { kind: 'types' }
   | { kind: 'rent'; request: string; type: TypeName; zone: ZoneName; spot: boolean; count: number }
   | { kind: 'release'; machines: MachineId[] }
@@ -231,7 +231,9 @@
   | { kind: 'refused'; busy: boolean }
   | { kind: 'no-answer' };
 
-export type WorkerReply = { kind: 'report'; report: Report; executed: boolean } | { kind: 'no-answer' };
+export type WorkerReply =
+  | { kind: 'heartbeat'; heartbeat: Heartbeat; executed: boolean }
+  | { kind: 'no-answer' };
 
 export type PeerMessage =
   /**
@@ -241,15 +243,15 @@
   | {
       kind: 'hello';
       node: NodeId;
-      owner: Revision;
-      chains: boolean;
-      fronts: boolean;
-      documents: boolean;
+      leaderTerm: Revision;
+      supportsDependencies: boolean;
+      supportsForwarding: boolean;
+      supportsConfigDocuments: boolean;
     }
-  | { kind: 'ask'; id: number; request: UserRequest }
-  | { kind: 'reply'; id: number; answer: UserAnswer | null }
-  | { kind: 'relay'; id: number; report: Report }
-  | { kind: 'relayed'; id: number; answer: WorkerAnswer | null }
+  | { kind: 'user-request'; id: number; request: UserRequest }
+  | { kind: 'user-response'; id: number; response: UserResponse | null }
+  | { kind: 'relayed-heartbeat'; id: number; heartbeat: Heartbeat }
+  | { kind: 'relayed-heartbeat-response'; id: number; response: HeartbeatResponse | null }
   /**
    * Which requests the sender wants to be spared, and when callers should come again (overload.ts); how many workers
    * speak to it, weighed (balance.ts); which revision of the configuration it applies; what it owns. Every second.
@@ -260,32 +262,32 @@
       afterS: number;
       workers: number;
       backlogS: number;
-      short: boolean;
-      config: Revision;
+      memoryShort: boolean;
+      configRevision: Revision;
       /** What the sender owns, as in `hello`. */
-      owner: Revision;
+      leaderTerm: Revision;
     }
-  | { kind: 'front'; id: number; report: ForwardedReport }
-  | { kind: 'fronted'; id: number; answer: ForwardedAnswer };
+  | { kind: 'forwarded-heartbeat'; id: number; heartbeat: ForwardedHeartbeat }
+  | { kind: 'forwarded-heartbeat-response'; id: number; response: ForwardedHeartbeatResponse };
 
 /** A report as one node passes it on to another: whole, or as a repetition of one that was read before. */
-export type ForwardedReport =
-  | { whole: Report }
+export type ForwardedHeartbeat =
+  | { kind: 'full'; heartbeat: Heartbeat }
   | {
-      whole: null;
+      kind: 'delta';
       machine: MachineId;
-      session: number;
+      agentEpoch: number;
       seq: number;
-      token: Token;
-      noticeS: number | null;
+      fencingToken: FencingToken;
+      preemptionNoticeS: number | null;
       /** Its machine is that of the report with this number, of the same session, and its tasks but for what follows. */
-      sameAs: number;
-      dropped: number[];
-      changed: { at: number; task: TaskReport }[];
+      baseSeq: number;
+      removed: number[];
+      changed: { at: number; task: TaskStatus }[];
     };
 
 /** `whole`: what it repeats is not the report read last. null: the node asked does not own the machine. */
-export type ForwardedAnswer = WorkerAnswer | { kind: 'whole' } | null;
+export type ForwardedHeartbeatResponse = HeartbeatResponse | { kind: 'full-heartbeat-required' } | null;
 
 export interface TimedInput {
   wall: WallTime;
--- a/src/core/base/answers.ts
+++ b/src/core/base/responses.ts
@@ -1,6 +1,6 @@
-import type { UserAnswer } from './model.ts';
+import type { UserResponse } from './model.ts';
 
-export const retry = (reason: string, afterS = 1, overload = false): UserAnswer => ({
+export const retryLater = (reason: string, afterS = 1, overload = false): UserResponse => ({
   kind: 'retry',
   afterS,
   reason,
@@ -8,5 +8,5 @@
 });
 
 /** What a job's state is to whoever submits it once more; any other answer stays as it is. */
-export const toSubmission = (a: UserAnswer): UserAnswer =>
+export const asSubmissionResponse = (a: UserResponse): UserResponse =>
   a.kind === 'status' || a.kind === 'ended' ? { kind: 'known', id: a.id, status: a.status } : a;
--- a/src/core/base/statebudget.ts
+++ b/src/core/base/store-request-budget.ts
@@ -1,21 +1,21 @@
 // One budget for all that a node asks of the state service. The service counts requests of all nodes together and
 // refuses what is beyond its limit, whatever it is for: the renewal of a hold must never be among that, and must
 // never wait behind a user's question.
-import { type Instant, LONG_AGO, later } from '../../types/index.ts';
-import { Budget } from './budget.ts';
+import { addMs, type Instant, LONG_AGO } from '../../types/index.ts';
+import { TokenBucket } from './token-bucket.ts';
 
 /** In which order requests are sent while the budget is short. */
-export const Rank = {
+export const StorePriority = {
   /** Holds, and who owns the share: sent at once, in debt if need be. */
-  hold: 0,
+  lease: 0,
   /** What a new owner reads, and what an owner writes. */
-  owner: 1,
+  leader: 1,
   /** What work in progress waits for. */
   work: 2,
   /** Users' questions; given up when they cannot be asked soon. */
-  ask: 3,
+  query: 3,
 } as const;
-export type Rank = (typeof Rank)[keyof typeof Rank];
+export type StorePriority = (typeof StorePriority)[keyof typeof StorePriority];
 
 interface Waiting {
   send: () => void;
@@ -36,8 +36,8 @@
 const RECOVER_PER_S = 0.1;
 const SLOW_EVERY_MS = 500;
 
-export class StateBudget {
-  private readonly bucket: Budget;
+export class StoreRequestBudget {
+  private readonly bucket: TokenBucket;
   private at: Instant | null = null;
   private share: number;
   /** Below 1 after refusals. */
@@ -53,11 +53,11 @@
     private readonly nodes: number,
   ) {
     this.share = this.shareOf(false);
-    this.bucket = new Budget(this.rate, this.rate);
+    this.bucket = new TokenBucket(this.rate, this.rate);
   }
 
   /** The owner needs most; what is left is divided among the others, so that the sum stays below the limit. */
-  setOwner(owner: boolean): void {
+  setLeader(owner: boolean): void {
     this.share = this.shareOf(owner);
   }
 
@@ -71,19 +71,19 @@
   }
 
   /** Sends the request now, or when the budget allows; `giveUp` if that is too late to be of use. */
-  submit(now: Instant, rank: Rank, send: () => void, giveUp: () => void): void {
+  submit(now: Instant, rank: StorePriority, send: () => void, giveUp: () => void): void {
     this.recover(now);
-    if (rank === Rank.hold) {
-      this.bucket.owe(now);
+    if (rank === StorePriority.lease) {
+      this.bucket.takeOnCredit(now);
       return this.sendNow(send);
     }
     const queue = this.queues[rank]!;
     if (this.clearUpTo(rank) && this.bucket.take(now)) return this.sendNow(send);
-    if (rank === Rank.ask && queue.length >= MAX_ASKS) return giveUp();
+    if (rank === StorePriority.query && queue.length >= MAX_ASKS) return giveUp();
     queue.push({ send, giveUp, since: now });
   }
 
-  private clearUpTo(rank: Rank): boolean {
+  private clearUpTo(rank: StorePriority): boolean {
     for (let r = 0; r <= rank; r++) if (this.queues[r]!.length > 0) return false;
     return true;
   }
@@ -102,17 +102,17 @@
   /** Gives up on questions that came too early, and sends what has become due. */
   tick(now: Instant): void {
     this.recover(now);
-    const asks = this.queues[Rank.ask]!;
+    const asks = this.queues[StorePriority.query]!;
     while (asks.length > 0 && now - asks[0]!.since > ASK_MS) asks.shift()!.giveUp();
     for (const queue of this.queues)
       while (queue.length > 0 && this.bucket.take(now)) this.sendNow(queue.shift()!.send);
   }
 
   /** The service refused a request as one too many: all slow down, whoever used it up. */
-  busy(now: Instant): void {
+  onThrottled(now: Instant): void {
     this.refused++;
-    this.bucket.drain();
-    if (now < later(this.slowedAt, SLOW_EVERY_MS)) return;
+    this.bucket.empty();
+    if (now < addMs(this.slowedAt, SLOW_EVERY_MS)) return;
     this.slowedAt = now;
     this.pace = Math.max(SLOWEST, this.pace * SLOWER);
   }
--- a/src/core/base/budget.ts
+++ b/src/core/base/token-bucket.ts
@@ -1,7 +1,7 @@
 import type { Instant } from '../../types/index.ts';
 
 /** A budget that refills evenly; bursts up to one second's worth. */
-export class Budget {
+export class TokenBucket {
   private level: number;
   private at: Instant | null = null;
   private perS: number;
@@ -38,13 +38,13 @@
   }
 
   /** Takes it whatever is left, in debt if need be. */
-  owe(now: Instant, n = 1): void {
+  takeOnCredit(now: Instant, n = 1): void {
     this.refill(now);
     this.level -= n;
   }
 
   /** Nothing is left; a debt stays. */
-  drain(): void {
+  empty(): void {
     this.level = Math.min(this.level, 0);
   }
 }
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -1,17 +1,22 @@
 // Changes of the configuration as operators make them: what a change touches, the one transaction that carries it out, its
 // place in a bounded history, and how it is undone. Pure; src/cli carries the transactions out.
 import type { Revision } from '../../types/index.ts';
-import type { Condition, Item, Put, StateLimits } from '../base/model.ts';
-import { CONFIG_HEAD, CONFIG_HISTORY, CONFIG_NEWS, OWNER_KEY } from '../record/keys.ts';
-import { bytesOf } from '../record/store.ts';
+import type { StoreCondition, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
+import { jsonBytes } from '../storage/fenced-writer.ts';
+import {
+  CONFIG_HEAD_KEY,
+  CONFIG_HISTORY_PREFIX,
+  CONFIG_NOTIFICATION_KEY,
+  LEADER_KEY,
+} from '../storage/keys.ts';
 import {
   type ConfigDocument,
   type ConfigHead,
   type ConfigSnapshot,
   DOCUMENT_VERSION,
+  documentKey,
   documentValue,
   headValue,
-  keyOf,
 } from './documents.ts';
 
 /** So many changes are kept, and can be undone. */
@@ -38,14 +43,14 @@
 }
 
 /** Too many documents or too much text for one transaction; the message says which, in one line. */
-export class ChangeTooLarge extends Error {
+export class ChangeTooLargeError extends Error {
   override readonly name = 'ChangeTooLarge';
 }
 
 export const historyKey = (number: number): string =>
-  CONFIG_HISTORY + String(number).padStart(NUMBER_DIGITS, '0');
+  CONFIG_HISTORY_PREFIX + String(number).padStart(NUMBER_DIGITS, '0');
 
-export function readHistory(item: Item): HistoryEntry | null {
+export function readHistory(item: StoreItem): HistoryEntry | null {
   const record = item.value as ({ v?: unknown } & HistoryEntry) | null;
   if (record?.v !== DOCUMENT_VERSION) return null;
   const { number, id, at, changes } = record;
@@ -54,10 +59,10 @@
 
 /** What is different once the documents are as wanted; documents that are not named stay. */
 export function changesTo(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
-  const present = new Map(snapshot.documents.map((d) => [keyOf(d), d]));
+  const present = new Map(snapshot.documents.map((d) => [documentKey(d), d]));
   const out: DocumentChange[] = [];
   for (const after of wanted) {
-    const key = keyOf(after);
+    const key = documentKey(after);
     const before = present.get(key) ?? null;
     if (before === null || !sameDocument(before, after)) out.push({ key, before, after });
   }
@@ -88,7 +93,7 @@
     if (entry === undefined) return null;
     for (const c of entry.changes) target.set(c.key, c.before);
   }
-  const present = new Map(snapshot.documents.map((d) => [keyOf(d), d]));
+  const present = new Map(snapshot.documents.map((d) => [documentKey(d), d]));
   const out: DocumentChange[] = [];
   for (const [key, after] of target) {
     const before = present.get(key) ?? null;
@@ -98,26 +103,26 @@
   return out;
 }
 
-export interface Transaction {
-  conditions: Condition[];
-  puts: Put[];
-  drops: string[];
+export interface StoreTransaction {
+  conditions: StoreCondition[];
+  puts: StorePut[];
+  deletes: string[];
 }
 
 /** What tells the owner that documents are to come: the share moves before the first of them is written. */
-export function preparation(id: string, at: number): Transaction {
+export function preparation(id: string, at: number): StoreTransaction {
   const none = 0 as Revision;
   const value = headValue({ number: 0, id, at });
   return {
     conditions: [
-      { key: CONFIG_HEAD, revision: none },
-      { key: CONFIG_NEWS, revision: none },
+      { key: CONFIG_HEAD_KEY, revision: none },
+      { key: CONFIG_NOTIFICATION_KEY, revision: none },
     ],
     puts: [
-      { key: CONFIG_HEAD, value },
-      { key: CONFIG_NEWS, value },
+      { key: CONFIG_HEAD_KEY, value },
+      { key: CONFIG_NOTIFICATION_KEY, value },
     ],
-    drops: [],
+    deletes: [],
   };
 }
 
@@ -132,44 +137,44 @@
   id: string,
   at: number,
   moved: Revision,
-  limits: StateLimits,
-): Transaction {
+  limits: StoreLimits,
+): StoreTransaction {
   const number = (snapshot.head?.number ?? 0) + 1;
   const head: ConfigHead = { number, id, at };
   const entry: HistoryEntry = { number, id, at, changes: [...changes] };
   checkSize(snapshot, entry, limits);
-  const puts: Put[] = [
-    { key: CONFIG_HEAD, value: headValue(head) },
-    { key: CONFIG_NEWS, value: headValue(head) },
+  const puts: StorePut[] = [
+    { key: CONFIG_HEAD_KEY, value: headValue(head) },
+    { key: CONFIG_NOTIFICATION_KEY, value: headValue(head) },
     { key: historyKey(number), value: { v: DOCUMENT_VERSION, ...entry } },
   ];
-  const drops: string[] = [];
+  const deletes: string[] = [];
   for (const { key, after } of changes)
-    if (after === null) drops.push(key);
+    if (after === null) deletes.push(key);
     else puts.push({ key, value: documentValue(after) });
-  if (number > HISTORY_LENGTH) drops.push(historyKey(number - HISTORY_LENGTH));
+  if (number > HISTORY_LENGTH) deletes.push(historyKey(number - HISTORY_LENGTH));
   return {
     conditions: [
-      { key: CONFIG_HEAD, revision: snapshot.revision },
-      { key: CONFIG_NEWS, revision: snapshot.revision },
-      { key: OWNER_KEY, revision: moved },
+      { key: CONFIG_HEAD_KEY, revision: snapshot.revision },
+      { key: CONFIG_NOTIFICATION_KEY, revision: snapshot.revision },
+      { key: LEADER_KEY, revision: moved },
     ],
     puts,
-    drops,
+    deletes,
   };
 }
 
-function checkSize(snapshot: ConfigSnapshot, entry: HistoryEntry, limits: StateLimits): void {
-  const most = limits.txnOps - OTHER_CHANGES;
+function checkSize(snapshot: ConfigSnapshot, entry: HistoryEntry, limits: StoreLimits): void {
+  const most = limits.maxTransactionOps - OTHER_CHANGES;
   if (entry.changes.length > most)
-    throw new ChangeTooLarge(`it touches ${entry.changes.length} documents, of ${most} in one change`);
+    throw new ChangeTooLargeError(`it touches ${entry.changes.length} documents, of ${most} in one change`);
   const added = entry.changes.filter((c) => c.before === null).length;
   if (snapshot.documents.length + added > MAX_DOCUMENTS)
-    throw new ChangeTooLarge(`there would be more than ${MAX_DOCUMENTS} documents`);
-  const mostBytes = limits.valueKb * 1024;
-  const sizes = [entry, ...entry.changes.map((c) => c.after)].map(bytesOf);
+    throw new ChangeTooLargeError(`there would be more than ${MAX_DOCUMENTS} documents`);
+  const mostBytes = limits.maxValueKb * 1024;
+  const sizes = [entry, ...entry.changes.map((c) => c.after)].map(jsonBytes);
   if (sizes.some((size) => size > mostBytes))
-    throw new ChangeTooLarge(
-      `a record of it would be larger than ${limits.valueKb} KiB: make several changes`,
+    throw new ChangeTooLargeError(
+      `a record of it would be larger than ${limits.maxValueKb} KiB: make several changes`,
     );
 }
--- a/src/core/configuration/configuration.ts
+++ b/src/core/configuration/configuration.ts
@@ -1,18 +1,18 @@
 // The configuration of one controller: which revision it applies, which is the newest that it knows of, and reading what it
 // lacks. News of a change comes with the watch on the share that every node has open, and from the other nodes; without any
 // document nothing is ever asked of the state service.
-import { type Instant, LONG_AGO, later, type Revision, since } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Settings, StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import { CONFIG } from '../record/keys.ts';
+import { addMs, elapsedMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { CONFIG_PREFIX } from '../storage/keys.ts';
 import {
   type ConfigSnapshot,
   type EffectiveConfig,
   lowersLimit,
   overlay,
   readSnapshot,
-  UnreadableDocument,
+  UnreadableDocumentError,
 } from './documents.ts';
 
 /** Reads are at least this far apart, so that a burst of changes costs a bounded number of them; and a little by chance. */
@@ -52,29 +52,29 @@
   onApplied: (change: AppliedChange) => void = () => {};
 
   constructor(
-    private readonly io: Outbox,
+    private readonly io: ControllerIo,
     private readonly base: Pick<Settings, 'teams' | 'objectives'>,
   ) {
     this.effective = overlay(base, []);
   }
 
   /** Whether there are documents, or are about to be. */
-  get present(): boolean {
+  get hasDocuments(): boolean {
     return this.newest > 0;
   }
 
   /** For how long a newer revision has been known and not applied. */
   get lagMs(): number {
-    return this.behindSince === null ? 0 : since(this.io.now, this.behindSince);
+    return this.behindSince === null ? 0 : elapsedMs(this.io.now, this.behindSince);
   }
 
   /** Nothing may be started any more under the revision that is applied. */
-  get overdue(): boolean {
+  get isOverdue(): boolean {
     return this.lagMs > STOP_STARTS_MS;
   }
 
   /** Somebody has seen this revision: on record, or applied by another node. */
-  noticed(revision: Revision): void {
+  onRevisionSeen(revision: Revision): void {
     if (revision <= this.newest) return;
     this.newest = revision;
     if (this.applied < revision) this.behindSince ??= this.io.now;
@@ -88,15 +88,15 @@
   private read(): void {
     if (this.reading || this.applied >= this.newest || this.io.now < this.nextRead) return;
     this.reading = true;
-    this.nextRead = later(this.io.now, READ_EVERY_MS + this.io.random.below(READ_JITTER_MS));
+    this.nextRead = addMs(this.io.now, READ_EVERY_MS + this.io.random.below(READ_JITTER_MS));
     // Holds and what the owner writes go before.
-    this.io.state({ kind: 'list', prefix: CONFIG, after: null }, Rank.work, (r) => {
+    this.io.store({ kind: 'list', prefix: CONFIG_PREFIX, after: null }, StorePriority.work, (r) => {
       this.reading = false;
       this.onRead(r);
     });
   }
 
-  private onRead(r: StateReply): void {
+  private onRead(r: StoreReply): void {
     if (r.kind !== 'items') return this.backOff();
     try {
       // All documents are in one page (change.ts): more than one would not be atomic.
@@ -105,7 +105,7 @@
       if (snapshot === null || snapshot.revision <= this.applied) return this.backOff();
       this.apply(snapshot);
     } catch (e) {
-      if (!(e instanceof UnreadableDocument)) throw e;
+      if (!(e instanceof UnreadableDocumentError)) throw e;
       this.tellUnreadable(e);
       this.backOff();
     }
@@ -113,10 +113,10 @@
 
   private backOff(): void {
     const waitMs = Math.min(RETRY_MAX_MS, RETRY_MS * 2 ** Math.min(8, this.failures++));
-    this.nextRead = later(this.io.now, waitMs / 2 + this.io.random.below(waitMs));
+    this.nextRead = addMs(this.io.now, waitMs / 2 + this.io.random.below(waitMs));
   }
 
-  private tellUnreadable(e: UnreadableDocument): void {
+  private tellUnreadable(e: UnreadableDocumentError): void {
     if (this.toldUnreadable === e.key) return;
     this.toldUnreadable = e.key;
     this.io.log('error', 'a configuration document cannot be read and is not applied', { key: e.key });
@@ -145,7 +145,7 @@
       revision: this.applied,
       newest: this.newest,
       documents: this.documents,
-      ageS: this.appliedAt === LONG_AGO ? null : Math.round(since(this.io.now, this.appliedAt) / 1000),
+      ageS: this.appliedAt === LONG_AGO ? null : Math.round(elapsedMs(this.io.now, this.appliedAt) / 1000),
       lagS: Math.round(this.lagMs / 100) / 10,
     };
   }
--- a/src/core/configuration/documents.ts
+++ b/src/core/configuration/documents.ts
@@ -2,14 +2,14 @@
 // file: one for each team, one for the aims, one for the operators' own settings. Pure: reading and writing them is done
 // elsewhere (configuration.ts, change.ts).
 import type { Revision, TeamName } from '../../types/index.ts';
-import type { Item, Objective, Team } from '../base/model.ts';
-import { CONFIG, CONFIG_HEAD } from '../record/keys.ts';
+import type { Objective, StoreItem, Team } from '../base/model.ts';
+import { CONFIG_HEAD_KEY, CONFIG_PREFIX } from '../storage/keys.ts';
 
 /** Layout of the documents; one of another version is not applied. */
 export const DOCUMENT_VERSION = 1;
 
 /** What is left of a team's work above a lowered limit: it ends by itself, or is stopped within so many seconds. */
-export type AboveLimit = { kind: 'drain' } | { kind: 'stop'; withinS: number };
+export type OverQuotaPolicy = { kind: 'drain' } | { kind: 'stop'; withinS: number };
 
 export interface TeamDocument {
   cpus: number;
@@ -17,7 +17,7 @@
   cpusMax: number;
   gpus: number;
   gpusMax: number;
-  above: AboveLimit;
+  above: OverQuotaPolicy;
   /** Closed to new work; unfinished jobs go on under the limits given here. */
   removed: boolean;
 }
@@ -43,11 +43,11 @@
   at: number;
 }
 
-const TEAM = `${CONFIG}team/`;
-const OBJECTIVES = `${CONFIG}objectives`;
-const DISPATCH = `${CONFIG}dispatch`;
+const TEAM = `${CONFIG_PREFIX}team/`;
+const OBJECTIVES = `${CONFIG_PREFIX}objectives`;
+const DISPATCH = `${CONFIG_PREFIX}dispatch`;
 
-export const keyOf = (d: ConfigDocument): string =>
+export const documentKey = (d: ConfigDocument): string =>
   d.kind === 'team' ? TEAM + d.name : d.kind === 'objectives' ? OBJECTIVES : DISPATCH;
 
 /** The value on record. */
@@ -58,7 +58,7 @@
 }
 
 /** A record that this program can't read as a configuration document. */
-export class UnreadableDocument extends Error {
+export class UnreadableDocumentError extends Error {
   override readonly name = 'UnreadableDocument';
   constructor(readonly key: string) {
     super(`${key} is not a configuration document of version ${DOCUMENT_VERSION}`);
@@ -69,18 +69,18 @@
 export function readDocument(key: string, value: unknown): ConfigDocument {
   const record = value as ({ v?: unknown } & Record<string, unknown>) | null;
   if (record === null || typeof record !== 'object' || record.v !== DOCUMENT_VERSION)
-    throw new UnreadableDocument(key);
+    throw new UnreadableDocumentError(key);
   const { v: _, ...rest } = record;
   if (key.startsWith(TEAM))
     return { kind: 'team', name: key.slice(TEAM.length) as TeamName, team: rest as unknown as TeamDocument };
   if (key === OBJECTIVES) return { kind: 'objectives', objectives: rest.objectives as Objective[] };
   if (key === DISPATCH) return { kind: 'dispatch', dispatch: rest as DispatchDocument };
-  throw new UnreadableDocument(key);
+  throw new UnreadableDocumentError(key);
 }
 
 export function readHead(value: unknown): ConfigHead {
   const record = value as ({ v?: unknown } & ConfigHead) | null;
-  if (record?.v !== DOCUMENT_VERSION) throw new UnreadableDocument(CONFIG_HEAD);
+  if (record?.v !== DOCUMENT_VERSION) throw new UnreadableDocumentError(CONFIG_HEAD_KEY);
   return { number: record.number, id: record.id, at: record.at };
 }
 
@@ -96,8 +96,8 @@
 export const NO_DOCUMENTS: ConfigSnapshot = { revision: 0 as Revision, head: null, documents: [] };
 
 /** From one listing of all configuration records, which is atomic. Throws UnreadableDocument. */
-export function readSnapshot(items: readonly Item[]): ConfigSnapshot {
-  const head = items.find((i) => i.key === CONFIG_HEAD);
+export function readSnapshot(items: readonly StoreItem[]): ConfigSnapshot {
+  const head = items.find((i) => i.key === CONFIG_HEAD_KEY);
   if (head === undefined) return NO_DOCUMENTS;
   const documents = items.filter((i) => i !== head).map((i) => readDocument(i.key, i.value));
   return { revision: head.revision, head: readHead(head.value), documents };
--- a/src/core/configuration/rollout.ts
+++ b/src/core/configuration/rollout.ts
@@ -1,11 +1,11 @@
 // When a revision of the configuration is in force: no controller can act on an older one (docs/safety.md). The owner alone
 // starts tasks, so that is when it has applied the revision and the last start under an older one has reached its machine.
 // It puts that on record, for operators who wait for it, and knows which nodes lag.
-import { type Instant, later, type NodeId, type Revision, since } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { NodeRevision } from '../membership/nodes.ts';
-import { CONFIG_IN_FORCE } from '../record/keys.ts';
-import { Priorities, type Store } from '../record/store.ts';
+import { addMs, elapsedMs, type Instant, type NodeId, type Revision } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { PeerConfigRevision } from '../membership/peer-registry.ts';
+import { type FencedWriter, WritePriority } from '../storage/fenced-writer.ts';
+import { CONFIG_IN_FORCE_KEY } from '../storage/keys.ts';
 import type { AppliedChange, Configuration } from './configuration.ts';
 
 /** Workers drop answers after 4 s: a start that was sent under an older limit arrives no later than this. */
@@ -44,35 +44,35 @@
   private nextLook = 0 as Instant;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly store: Store,
+    private readonly io: ControllerIo,
+    private readonly store: FencedWriter,
     private readonly term: Revision,
     private readonly configuration: Configuration,
-    private readonly nodes: () => readonly NodeRevision[],
+    private readonly nodes: () => readonly PeerConfigRevision[],
   ) {}
 
   /** The owner begins: what an owner before it has started may still be on its way. */
   begin(): void {
-    if (this.configuration.present) this.settle(this.configuration.applied, true);
+    if (this.configuration.hasDocuments) this.settle(this.configuration.applied, true);
   }
 
-  applied(change: AppliedChange): void {
+  onApplied(change: AppliedChange): void {
     this.settle(change.to, change.lowered);
   }
 
   private settle(revision: Revision, lowered: boolean): void {
     const waiting = this.settling.at(-1)?.at ?? this.io.now;
-    const at = lowered ? later(this.io.now, ON_ITS_WAY_MS) : this.io.now;
+    const at = lowered ? addMs(this.io.now, ON_ITS_WAY_MS) : this.io.now;
     // Of an earlier revision that lowered a limit a start may be on its way as well.
     this.settling.push({ revision, at: Math.max(at, waiting) as Instant });
   }
 
   /** `current`: no other controller can own the share. */
   tick(current: boolean): void {
-    if (!this.configuration.present) return;
+    if (!this.configuration.hasDocuments) return;
     if (current) this.record();
     if (this.io.now < this.nextLook) return;
-    this.nextLook = later(this.io.now, LOOK_MS);
+    this.nextLook = addMs(this.io.now, LOOK_MS);
     for (const n of this.nodes()) this.look(n);
   }
 
@@ -89,17 +89,17 @@
     const lagging: Record<string, Revision> = {};
     for (const { node, revision: r } of this.nodes())
       if (r === null || r < revision) lagging[node] = r ?? (0 as Revision);
-    const value: InForceRecord = { revision, term: this.term, at: this.io.wall, lagging };
-    const nonce = this.store.nonce();
+    const value: InForceRecord = { revision, term: this.term, at: this.io.wallTime, lagging };
+    const writeId = this.store.nextWriteId();
     // The same value whichever copy is carried out, under this term only.
     this.store.write({
       conditions: [],
-      puts: [{ key: CONFIG_IN_FORCE, value: { ...value, w: nonce } }],
-      drops: [],
-      check: CONFIG_IN_FORCE,
-      nonce,
-      priority: Priorities.record,
-      done: (r) => {
+      puts: [{ key: CONFIG_IN_FORCE_KEY, value: { ...value, w: writeId } }],
+      deletes: [],
+      verifyKey: CONFIG_IN_FORCE_KEY,
+      writeId,
+      priority: WritePriority.sharedRecord,
+      onResult: (r) => {
         this.writing = false;
         if (r.kind !== 'ok') return;
         this.inForce = revision;
@@ -108,12 +108,12 @@
     });
   }
 
-  private look({ node, revision, linked }: NodeRevision): void {
+  private look({ node, revision, linked }: PeerConfigRevision): void {
     const { applied } = this.configuration;
     const lag = this.lags.get(node);
     if (revision !== null && revision >= applied) {
       if (lag?.told) {
-        const afterMs = Math.round(since(this.io.now, lag.since));
+        const afterMs = Math.round(elapsedMs(this.io.now, lag.since));
         this.io.log('info', 'configuration caught up', { node, from: lag.from, to: revision, afterMs });
       }
       this.lags.delete(node);
@@ -123,7 +123,7 @@
       this.lags.set(node, { from: revision ?? (0 as Revision), since: this.io.now, told: false });
       return;
     }
-    if (lag.told || since(this.io.now, lag.since) < PROMPT_MS) return;
+    if (lag.told || elapsedMs(this.io.now, lag.since) < PROMPT_MS) return;
     lag.told = true;
     const why = linked ? 'it has not applied the revision yet' : 'its link is down';
     this.io.log('info', 'configuration lags', { node, from: lag.from, to: applied, why });
@@ -132,7 +132,8 @@
   /** For operators: how long each node that lags has done so, in seconds. */
   describe(): Record<string, unknown> {
     const lagging: Record<string, number> = {};
-    for (const [node, lag] of this.lags) lagging[node] = Math.round(since(this.io.now, lag.since) / 100) / 10;
+    for (const [node, lag] of this.lags)
+      lagging[node] = Math.round(elapsedMs(this.io.now, lag.since) / 100) / 10;
     return { inForce: this.inForce, lagging };
   }
 }
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,46 +1,46 @@
 // The core of one controller: a state machine that takes inputs and returns what to send and answer.
 import {
+  addMs,
+  type FencingToken,
   type Instant,
-  later,
   NEVER,
   type NodeId,
   type Revision,
-  type Token,
   type WallTime,
 } from '../types/index.ts';
-import { retry } from './base/answers.ts';
-import { type Effect, type Input, Outbox, type Random } from './base/io.ts';
+import { FallbackAdmission } from './admission/fallback-admission.ts';
+import { LoadShedder } from './admission/load-shedder.ts';
+import { ControllerIo, type Effect, type Input, type Random } from './base/io.ts';
 import type {
-  ForwardedAnswer,
-  ForwardedReport,
+  ForwardedHeartbeat,
+  ForwardedHeartbeatResponse,
+  Heartbeat,
+  HeartbeatResponse,
   PeerMessage,
-  Report,
   Settings,
-  UserAnswer,
   UserRequest,
-  WorkerAnswer,
+  UserResponse,
 } from './base/model.ts';
-import { StateBudget } from './base/statebudget.ts';
+import { retryLater } from './base/responses.ts';
+import { StoreRequestBudget } from './base/store-request-budget.ts';
 import { Configuration, MAX_LAG_MS } from './configuration/configuration.ts';
-import { Intake } from './intake/intake.ts';
-import { Overload } from './intake/overload.ts';
-import { Catalogue } from './machines/catalogue.ts';
-import { HOLD_MS, Leadership, type OwnerRecord } from './membership/leadership.ts';
-import { Nodes } from './membership/nodes.ts';
-import type { DispatchSettings } from './placement/dispatch.ts';
-import { Lookup } from './record/lookup.ts';
-import { Balance } from './reports/balance.ts';
-import { ReportForwarding } from './reports/forwarding.ts';
-import { Relay } from './reports/relay.ts';
-import { Share } from './share/share.ts';
+import { ConnectionBalancer } from './heartbeats/connection-balancer.ts';
+import { HeartbeatForwarder } from './heartbeats/heartbeat-forwarder.ts';
+import { HeartbeatRelay } from './heartbeats/heartbeat-relay.ts';
+import { LeaderTerm } from './leader/leader-term.ts';
+import { MachineTypeCatalog } from './machines/machine-type-catalog.ts';
+import { LEADER_LEASE_MS, LeaderElection, type LeaderRecord } from './membership/leader-election.ts';
+import { PeerRegistry } from './membership/peer-registry.ts';
+import type { SchedulerOptions } from './scheduling/scheduler.ts';
+import { JobRecordReader } from './storage/job-record-reader.ts';
 
 interface Forwarded {
   request: UserRequest;
-  answer: (a: UserAnswer) => void;
+  answer: (a: UserResponse) => void;
   deadline: Instant;
 }
 interface Timed {
-  answer: (a: UserAnswer) => void;
+  answer: (a: UserResponse) => void;
   deadline: Instant;
 }
 
@@ -52,137 +52,143 @@
 const SERVE_MS = { status: 600, submit: 2900, cancel: 2900 };
 
 export class Controller {
-  private readonly io: Outbox;
+  private readonly io: ControllerIo;
   private readonly settings: Settings;
-  readonly leadership: Leadership;
-  share: Share | null = null;
-  readonly lookup: Lookup;
-  private readonly catalogue: Catalogue;
-  private readonly relay: Relay;
-  private readonly forwarding: ReportForwarding;
-  private readonly overload: Overload;
-  private readonly balance: Balance;
-  private readonly intake: Intake;
+  readonly election: LeaderElection;
+  leaderTerm: LeaderTerm | null = null;
+  readonly jobRecords: JobRecordReader;
+  private readonly catalogue: MachineTypeCatalog;
+  private readonly relay: HeartbeatRelay;
+  private readonly forwarding: HeartbeatForwarder;
+  private readonly overload: LoadShedder;
+  private readonly balance: ConnectionBalancer;
+  private readonly intake: FallbackAdmission;
   readonly configuration: Configuration;
-  private readonly nodes: Nodes;
+  private readonly nodes: PeerRegistry;
   private readonly forwarded = new Map<number, Forwarded>();
   private readonly timed = new Set<Timed>();
 
-  constructor(settings: Settings, options: DispatchSettings, random: Random) {
+  constructor(settings: Settings, options: SchedulerOptions, random: Random) {
     this.settings = settings;
-    this.nodes = new Nodes(settings.peers);
-    const budget = new StateBudget(settings.state.rps, settings.peers.length + 1);
-    this.io = new Outbox(random, budget, { state: settings.stateAddr, cloud: settings.cloudAddr });
-    this.lookup = new Lookup(this.io, settings);
-    this.catalogue = new Catalogue(this.io);
-    this.relay = new Relay(this.io);
-    this.forwarding = new ReportForwarding(this.io);
-    this.overload = new Overload(this.io);
-    this.balance = new Balance(this.io, settings.workers.reportS);
+    this.nodes = new PeerRegistry(settings.peers);
+    const budget = new StoreRequestBudget(settings.store.requestsPerS, settings.peers.length + 1);
+    this.io = new ControllerIo(random, budget, { state: settings.storeAddr, cloud: settings.cloudAddr });
+    this.jobRecords = new JobRecordReader(this.io, settings);
+    this.catalogue = new MachineTypeCatalog(this.io);
+    this.relay = new HeartbeatRelay(this.io);
+    this.forwarding = new HeartbeatForwarder(this.io);
+    this.overload = new LoadShedder(this.io);
+    this.balance = new ConnectionBalancer(this.io, settings.workers.heartbeatS);
     this.configuration = new Configuration(this.io, settings);
-    this.configuration.onApplied = (change) => this.share?.reconfigured(change);
-    this.intake = new Intake(this.io, settings, this.catalogue, this.lookup, this.configuration, () =>
-      this.leadership.reread(),
+    this.configuration.onApplied = (change) => this.leaderTerm?.onConfigurationApplied(change);
+    this.intake = new FallbackAdmission(
+      this.io,
+      settings,
+      this.catalogue,
+      this.jobRecords,
+      this.configuration,
+      () => this.election.refresh(),
     );
     const rank = settings.peers.filter((p) => p.node < settings.node).length;
-    this.leadership = new Leadership(this.io, settings.node, rank, settings.peers.length + 1, {
-      onOwned: (term) => {
-        this.io.stateBudget?.setOwner(true);
-        this.balance.setOwner(true);
-        this.share = new Share(
+    this.election = new LeaderElection(this.io, settings.node, rank, settings.peers.length + 1, {
+      onElected: (term) => {
+        this.io.storeBudget?.setLeader(true);
+        this.balance.setLeader(true);
+        this.leaderTerm = new LeaderTerm(
           this.io,
           settings,
           options,
-          { key: this.leadership.ownerKey, revision: term },
+          { key: this.election.leaderKey, revision: term },
           this.configuration,
-          () => this.nodes.revisions(),
+          () => this.nodes.configRevisions(),
           this.catalogue,
-          this.lookup,
-          this.leadership.lastRead,
+          this.jobRecords,
+          this.election.lastRecovery,
           () => this.mayAdopt(term),
           () => this.mayStart(),
           () => this.overtaken(term),
         );
         this.announce();
       },
-      onLost: () => {
-        this.io.stateBudget?.setOwner(false);
-        this.balance.setOwner(false);
-        this.share?.close();
-        this.share = null;
+      onLeadershipLost: () => {
+        this.io.storeBudget?.setLeader(false);
+        this.balance.setLeader(false);
+        this.leaderTerm?.close();
+        this.leaderTerm = null;
         this.announce();
       },
-      onOwnerKnown: () => {},
-      writeMove: (conditions, puts, done) => this.share?.writeMove(conditions, puts, done),
-      onConfiguration: (revision) => this.configuration.noticed(revision),
+      onLeaderKnown: () => {},
+      migrateLeaderKey: (conditions, puts, done) => this.leaderTerm?.migrateLeaderKey(conditions, puts, done),
+      onConfigurationChanged: (revision) => this.configuration.onRevisionSeen(revision),
     });
   }
 
   /** A write under this term found another owner; under an earlier one of this node's it says nothing new. */
   private overtaken(term: Revision): void {
-    if (this.leadership.term === term) this.leadership.lose('a write found another owner');
+    if (this.election.term === term) this.election.stepDown('a write found another owner');
   }
 
   step(now: Instant, wall: WallTime, input: Input): Effect[] {
-    this.io.begin(now, wall);
+    this.io.beginStep(now, wall);
     this.take(input);
     this.resume();
-    if (this.mayCommand()) this.share?.settle();
-    return this.io.drain();
+    if (this.mayCommand()) this.leaderTerm?.afterInput();
+    return this.io.takeEffects();
   }
 
   /** Whether this node can serve users: as the owner, by one it can reach, or by the record alone. */
   get ready(): boolean {
-    const { owner } = this.leadership;
-    if (this.share?.recovery.unreadable) return false;
-    if (this.alone && this.io.stateAway) return false;
+    const { leader } = this.election;
+    if (this.leaderTerm?.failover.isUnreadable) return false;
+    if (this.alone && this.io.isStoreUnavailable) return false;
     if (this.configuration.lagMs > MAX_LAG_MS) return false;
-    if (owner?.node === this.settings.node && this.share?.recovery.loaded) return true;
-    if (owner !== null && owner.node !== this.settings.node && this.nodes.up.has(owner.node)) return true;
+    if (leader?.node === this.settings.node && this.leaderTerm?.failover.isLoaded) return true;
+    if (leader !== null && leader.node !== this.settings.node && this.nodes.connectedPeers.has(leader.node))
+      return true;
     // Without an owner in reach, submissions and questions go by the record.
-    return this.leadership.readsRecord && this.catalogue.known;
+    return this.election.isStoreReadable && this.catalogue.isLoaded;
   }
 
   /** Cut off from every other controller: with the state service out of reach too, users are better served by any other. */
   private get alone(): boolean {
     if (this.settings.peers.length === 0) return false;
-    for (const node of this.nodes.up)
-      if (!this.nodes.takeForwarded.has(node) || !this.forwarding.isSilent(node)) return false;
+    for (const node of this.nodes.connectedPeers)
+      if (!this.nodes.forwardingPeers.has(node) || !this.forwarding.isSilent(node)) return false;
     return true;
   }
 
   /** What an operator asks a node about itself. */
   describe(): Record<string, unknown> {
-    const { share, leadership: l } = this;
-    const machines = [...(share?.machines.all.values() ?? [])];
+    const { leaderTerm, election: l } = this;
+    const machines = [...(leaderTerm?.machines.byId.values() ?? [])];
     return {
       node: this.settings.node,
-      owner: l.owner?.node ?? null,
+      owner: l.leader?.node ?? null,
       term: l.term,
-      current: l.current,
-      peers: [...this.nodes.up],
-      recovered: share?.recovery.complete ?? null,
-      stateDown: share !== null && share.store.downSince !== null,
-      writesWaiting: share?.store.backlog ?? 0,
-      jobs: share?.jobs.open.size ?? 0,
+      current: l.holdsLease,
+      peers: [...this.nodes.connectedPeers],
+      recovered: leaderTerm?.failover.isComplete ?? null,
+      stateDown: leaderTerm !== null && leaderTerm.writer.unavailableSince !== null,
+      writesWaiting: leaderTerm?.writer.backlog ?? 0,
+      jobs: leaderTerm?.jobs.openJobs.size ?? 0,
       workers: this.balance.workers,
       loadLevel: this.overload.level,
       loopDelayMs: Math.round(this.overload.delayMs),
-      requestsShed: this.overload.shed,
-      memoryShort: this.overload.short,
-      stateRequests: { sent: this.io.stateBudget?.sent, refused: this.io.stateBudget?.refused },
-      olderPeers: this.nodes.older(),
+      requestsShed: this.overload.requestsShed,
+      memoryShort: this.overload.isMemoryShort,
+      stateRequests: { sent: this.io.storeBudget?.sent, refused: this.io.storeBudget?.refused },
+      olderPeers: this.nodes.peersWithoutDependencies(),
       configuration: {
         ...this.configuration.describe(),
-        ...share?.rollout.describe(),
-        nodes: this.nodes.revisions().map((n) => ({
+        ...leaderTerm?.rollout.describe(),
+        nodes: this.nodes.configRevisions().map((n) => ({
           ...n,
-          knowsDocuments: this.nodes.knowsDocuments(n.node),
+          knowsDocuments: this.nodes.supportsConfigDocuments(n.node),
         })),
       },
-      finalStatesToRead: share?.dependencies.open ?? 0,
+      finalStatesToRead: leaderTerm?.dependencies.unresolvedCount ?? 0,
       machines: machines.length,
-      draining: machines.filter((m) => m.drain !== null).map((m) => `${m.id}: ${m.drain}`),
+      draining: machines.filter((m) => m.drainReason !== null).map((m) => `${m.id}: ${m.drainReason}`),
     };
   }
 
@@ -191,52 +197,54 @@
       case 'tick':
         return this.tick(input.queuedMs ?? 0, input.memory ?? 0);
       case 'user':
-        return this.user(input.request, (answer) =>
-          this.io.emit({ kind: 'answer-user', req: input.req, answer }),
+        return this.user(input.request, (response) =>
+          this.io.emit({ kind: 'user-response', requestId: input.requestId, response }),
         );
-      case 'report':
-        return this.checkIn(input.report, (answer) =>
-          this.io.emit({ kind: 'answer-worker', req: input.req, answer }),
+      case 'heartbeat':
+        return this.checkIn(input.heartbeat, (response) =>
+          this.io.emit({ kind: 'heartbeat-response', requestId: input.requestId, response }),
         );
-      case 'state':
+      case 'store':
       case 'cloud':
       case 'worker':
         return this.io.resolve(input.tag, input.reply);
       case 'peer':
         return this.peer(input.node, input.message);
       case 'peer-up':
-        this.nodes.connected(input.node);
+        this.nodes.onConnected(input.node);
         return this.greet(input.node);
       case 'peer-down':
-        this.nodes.disconnected(input.node);
-        this.forwarding.lost(input.node);
+        this.nodes.onDisconnected(input.node);
+        this.forwarding.onPeerDisconnected(input.node);
         return this.dropForwarded(input.node);
     }
   }
 
   private tick(queuedMs: number, memory: number): void {
-    const backlogS = this.share?.users.backlogS ?? 0;
+    const backlogS = this.leaderTerm?.userRequests.backlogS ?? 0;
     const news = this.overload.tick(queuedMs, backlogS, memory);
     if (news !== null)
-      for (const node of this.nodes.takeForwarded)
+      for (const node of this.nodes.forwardingPeers)
         this.io.emit({
           kind: 'peer',
           node,
           message: {
             kind: 'load',
-            ...news,
+            level: news.level,
+            afterS: news.afterS,
+            memoryShort: news.memoryShort,
             workers: this.balance.weight,
             backlogS,
-            config: this.configuration.applied,
-            owner: this.leadership.term ?? (0 as Revision),
+            configRevision: this.configuration.applied,
+            leaderTerm: this.election.term ?? (0 as Revision),
           },
         });
-    this.balance.tick((node) => this.nodes.up.has(node) && this.nodes.takeForwarded.has(node));
-    this.leadership.tick();
+    this.balance.tick((node) => this.nodes.connectedPeers.has(node) && this.nodes.forwardingPeers.has(node));
+    this.election.tick();
     this.configuration.tick();
-    this.catalogue.tick(this.share !== null);
-    this.share?.tick(this.mayCommand());
-    this.lookup.tick();
+    this.catalogue.tick(this.leaderTerm !== null);
+    this.leaderTerm?.tick(this.mayCommand());
+    this.jobRecords.tick();
     this.relay.tick();
     this.forwarding.tick(this.otherOwner?.node ?? null);
     this.expire();
@@ -250,11 +258,11 @@
    * with it, rely on everything here being gone in time.
    */
   private mayCommand(): boolean {
-    const l = this.leadership;
+    const l = this.election;
     if (l.term === null) return false;
-    if (l.current) return true;
+    if (l.holdsLease) return true;
     const { cancelS, leaseS } = this.settings.workers;
-    return this.io.now < l.confirmedAt + HOLD_MS + cancelS * 1000 - leaseS * 1001 - 1500;
+    return this.io.now < l.confirmedAt + LEADER_LEASE_MS + cancelS * 1000 - leaseS * 1001 - 1500;
   }
 
   /**
@@ -264,80 +272,90 @@
    * that none of them may have read yet: with documents it starts nothing beyond its hold.
    */
   private mayStart(): boolean {
-    if (this.configuration.overdue) return false;
-    if (this.leadership.current) return true;
-    return !this.configuration.present && this.settings.peers.every((p) => this.forwarding.hears(p.node));
+    if (this.configuration.isOverdue) return false;
+    if (this.election.holdsLease) return true;
+    return (
+      !this.configuration.hasDocuments && this.settings.peers.every((p) => this.forwarding.isAlive(p.node))
+    );
   }
 
   /** A job found on record may be taken up only while nobody else can have become the owner. */
   private mayAdopt(term: Revision): boolean {
-    return this.leadership.term === term && this.leadership.current;
+    return this.election.term === term && this.election.holdsLease;
   }
 
   // ---- workers
 
   /** The owner as far as is known, if it is another node. */
-  private get otherOwner(): OwnerRecord | null {
-    const { owner } = this.leadership;
-    return owner?.node === this.settings.node ? null : owner;
+  private get otherOwner(): LeaderRecord | null {
+    const { leader } = this.election;
+    return leader?.node === this.settings.node ? null : leader;
   }
 
   /** A worker speaks to this node; with too many here, it is sent to another before anything is read. */
-  private checkIn(r: Report, answer: (a: WorkerAnswer) => void): void {
-    const to = this.balance.report(r.machine);
-    if (to !== null) answer({ kind: 'elsewhere', node: to });
+  private checkIn(r: Heartbeat, answer: (a: HeartbeatResponse) => void): void {
+    const to = this.balance.onHeartbeat(r.machine);
+    if (to !== null) answer({ kind: 'redirect', node: to });
     else this.report(r, answer);
   }
 
   /** A machine has seen a higher token than this owner's: somebody else has taken over, and this term is given up. */
-  private outdated(token: Token): boolean {
-    if (this.share === null || token <= this.share.machines.token) return false;
-    this.leadership.superseded();
+  private outdated(token: FencingToken): boolean {
+    if (this.leaderTerm === null || token <= this.leaderTerm.machines.fencingToken) return false;
+    this.election.onHigherFencingToken();
     return true;
   }
 
   /** `by`: when its worker must be answered, if the report has waited before. */
-  private report(r: Report, answer: (a: WorkerAnswer) => void, by: Instant = NEVER): void {
-    if (this.outdated(r.token)) return answer({ kind: 'elsewhere', node: null });
-    const { share } = this;
-    if (share !== null && this.mayCommand()) return share.report(r, answer, by);
+  private report(r: Heartbeat, answer: (a: HeartbeatResponse) => void, by: Instant = NEVER): void {
+    if (this.outdated(r.fencingToken)) return answer({ kind: 'redirect', node: null });
+    const { leaderTerm } = this;
+    if (leaderTerm !== null && this.mayCommand()) return leaderTerm.onHeartbeat(r, answer, by);
     const owner = this.otherOwner;
-    const linked = owner !== null && this.nodes.up.has(owner.node);
+    const linked = owner !== null && this.nodes.connectedPeers.has(owner.node);
     // The next owner is chosen within seconds: a worker sent round meanwhile would only come back.
-    if (this.nodes.up.size > 0 && (owner === null || (!linked && this.forwarding.lostLately(owner.node))))
+    if (
+      this.nodes.connectedPeers.size > 0 &&
+      (owner === null || (!linked && this.forwarding.disconnectedRecently(owner.node)))
+    )
       return this.forwarding.defer(r, answer, by);
-    if (linked && this.forwarding.mayHaveEnded(owner.node)) return this.forwarding.defer(r, answer, by);
-    if (linked && this.nodes.takeForwarded.has(owner.node) && this.forwarding.usable)
-      return this.forwarding.report(r, owner.node, answer, by);
-    this.relay.report(r, owner, linked, answer);
+    if (linked && this.forwarding.leaderMayHaveEnded(owner.node)) return this.forwarding.defer(r, answer, by);
+    if (linked && this.nodes.forwardingPeers.has(owner.node) && this.forwarding.isUsable)
+      return this.forwarding.forward(r, owner.node, answer, by);
+    this.relay.relay(r, owner, linked, answer);
   }
 
   /** Reports that waited for an owner go to it as soon as there is one. */
   private resume(): void {
-    const owner = this.leadership.owner;
+    const owner = this.election.leader;
     if (owner === null) return;
-    this.forwarding.ownedBy(owner);
+    this.forwarding.onLeader(owner);
     const here = owner.node === this.settings.node;
-    if (here ? this.share !== null && this.mayCommand() : this.nodes.up.has(owner.node))
-      this.forwarding.resume((r, answer, by) => this.report(r, answer, by));
+    if (here ? this.leaderTerm !== null && this.mayCommand() : this.nodes.connectedPeers.has(owner.node))
+      this.forwarding.resumeDeferred((r, answer, by) => this.report(r, answer, by));
   }
 
   // ---- users
 
   /** What to answer without looking at the request any further, when there is too much to do; null if it is served. */
-  refusal(op: UserRequest['op']): UserAnswer | null {
-    return this.overload.refusal(op, this.leadership.owner?.node ?? null, this.share?.users.backlogS ?? 0);
+  rejection(op: UserRequest['op']): UserResponse | null {
+    return this.overload.rejection(
+      op,
+      this.election.leader?.node ?? null,
+      this.leaderTerm?.userRequests.backlogS ?? 0,
+    );
   }
 
-  private user(request: UserRequest, answer: (a: UserAnswer) => void): void {
+  private user(request: UserRequest, answer: (a: UserResponse) => void): void {
     const patience = request.op === 'status' ? STATUS_PATIENCE_MS : WRITE_PATIENCE_MS;
     const once = this.inTime(answer, patience);
     const id = request.op === 'submit' ? request.spec.id : request.id;
-    const known = this.lookup.known(id);
+    const known = this.jobRecords.cachedFinalState(id);
     if (known !== null && known.kind === 'ended')
       return once(request.op === 'submit' ? { ...known, kind: 'known' } : known);
     if (this.tooEarlyForChains(request, once)) return;
-    if (this.share !== null && this.leadership.current) return this.serve(this.share, request, once);
+    if (this.leaderTerm !== null && this.election.holdsLease)
+      return this.serve(this.leaderTerm, request, once);
     this.giveUp(request);
     this.forward(request, once);
   }
@@ -347,32 +365,33 @@
    * has no use for any more ends now, and is marked when the record can be written, if this term still stands then.
    */
   private giveUp(request: UserRequest): void {
-    if (request.op !== 'cancel' || this.share === null || !this.share.recovery.loaded) return;
-    const job = this.share.jobs.open.get(request.id);
-    if (job !== undefined && !job.unwanted && !job.writing) this.share.jobs.cancel(job, () => {});
+    if (request.op !== 'cancel' || this.leaderTerm === null || !this.leaderTerm.failover.isLoaded) return;
+    const job = this.leaderTerm.jobs.openJobs.get(request.id);
+    if (job !== undefined && !job.isCancelling && !job.isWritingRecord)
+      this.leaderTerm.jobs.cancel(job, () => {});
   }
 
   /** An owner of an earlier version would start the job at once: while there may be one, none is accepted. */
-  private tooEarlyForChains(request: UserRequest, answer: (a: UserAnswer) => void): boolean {
-    if (request.op !== 'submit' || request.spec.awaits === undefined) return false;
-    if (this.nodes.older().length === 0) return false;
+  private tooEarlyForChains(request: UserRequest, answer: (a: UserResponse) => void): boolean {
+    if (request.op !== 'submit' || request.spec.dependsOn === undefined) return false;
+    if (this.nodes.peersWithoutDependencies().length === 0) return false;
     const { id } = request.spec;
-    const open = this.share?.jobs.open.has(id) ?? false;
+    const open = this.leaderTerm?.jobs.openJobs.has(id) ?? false;
     if (open) return false;
-    this.lookup.ask(id, (a) => {
+    this.jobRecords.readStatus(id, (a) => {
       if (a.kind === 'status' || a.kind === 'ended') answer({ kind: 'known', id, status: a.status });
-      else answer(retry('not all controllers know of jobs that await others yet', 2));
+      else answer(retryLater('not all controllers know of jobs that await others yet', 2));
     });
     return true;
   }
 
   /** Answers once, and at the latest after the given time, telling the user when to come back. */
-  private inTime(answer: (a: UserAnswer) => void, ms: number): (a: UserAnswer) => void {
-    const t: Timed = { answer, deadline: later(this.io.now, ms) };
+  private inTime(answer: (a: UserResponse) => void, ms: number): (a: UserResponse) => void {
+    const t: Timed = { answer, deadline: addMs(this.io.now, ms) };
     this.timed.add(t);
     return (a) => {
       if (!this.timed.delete(t)) return;
-      this.lookup.remember(a);
+      this.jobRecords.cacheFinalState(a);
       answer(a);
     };
   }
@@ -381,7 +400,7 @@
     for (const t of this.timed)
       if (this.io.now >= t.deadline) {
         this.timed.delete(t);
-        t.answer(retry('no answer in time from within the service'));
+        t.answer(retryLater('no answer in time from within the service'));
       }
     for (const [id, f] of this.forwarded)
       if (this.io.now >= f.deadline) {
@@ -390,44 +409,46 @@
       }
   }
 
-  private serve(share: Share, request: UserRequest, answer: (a: UserAnswer) => void): void {
-    if (share.recovery.unreadable) return answer(retry('a record on file cannot be read'));
-    if (!share.recovery.loaded) return this.withoutOwner(request, answer);
+  private serve(share: LeaderTerm, request: UserRequest, answer: (a: UserResponse) => void): void {
+    if (share.failover.isUnreadable) return answer(retryLater('a record on file cannot be read'));
+    if (!share.failover.isLoaded) return this.withoutOwner(request, answer);
     if (request.op === 'submit') {
-      if (this.overload.short && share.users.status(request.spec.id) === null)
-        return answer(this.overload.noMemory());
-      return share.users.submit(request.spec, answer);
+      if (this.overload.isMemoryShort && share.userRequests.status(request.spec.id) === null)
+        return answer(this.overload.outOfMemoryResponse());
+      return share.userRequests.submit(request.spec, answer);
     }
-    const ending = share.jobs.open.get(request.id);
+    const ending = share.jobs.openJobs.get(request.id);
     // Its end or its cancellation is on its way to the record: a moment later it is known.
-    if (request.op === 'status' && ending?.ending?.standing === 'sent') {
+    if (request.op === 'status' && ending?.terminalWrite?.progress === 'sent') {
       ending.afterEnd.push(() => {
-        if (this.share === share && this.leadership.current) this.serve(share, request, answer);
+        if (this.leaderTerm === share && this.election.holdsLease) this.serve(share, request, answer);
         else this.withoutOwner(request, answer);
       });
       return;
     }
-    const known = share.users.status(request.id);
-    if (request.op === 'status') return known === null ? this.lookup.ask(request.id, answer) : answer(known);
-    const job = share.jobs.open.get(request.id);
+    const known = share.userRequests.status(request.id);
+    if (request.op === 'status')
+      return known === null ? this.jobRecords.readStatus(request.id, answer) : answer(known);
+    const job = share.jobs.openJobs.get(request.id);
     if (job !== undefined) share.jobs.cancel(job, answer);
     else if (known !== null) answer(known);
     else
-      this.lookup.ask(request.id, (a) =>
-        answer(a.kind === 'status' ? retry('the job is being accepted') : a),
+      this.jobRecords.readStatus(request.id, (a) =>
+        answer(a.kind === 'status' ? retryLater('the job is being accepted') : a),
       );
   }
 
-  private forward(request: UserRequest, answer: (a: UserAnswer) => void): void {
+  private forward(request: UserRequest, answer: (a: UserResponse) => void): void {
     const owner = this.otherOwner;
-    if (owner === null || !this.nodes.up.has(owner.node)) return this.withoutOwner(request, answer);
-    const id = this.io.askId();
+    if (owner === null || !this.nodes.connectedPeers.has(owner.node))
+      return this.withoutOwner(request, answer);
+    const id = this.io.nextRequestId();
     this.forwarded.set(id, {
       request,
       answer,
-      deadline: later(this.io.now, this.forwardMs(request.op, owner.node)),
+      deadline: addMs(this.io.now, this.forwardMs(request.op, owner.node)),
     });
-    this.io.emit({ kind: 'peer', node: owner.node, message: { kind: 'ask', id, request } });
+    this.io.emit({ kind: 'peer', node: owner.node, message: { kind: 'user-request', id, request } });
   }
 
   /**
@@ -440,17 +461,17 @@
   }
 
   /** With no owner in reach, the record still tells a job's state, and new jobs can be put on it; only the owner changes them. */
-  private withoutOwner(request: UserRequest, answer: (a: UserAnswer) => void): void {
-    if (request.op === 'status') this.lookup.ask(request.id, answer);
+  private withoutOwner(request: UserRequest, answer: (a: UserResponse) => void): void {
+    if (request.op === 'status') this.jobRecords.readStatus(request.id, answer);
     else if (request.op === 'submit') this.intake.accept(request.spec, answer);
     else
-      this.lookup.ask(request.id, (a) =>
-        answer(a.kind === 'status' ? retry('no controller can take this at the moment') : a),
+      this.jobRecords.readStatus(request.id, (a) =>
+        answer(a.kind === 'status' ? retryLater('no controller can take this at the moment') : a),
       );
   }
 
   private dropForwarded(node: NodeId): void {
-    if (this.leadership.owner?.node !== node) return;
+    if (this.election.leader?.node !== node) return;
     for (const [id, f] of this.forwarded) {
       this.forwarded.delete(id);
       this.withoutOwner(f.request, f.answer);
@@ -460,77 +481,77 @@
   // ---- peers
 
   private greet(node: NodeId): void {
-    const owner = this.leadership.term ?? 0;
+    const owner = this.election.term ?? 0;
     this.io.emit({
       kind: 'peer',
       node,
       message: {
         kind: 'hello',
         node: this.settings.node,
-        owner: owner as never,
-        chains: true,
-        fronts: true,
-        documents: true,
+        leaderTerm: owner as never,
+        supportsDependencies: true,
+        supportsForwarding: true,
+        supportsConfigDocuments: true,
       },
     });
   }
 
   private announce(): void {
-    for (const node of this.nodes.up) this.greet(node);
+    for (const node of this.nodes.connectedPeers) this.greet(node);
   }
 
   private peer(node: NodeId, m: PeerMessage): void {
-    this.forwarding.heard(node);
+    this.forwarding.recordPeerActivity(node);
     if (m.kind === 'hello') this.hello(m);
     else if (m.kind === 'load') {
-      this.overload.heard(node, m);
-      this.balance.told(node, m.workers);
-      this.nodes.told(node, m.config);
-      this.leadership.heard(node, m.owner);
-      this.configuration.noticed(m.config);
-    } else if (m.kind === 'front') this.fronted(node, m.id, m.report);
-    else if (m.kind === 'fronted') this.forwarding.answered(m.id, m.answer);
-    else if (m.kind === 'ask') this.asked(node, m.id, m.request);
-    else if (m.kind === 'reply') this.replied(m.id, m.answer);
-    else if (m.kind === 'relay') this.passedOn(node, m.id, m.report);
-    else this.relay.relayed(m.id, m.answer);
+      this.overload.onPeerLoad(node, m);
+      this.balance.recordPeerWeight(node, m.workers);
+      this.nodes.onLoad(node, m.configRevision);
+      this.election.observeLeader(node, m.leaderTerm);
+      this.configuration.onRevisionSeen(m.configRevision);
+    } else if (m.kind === 'forwarded-heartbeat') this.fronted(node, m.id, m.heartbeat);
+    else if (m.kind === 'forwarded-heartbeat-response') this.forwarding.onResponse(m.id, m.response);
+    else if (m.kind === 'user-request') this.asked(node, m.id, m.request);
+    else if (m.kind === 'user-response') this.replied(m.id, m.response);
+    else if (m.kind === 'relayed-heartbeat') this.passedOn(node, m.id, m.heartbeat);
+    else this.relay.onResponse(m.id, m.response);
   }
 
   private hello(hello: Extract<PeerMessage, { kind: 'hello' }>): void {
-    const { node, owner } = hello;
-    if (this.nodes.greeted(hello))
+    const { node, leaderTerm } = hello;
+    if (this.nodes.onHello(hello))
       this.io.log('info', 'peer of an earlier version: jobs that await others are refused for now', { node });
-    this.leadership.heard(node, owner);
+    this.election.observeLeader(node, leaderTerm);
   }
 
   /** A report that came by way of another node is answered like one that came directly, or not at all. */
-  private passedOn(node: NodeId, id: number, r: Report): void {
-    const reply = (answer: WorkerAnswer | null) =>
-      this.io.emit({ kind: 'peer', node, message: { kind: 'relayed', id, answer } });
-    if (this.share === null) reply(null);
+  private passedOn(node: NodeId, id: number, r: Heartbeat): void {
+    const reply = (response: HeartbeatResponse | null) =>
+      this.io.emit({ kind: 'peer', node, message: { kind: 'relayed-heartbeat-response', id, response } });
+    if (this.leaderTerm === null) reply(null);
     else this.report(r, reply);
   }
 
-  private fronted(node: NodeId, id: number, report: ForwardedReport): void {
-    const reply = (answer: ForwardedAnswer) =>
-      this.io.emit({ kind: 'peer', node, message: { kind: 'fronted', id, answer } });
-    const token = report.whole === null ? report.token : report.whole.token;
-    if (this.outdated(token) || this.share === null || !this.mayCommand()) reply(null);
-    else this.share.front(report, reply);
+  private fronted(node: NodeId, id: number, report: ForwardedHeartbeat): void {
+    const reply = (response: ForwardedHeartbeatResponse) =>
+      this.io.emit({ kind: 'peer', node, message: { kind: 'forwarded-heartbeat-response', id, response } });
+    const token = report.kind === 'delta' ? report.fencingToken : report.heartbeat.fencingToken;
+    if (this.outdated(token) || this.leaderTerm === null || !this.mayCommand()) reply(null);
+    else this.leaderTerm.onForwardedHeartbeat(report, reply);
   }
 
   private asked(node: NodeId, id: number, request: UserRequest): void {
-    const reply = (answer: UserAnswer | null) =>
-      this.io.emit({ kind: 'peer', node, message: { kind: 'reply', id, answer } });
-    if (this.share === null || !this.leadership.current) {
+    const reply = (response: UserResponse | null) =>
+      this.io.emit({ kind: 'peer', node, message: { kind: 'user-response', id, response } });
+    if (this.leaderTerm === null || !this.election.holdsLease) {
       this.giveUp(request);
       return reply(null);
     }
     const once = this.inTime(reply, SERVE_MS[request.op]);
-    if (!this.tooEarlyForChains(request, once)) this.serve(this.share, request, once);
+    if (!this.tooEarlyForChains(request, once)) this.serve(this.leaderTerm, request, once);
   }
 
-  private replied(id: number, answer: UserAnswer | null): void {
+  private replied(id: number, answer: UserResponse | null): void {
     const f = this.forwarded.get(id);
     if (f === undefined) return;
     this.forwarded.delete(id);
@@ -540,5 +561,5 @@
 }
 
 /** An answer names its job; one about another belongs to a question of this node's former self. */
-const isAbout = (a: UserAnswer, r: UserRequest): boolean =>
+const isAbout = (a: UserResponse, r: UserRequest): boolean =>
   !('id' in a) || a.id === (r.op === 'submit' ? r.spec.id : r.id);
--- a/src/core/reports/balance.ts
+++ b/src/core/heartbeats/connection-balancer.ts
@@ -2,8 +2,8 @@
 // most of them are at one node, which then lacks processor and sockets. A node with many more than its part sends some
 // to the one with fewest, a few a second. The owner's part is small: it reads the reports of all workers anyway, and a
 // connection and its HTTP cost it several times as much as a report that another node passes on.
-import { type Instant, LONG_AGO, later, type MachineId, type NodeId, since } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
+import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId, type NodeId } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
 
 /** Workers count for as long as two reports should not both be missing. */
 const PERIODS = 2;
@@ -22,7 +22,7 @@
 /** A worker that is back did not get through; it is left alone for this long. */
 const LEAVE_MS = 120_000;
 
-export class Balance {
+export class ConnectionBalancer {
   private readonly seen = new Map<MachineId, Instant>();
   /** What other nodes told: their workers, weighed. */
   private readonly sizes = new Map<NodeId, { weight: number; until: Instant }>();
@@ -34,7 +34,7 @@
   private to: NodeId | null = null;
 
   constructor(
-    private readonly io: Outbox,
+    private readonly io: ControllerIo,
     private readonly reportS: number,
   ) {}
 
@@ -43,7 +43,7 @@
     return this.seen.size;
   }
 
-  setOwner(owner: boolean): void {
+  setLeader(owner: boolean): void {
     this.owner = owner;
   }
 
@@ -52,12 +52,12 @@
     return this.workers * (this.owner ? OWNER_WEIGHT : 1);
   }
 
-  told(node: NodeId, weight: number): void {
-    this.sizes.set(node, { weight, until: later(this.io.now, TOLD_MS) });
+  recordPeerWeight(node: NodeId, weight: number): void {
+    this.sizes.set(node, { weight, until: addMs(this.io.now, TOLD_MS) });
   }
 
   /** Takes note of a report to this node; where its worker should go instead, or null if it may stay. */
-  report(machine: MachineId): NodeId | null {
+  onHeartbeat(machine: MachineId): NodeId | null {
     const { now } = this.io;
     this.seen.set(machine, now);
     if (this.left <= 0 || this.to === null || this.sentAway.has(machine)) return null;
@@ -71,10 +71,10 @@
   tick(reachable: (node: NodeId) => boolean): void {
     const { now } = this.io;
     if (now < this.nextSweep) return;
-    this.nextSweep = later(now, SWEEP_MS);
+    this.nextSweep = addMs(now, SWEEP_MS);
     const old = PERIODS * this.reportS * 1000;
-    for (const [m, at] of this.seen) if (since(now, at) > old) this.seen.delete(m);
-    for (const [m, at] of this.sentAway) if (since(now, at) > LEAVE_MS) this.sentAway.delete(m);
+    for (const [m, at] of this.seen) if (elapsedMs(now, at) > old) this.seen.delete(m);
+    for (const [m, at] of this.sentAway) if (elapsedMs(now, at) > LEAVE_MS) this.sentAway.delete(m);
     this.plan(reachable);
   }
 
--- a/src/core/reports/forwarding.ts
+++ b/src/core/heartbeats/heartbeat-forwarder.ts
@@ -2,24 +2,29 @@
 // reports on over the link to the owner, most of them as the little that has changed, and brings back the owner's answers. It answers
 // nothing by itself, so who renews a lease and who commands a machine stay with the owner (docs/safety.md).
 import {
+  addMs,
+  elapsedMs,
   type Instant,
   LONG_AGO,
-  later,
   type MachineId,
   NEVER,
   type NodeId,
-  since,
 } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { ForwardedAnswer, ForwardedReport, Report, WorkerAnswer } from '../base/model.ts';
-import type { OwnerRecord } from '../membership/leadership.ts';
-import { type Change, compare } from './listing.ts';
-import { PendingReports } from './pending-reports.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type {
+  ForwardedHeartbeat,
+  ForwardedHeartbeatResponse,
+  Heartbeat,
+  HeartbeatResponse,
+} from '../base/model.ts';
+import type { LeaderRecord } from '../membership/leader-election.ts';
+import { PendingHeartbeats } from './pending-heartbeats.ts';
+import { diffTaskLists, type TaskListDelta } from './task-list-delta.ts';
 
-type Answer = (a: WorkerAnswer) => void;
+type Answer = (a: HeartbeatResponse) => void;
 
 interface Open {
-  report: Report;
+  report: Heartbeat;
   answer: Answer;
   deadline: Instant;
   owner: NodeId;
@@ -29,7 +34,7 @@
 /** The last report of a worker that the owner has answered through this node. */
 interface Read {
   owner: NodeId;
-  report: Report;
+  report: Heartbeat;
   at: Instant;
 }
 
@@ -59,25 +64,25 @@
 /** A node that has just denied owning the share is not asked again for this long, unless it is owner anew. */
 const DENIED_MS = 1000;
 
-export class ReportForwarding {
+export class HeartbeatForwarder {
   private readonly open = new Map<number, Open>();
   private readonly read = new Map<MachineId, Read>();
-  private readonly deferred: PendingReports;
+  private readonly deferred: PendingHeartbeats;
   private strikes = 0;
   private restUntil: Instant = LONG_AGO;
   private nextTidy = 0 as Instant;
   /** The owner as far as this node knows. */
-  private owner: OwnerRecord | null = null;
+  private owner: LeaderRecord | null = null;
   private deniedUntil: Instant = LONG_AGO;
   private readonly lostAt = new Map<NodeId, Instant>();
   private readonly heardAt = new Map<NodeId, Instant>();
 
-  constructor(private readonly io: Outbox) {
-    this.deferred = new PendingReports(io, DEFER_MS);
+  constructor(private readonly io: ControllerIo) {
+    this.deferred = new PendingHeartbeats(io, DEFER_MS);
   }
 
   /** Whether reports may be passed on now; if not, workers are sent to the owner themselves. */
-  get usable(): boolean {
+  get isUsable(): boolean {
     return this.io.now >= this.restUntil;
   }
 
@@ -86,8 +91,8 @@
    * was started anew within a fraction of a second and its former self's hold still stands. Whoever owns the share is known
    * within seconds.
    */
-  mayHaveEnded(owner: NodeId): boolean {
-    return this.denied || (!this.usable && this.silentMs(owner) < OUT_OF_REACH_MS);
+  leaderMayHaveEnded(owner: NodeId): boolean {
+    return this.denied || (!this.isUsable && this.silentMs(owner) < OUT_OF_REACH_MS);
   }
 
   private get denied(): boolean {
@@ -95,40 +100,44 @@
   }
 
   /** `by`: when its worker must be answered, if it has waited before. */
-  report(r: Report, owner: NodeId, answer: Answer, by: Instant = NEVER): void {
-    const id = this.io.askId();
+  forward(r: Heartbeat, owner: NodeId, answer: Answer, by: Instant = NEVER): void {
+    const id = this.io.nextRequestId();
     const last = this.read.get(r.machine);
     const builds = last !== undefined && last.owner === owner && follows(r, last.report);
-    const compared = builds ? compare(last.report.tasks, r.tasks) : null;
+    const compared = builds ? diffTaskLists(last.report.tasks, r.tasks) : null;
     // What is remembered keeps the objects of the list before, so that comparing the next with it is cheap.
     const report = compared === null ? r : { ...r, tasks: compared.tasks };
-    const deadline = Math.min(later(this.io.now, PATIENCE_MS), by) as Instant;
+    const deadline = Math.min(addMs(this.io.now, PATIENCE_MS), by) as Instant;
     this.open.set(id, { report, answer, deadline, owner, whole: compared === null });
-    this.send(id, owner, compared === null ? { whole: r } : shortened(r, last!.report.seq, compared));
+    this.send(
+      id,
+      owner,
+      compared === null ? { kind: 'full', heartbeat: r } : shortened(r, last!.report.seq, compared),
+    );
   }
 
-  private send(id: number, owner: NodeId, report: ForwardedReport): void {
-    this.io.emit({ kind: 'peer', node: owner, message: { kind: 'front', id, report } });
+  private send(id: number, owner: NodeId, heartbeat: ForwardedHeartbeat): void {
+    this.io.emit({ kind: 'peer', node: owner, message: { kind: 'forwarded-heartbeat', id, heartbeat } });
   }
 
-  answered(id: number, a: ForwardedAnswer): void {
+  onResponse(id: number, a: ForwardedHeartbeatResponse): void {
     const o = this.open.get(id);
     if (o === undefined) return;
     this.strikes = 0;
-    if (a !== null && a.kind === 'whole' && !o.whole) {
+    if (a !== null && a.kind === 'full-heartbeat-required' && !o.whole) {
       o.whole = true;
-      return this.send(id, o.owner, { whole: o.report });
+      return this.send(id, o.owner, { kind: 'full', heartbeat: o.report });
     }
     this.open.delete(id);
     if (a === null) return this.deny(o);
-    if (a.kind === 'whole') return o.answer({ kind: 'elsewhere', node: null });
-    if (a.kind === 'orders') this.remember(o);
+    if (a.kind === 'full-heartbeat-required') return o.answer({ kind: 'redirect', node: null });
+    if (a.kind === 'commands') this.remember(o);
     o.answer(a);
   }
 
   /** Sent round, the worker would come back a second later, on a new connection, and still find no owner. */
   private deny(o: Open): void {
-    if (o.owner === this.owner?.node) this.deniedUntil = later(this.io.now, DENIED_MS);
+    if (o.owner === this.owner?.node) this.deniedUntil = addMs(this.io.now, DENIED_MS);
     this.defer(o.report, o.answer, o.deadline);
   }
 
@@ -140,21 +149,21 @@
   }
 
   /** A report for which there is no owner yet: one is chosen within seconds, and answers it. */
-  defer(report: Report, answer: Answer, by: Instant = NEVER): void {
+  defer(report: Heartbeat, answer: Answer, by: Instant = NEVER): void {
     this.deferred.add(report, answer, by);
   }
 
   /** An owner can be reached, or this node has become it: what waited is handled as if it came now. */
-  resume(handle: (r: Report, answer: Answer, by: Instant) => void): void {
+  resumeDeferred(handle: (r: Heartbeat, answer: Answer, by: Instant) => void): void {
     if (this.denied) return;
-    for (const p of this.deferred.take()) handle(p.report, p.answer, p.until);
+    for (const p of this.deferred.take()) handle(p.heartbeat, p.respond, p.until);
   }
 
   /**
    * There is another owner: what the one before has not answered, and perhaps never will, waits for this one. A link to
    * an owner that stands still, or is cut off, tells nothing by itself.
    */
-  ownedBy(owner: OwnerRecord): void {
+  onLeader(owner: LeaderRecord): void {
     if (owner.node === this.owner?.node && owner.revision === this.owner.revision) return;
     this.owner = owner;
     this.strikes = 0;
@@ -172,18 +181,18 @@
   }
 
   /** The node has said something. */
-  heard(node: NodeId): void {
+  recordPeerActivity(node: NodeId): void {
     this.heardAt.set(node, this.io.now);
   }
 
   /** Whether the link to the node went down a moment ago. */
-  lostLately(node: NodeId): boolean {
+  disconnectedRecently(node: NodeId): boolean {
     const at = this.lostAt.get(node);
-    return at !== undefined && since(this.io.now, at) < LATELY_MS;
+    return at !== undefined && elapsedMs(this.io.now, at) < LATELY_MS;
   }
 
   /** The link to a node is gone: nothing that it was asked will be answered. */
-  lost(node: NodeId): void {
+  onPeerDisconnected(node: NodeId): void {
     this.lostAt.set(node, this.io.now);
     this.deferAgain((o) => o.owner === node);
     for (const [m, r] of this.read) if (r.owner === node) this.read.delete(m);
@@ -195,12 +204,12 @@
   }
 
   /** Whether the node has said something within the last seconds. */
-  hears(node: NodeId): boolean {
+  isAlive(node: NodeId): boolean {
     return this.silentMs(node) < ALIVE_MS;
   }
 
   private silentMs(node: NodeId): number {
-    return since(this.io.now, this.heardAt.get(node) ?? LONG_AGO);
+    return elapsedMs(this.io.now, this.heardAt.get(node) ?? LONG_AGO);
   }
 
   /**
@@ -209,8 +218,8 @@
    */
   private refuge(owner: NodeId | null): NodeId | null {
     for (const node of this.heardAt.keys())
-      if (node !== owner && this.silentMs(node) < ALIVE_MS && !this.lostLately(node)) return node;
-    if (owner === null || this.lostLately(owner)) return null;
+      if (node !== owner && this.silentMs(node) < ALIVE_MS && !this.disconnectedRecently(node)) return node;
+    if (owner === null || this.disconnectedRecently(owner)) return null;
     const silent = this.silentMs(owner);
     return silent < ALIVE_MS || silent >= OUT_OF_REACH_MS ? owner : null;
   }
@@ -223,32 +232,42 @@
       this.open.delete(id);
       this.strike(o);
     }
-    for (const p of this.deferred.overdue()) p.answer({ kind: 'elsewhere', node: this.refuge(owner) });
+    for (const p of this.deferred.takeOverdue()) p.respond({ kind: 'redirect', node: this.refuge(owner) });
     if (now < this.nextTidy) return;
-    this.nextTidy = later(now, TIDY_MS);
-    for (const [m, r] of this.read) if (since(now, r.at) > FORGET_MS) this.read.delete(m);
+    this.nextTidy = addMs(now, TIDY_MS);
+    for (const [m, r] of this.read) if (elapsedMs(now, r.at) > FORGET_MS) this.read.delete(m);
   }
 
   private strike(o: Open): void {
     this.strikes++;
     const silent = this.silentMs(o.owner) >= SILENT_MS;
-    if (this.strikes >= STRIKES && silent && this.usable) {
+    if (this.strikes >= STRIKES && silent && this.isUsable) {
       this.strikes = 0;
-      this.restUntil = later(this.io.now, REST_MS);
+      this.restUntil = addMs(this.io.now, REST_MS);
       this.io.log('info', 'the owner answers no reports that are passed on', { owner: o.owner });
     }
-    o.answer({ kind: 'elsewhere', node: this.refuge(o.owner) });
+    o.answer({ kind: 'redirect', node: this.refuge(o.owner) });
   }
 }
 
-const newer = (a: Report, b: Report): boolean =>
-  a.session > b.session || (a.session === b.session && a.seq > b.seq);
+const newer = (a: Heartbeat, b: Heartbeat): boolean =>
+  a.agentEpoch > b.agentEpoch || (a.agentEpoch === b.agentEpoch && a.seq > b.seq);
 
-function shortened(r: Report, sameAs: number, { dropped, changed }: Change): ForwardedReport {
-  const { machine, session, seq, token, noticeS } = r;
-  return { whole: null, machine, session, seq, token, noticeS, sameAs, dropped, changed };
+function shortened(r: Heartbeat, baseSeq: number, { removed, changed }: TaskListDelta): ForwardedHeartbeat {
+  const { machine, agentEpoch, seq, fencingToken, preemptionNoticeS } = r;
+  return {
+    kind: 'delta',
+    machine,
+    agentEpoch,
+    seq,
+    fencingToken,
+    preemptionNoticeS,
+    baseSeq,
+    removed,
+    changed,
+  };
 }
 
 /** Whether the report can be told as what has changed since an earlier one. */
-const follows = (r: Report, than: Report): boolean =>
-  r.session === than.session && r.seq > than.seq && r.addr === than.addr;
+const follows = (r: Heartbeat, than: Heartbeat): boolean =>
+  r.agentEpoch === than.agentEpoch && r.seq > than.seq && r.addr === than.addr;
--- a/src/core/reports/listing.ts
+++ b/src/core/heartbeats/task-list-delta.ts
@@ -1,22 +1,22 @@
 // The tasks that a machine lists, report after report. Most lists are the last one with a change or two: what has not
 // changed stays the same object, so that it need be neither sent on nor read again.
-import type { TaskReport } from '../base/model.ts';
+import type { TaskStatus } from '../base/model.ts';
 
-export interface Change {
+export interface TaskListDelta {
   /** Places in the earlier list that are not in the new one as they were. */
-  dropped: number[];
+  removed: number[];
   /** What is new or has changed, with its place in the new list, from first to last. */
-  changed: { at: number; task: TaskReport }[];
+  changed: { at: number; task: TaskStatus }[];
 }
-export interface Compared extends Change {
+export interface TaskListDiff extends TaskListDelta {
   /** The new list; what it has in common with the earlier one is that one's object. The earlier list itself if equal. */
-  tasks: readonly TaskReport[];
+  tasks: readonly TaskStatus[];
 }
 
-export function compare(before: readonly TaskReport[], now: readonly TaskReport[]): Compared {
-  if (now === before) return { tasks: before, dropped: [], changed: [] };
-  const tasks: TaskReport[] = [];
-  const changed: Change['changed'] = [];
+export function diffTaskLists(before: readonly TaskStatus[], now: readonly TaskStatus[]): TaskListDiff {
+  if (now === before) return { tasks: before, removed: [], changed: [] };
+  const tasks: TaskStatus[] = [];
+  const changed: TaskListDelta['changed'] = [];
   const kept = new Set<number>();
   let from = 0;
   for (const t of now) {
@@ -33,17 +33,20 @@
       tasks.push(t);
     }
   }
-  if (changed.length === 0 && kept.size === before.length) return { tasks: before, dropped: [], changed };
-  return { tasks, dropped: [...before.keys()].filter((i) => !kept.has(i)), changed };
+  if (changed.length === 0 && kept.size === before.length) return { tasks: before, removed: [], changed };
+  return { tasks, removed: [...before.keys()].filter((i) => !kept.has(i)), changed };
 }
 
 /** The list after a change; null if the change cannot be of this list. */
-export function apply(before: readonly TaskReport[], c: Change): readonly TaskReport[] | null {
-  if (c.dropped.length === 0 && c.changed.length === 0) return before;
-  const dropped = new Set(c.dropped);
+export function applyTaskListDelta(
+  before: readonly TaskStatus[],
+  c: TaskListDelta,
+): readonly TaskStatus[] | null {
+  if (c.removed.length === 0 && c.changed.length === 0) return before;
+  const dropped = new Set(c.removed);
   if ([...dropped].some((i) => i >= before.length)) return null;
   const kept = before.filter((_, i) => !dropped.has(i));
-  const out: TaskReport[] = [];
+  const out: TaskStatus[] = [];
   const length = kept.length + c.changed.length;
   let next = 0;
   for (let k = 0; out.length < length; ) {
@@ -57,8 +60,8 @@
   return next === c.changed.length ? out : null;
 }
 
-const sameTask = (a: TaskReport, b: TaskReport): boolean =>
+const sameTask = (a: TaskStatus, b: TaskStatus): boolean =>
   a === b || (a.attempt === b.attempt && a.task === b.task);
 
-const sameState = (a: TaskReport, b: TaskReport): boolean =>
-  a === b || (a.state === b.state && a.why === b.why && a.saved === b.saved);
+const sameState = (a: TaskStatus, b: TaskStatus): boolean =>
+  a === b || (a.state === b.state && a.exitReason === b.exitReason && a.checkpointed === b.checkpointed);
--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -1,10 +1,10 @@
 // Jobs that other nodes took in (intake.ts): the owner watches the jobs on record and takes up what it does not know.
-import { type Instant, LONG_AGO, later, type Revision } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import { OPEN } from '../record/keys.ts';
-import type { Jobs } from './jobs.ts';
+import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { OPEN_JOB_PREFIX } from '../storage/keys.ts';
+import type { JobTable } from './job-table.ts';
 
 const WATCH_MS = 10_000;
 const RETRY_MS = 500;
@@ -18,8 +18,8 @@
   private listedFrom: Revision | null = null;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly jobs: Jobs,
+    private readonly io: ControllerIo,
+    private readonly jobs: JobTable,
     readAt: Revision,
     /** While true nobody else can have become the owner, and so nobody else can have started the job. */
     private readonly current: () => boolean,
@@ -31,11 +31,13 @@
     if (this.busy || this.io.now < this.retryAt || !this.current()) return;
     this.busy = true;
     if (this.from === null)
-      this.io.state({ kind: 'list', prefix: OPEN, after: this.after }, Rank.work, (r) => this.onList(r));
+      this.io.store({ kind: 'list', prefix: OPEN_JOB_PREFIX, after: this.after }, StorePriority.work, (r) =>
+        this.onList(r),
+      );
     else
-      this.io.state(
-        { kind: 'watch', prefix: OPEN, after: this.from, waitMs: WATCH_MS },
-        Rank.work,
+      this.io.store(
+        { kind: 'watch', prefix: OPEN_JOB_PREFIX, after: this.from, waitMs: WATCH_MS },
+        StorePriority.work,
         (r) => this.onChanges(r),
         WATCH_MS + 3000,
       );
@@ -45,20 +47,20 @@
     this.from = null;
     this.after = null;
     this.listedFrom = null;
-    this.retryAt = later(this.io.now, RETRY_MS);
+    this.retryAt = addMs(this.io.now, RETRY_MS);
   }
 
-  private onChanges(r: StateReply): void {
+  private onChanges(r: StoreReply): void {
     this.busy = false;
     // A job learned of too late may have been started by a later owner: it is read again, or left to that owner.
     if (r.kind !== 'changes' || !this.current()) return this.again();
-    const dropped = new Set(r.drops);
+    const dropped = new Set(r.deletes);
     for (const item of r.puts) if (!dropped.has(item.key)) this.jobs.adopt(item);
     this.from = r.revision;
     this.tick();
   }
 
-  private onList(r: StateReply): void {
+  private onList(r: StoreReply): void {
     this.busy = false;
     if (r.kind !== 'items' || !this.current()) return this.again();
     this.listedFrom ??= r.revision;
--- a/src/core/jobs/progress.ts
+++ b/src/core/jobs/array-progress.ts
@@ -1,12 +1,12 @@
 // Which tasks of open arrays are done, as bitmaps; those of many jobs share a page.
 import { type Instant, type JobId, LONG_AGO, type Revision } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Item, Settings } from '../base/model.ts';
-import { Page } from '../record/page.ts';
-import { Priorities, type Store } from '../record/store.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, StoreItem } from '../base/model.ts';
+import { type FencedWriter, WritePriority } from '../storage/fenced-writer.ts';
+import { SharedRecord } from '../storage/shared-record.ts';
 import type { Job } from './job.ts';
 
-export const BITS = 'd/';
+export const DONE_BITMAP_PREFIX = 'd/';
 /** Parts are named by where they begin, in units of this; versions before 0.2 know whole units only. */
 const CHUNK_TASKS = 32_768;
 const FLUSH_MS = 500;
@@ -31,36 +31,36 @@
   heirs: ProgressPage[] = [];
   /** Written under this term, with all that was settled in it before. */
   written = false;
-  constructor(readonly page: Page) {}
+  constructor(readonly page: SharedRecord) {}
 }
 
-export class Progress {
+export class ArrayProgress {
   private readonly pages: ProgressPage[] = [];
   private readonly home = new Map<string, ProgressPage>();
   private made = 0;
-  private readonly io: Outbox;
-  private readonly store: Store;
-  private readonly limits: Settings['state'];
+  private readonly io: ControllerIo;
+  private readonly store: FencedWriter;
+  private readonly limits: Settings['store'];
   private readonly term: Revision;
 
   /** Bytes that a page may have, and tasks in one part of a bitmap. */
   private readonly room: number;
   private readonly partTasks: number;
 
-  constructor(io: Outbox, store: Store, limits: Settings['state'], term: Revision) {
+  constructor(io: ControllerIo, store: FencedWriter, limits: Settings['store'], term: Revision) {
     this.io = io;
     this.store = store;
     this.limits = limits;
     this.term = term;
-    this.room = store.maxValue - OVERHEAD;
+    this.room = store.maxValueBytes - OVERHEAD;
     let part = CHUNK_TASKS;
     while (part > 64 && bitsSize(part) + NAME_MAX > this.room) part /= 2;
     this.partTasks = part;
   }
 
   /** A page written in an earlier term, perhaps by an earlier version and larger than one may be now. */
-  load(item: Item, open: Map<JobId, Job>): void {
-    const p = new ProgressPage(new Page(this.store, item.key, item.revision));
+  restore(item: StoreItem, open: Map<JobId, Job>): void {
+    const p = new ProgressPage(new SharedRecord(this.store, item.key, item.revision));
     this.pages.push(p);
     const { b } = item.value as { b: Record<string, string> };
     for (const [name, bits] of Object.entries(b)) {
@@ -72,7 +72,7 @@
       }
       const from = Number(name.slice(cut + 1)) * CHUNK_TASKS;
       const bytes = Buffer.from(bits, 'base64');
-      job.loadBits(from, bytes);
+      job.restoreDoneBits(from, bytes);
       const end = Math.min(from + bytes.length * 8, job.spec.tasks);
       // Two pages may hold a job's bits after a late write or a split: both keep them, so none is lost when one
       // of the two is written first. New results go with the first.
@@ -81,7 +81,7 @@
   }
 
   /** A task of the job is done: written soon. */
-  note(job: Job, index: number): void {
+  markChanged(job: Job, index: number): void {
     const from = index - (index % this.partTasks);
     let p = this.home.get(partName(job, from));
     if (p === undefined) {
@@ -110,33 +110,33 @@
   }
 
   private newPage(): ProgressPage {
-    const key = `${BITS}${this.term}.${++this.made}`;
-    const p = new ProgressPage(new Page(this.store, key, 0 as Revision));
+    const key = `${DONE_BITMAP_PREFIX}${this.term}.${++this.made}`;
+    const p = new ProgressPage(new SharedRecord(this.store, key, 0 as Revision));
     this.pages.push(p);
     return p;
   }
 
   /** The job is over: its bits go with the page's next write. */
-  drop(job: Job): void {
+  remove(job: Job): void {
     for (let from = 0; from < job.spec.tasks; from += this.partTasks) {
       const name = partName(job, from);
       const p = this.home.get(name);
       if (p === undefined) continue;
       this.home.delete(name);
-      this.remove(p, name);
+      this.removeUnit(p, name);
       if (p.units.size === 0) p.dirtySince ??= this.io.now;
     }
   }
 
-  private remove(p: ProgressPage, name: string): void {
+  private removeUnit(p: ProgressPage, name: string): void {
     p.bytes -= p.units.get(name)?.size ?? 0;
     p.units.delete(name);
   }
 
   tick(): void {
-    const every = Math.max(FLUSH_MS, (this.pages.length * 1000) / (this.limits.writeRps * WRITE_SHARE));
+    const every = Math.max(FLUSH_MS, (this.pages.length * 1000) / (this.limits.writesPerS * WRITE_SHARE));
     for (const p of this.pages)
-      if (p.dirtySince !== null && !p.page.writing && this.io.now - p.dirtySince >= every)
+      if (p.dirtySince !== null && !p.page.isWriting && this.io.now - p.dirtySince >= every)
         if (this.fits(p)) this.flush(p);
   }
 
@@ -151,13 +151,13 @@
     let bytes = 0;
     let heir: ProgressPage | null = null;
     for (const [name, u] of p.units) {
-      if (u.job.over) {
-        this.remove(p, name);
+      if (u.job.isOver) {
+        this.removeUnit(p, name);
         continue;
       }
       bytes += u.size;
       if (bytes <= this.room) continue;
-      if (this.heldByAnother(p, name)) this.remove(p, name);
+      if (this.heldByAnother(p, name)) this.removeUnit(p, name);
       else {
         if (heir === null || heir.bytes + u.size > this.room) {
           heir = this.newPage();
@@ -187,7 +187,7 @@
       b[name] = bits.toString('base64');
     }
     if (written.length === 0 && p.page.revision === 0) return;
-    p.page.write(written.length === 0 ? null : { b }, Priorities.record, (ok) => {
+    p.page.write(written.length === 0 ? null : { b }, WritePriority.sharedRecord, (ok) => {
       if (!ok) p.dirtySince ??= this.io.now;
       else {
         p.written = true;
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,16 +1,16 @@
 // Jobs that await other jobs. Only what is on record counts: a job becomes ready when the final record of the last
 // job that it needs says done, and is cancelled as soon as one of them is cancelled on record, directly or through
 // others. Nothing of this is stored; an owner derives it anew from the jobs' records (docs/safety.md).
-import { type Instant, type JobId, LONG_AGO, later, type WallTime } from '../../types/index.ts';
-import { Budget } from '../base/budget.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Settings, StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import { FINAL } from '../record/keys.ts';
-import { decodeFinalState } from '../record/record.ts';
+import { addMs, type Instant, type JobId, LONG_AGO, type WallTime } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { TokenBucket } from '../base/token-bucket.ts';
+import { decodeFinalState } from '../storage/job-record.ts';
+import { FINAL_STATE_PREFIX } from '../storage/keys.ts';
 import type { Job } from './job.ts';
-import type { Jobs } from './jobs.ts';
-import type { Estimates } from './order.ts';
+import type { RuntimeEstimates } from './job-ordering.ts';
+import type { JobTable } from './job-table.ts';
 
 /** Part of the region's state requests for reading final states that the owner does not remember. */
 const READ_SHARE = 0.25;
@@ -31,17 +31,17 @@
   private reading = 0;
   /** Jobs of which it is not known yet whether they are done, cancelled, or going on. */
   private readonly unknown = new Set<JobId>();
-  private readonly budget: Budget;
+  private readonly budget: TokenBucket;
   onReady: (job: Job) => void = () => {};
 
   constructor(
-    private readonly io: Outbox,
+    private readonly io: ControllerIo,
     settings: Settings,
-    private readonly jobs: Jobs,
-    private readonly estimates: Estimates,
+    private readonly jobs: JobTable,
+    private readonly estimates: RuntimeEstimates,
   ) {
-    const rate = Math.max(1, settings.state.rps * READ_SHARE);
-    this.budget = new Budget(rate, rate);
+    const rate = Math.max(1, settings.store.requestsPerS * READ_SHARE);
+    this.budget = new TokenBucket(rate, rate);
   }
 
   isNeeded(id: JobId): boolean {
@@ -49,47 +49,47 @@
   }
 
   /** Final states still to be read. */
-  get open(): number {
+  get unresolvedCount(): number {
     return this.unknown.size;
   }
 
   /** All jobs on record have been read: what each one awaits is looked up. */
-  loaded(): void {
-    for (const job of [...this.jobs.open.values()]) if (job.blocked) this.enrol(job);
+  onJobsRestored(): void {
+    for (const job of [...this.jobs.openJobs.values()]) if (job.isBlocked) this.enrol(job);
   }
 
   /** A job has come up: it may await others, and others may have been waiting to hear of it. */
-  opened(job: Job): void {
+  onOpened(job: Job): void {
     this.unknown.delete(job.id);
-    if (job.blocked) this.enrol(job);
-    if (job.cancelled) this.spread(job);
+    if (job.isBlocked) this.enrol(job);
+    if (job.cancelled) this.onCancelled(job);
     else if (this.isNeeded(job.id)) this.inherit([job.id]);
   }
 
   private enrol(job: Job): void {
     let doomed: JobId | null = null;
-    for (const id of new Set(job.spec.awaits)) {
-      const open = this.jobs.open.get(id);
-      const final = this.jobs.final(id);
+    for (const id of new Set(job.spec.dependsOn)) {
+      const open = this.jobs.openJobs.get(id);
+      const final = this.jobs.finalState(id);
       if (open?.cancelled || final?.status === 'cancelled') doomed ??= id;
       if (final?.status === 'done') {
         job.readyWall = Math.max(job.readyWall, final.at) as WallTime;
         continue;
       }
-      job.dependencies.add(id);
+      job.unmetDependencies.add(id);
       const set = this.dependents.get(id) ?? new Set();
       this.dependents.set(id, set.add(job));
       if (open === undefined && final === null) this.read(id);
     }
     if (job.cancelled) this.leave(job);
     else if (doomed !== null) this.cancel(job, doomed);
-    else if (job.dependencies.size === 0) this.release(job);
-    else this.inherit(job.dependencies);
+    else if (job.unmetDependencies.size === 0) this.release(job);
+    else this.inherit(job.unmetDependencies);
   }
 
   /** A job's final state is on record. */
-  closed(job: Job, status: 'done' | 'cancelled', at: WallTime): void {
-    if (job.dependencies.size > 0) this.leave(job);
+  onClosed(job: Job, status: 'done' | 'cancelled', at: WallTime): void {
+    if (job.unmetDependencies.size > 0) this.leave(job);
     this.resolve(job.id, status, at);
   }
 
@@ -100,9 +100,9 @@
     if (status === 'cancelled') return this.cancelAll(id);
     this.dependents.delete(id);
     for (const job of waiting) {
-      job.dependencies.delete(id);
+      job.unmetDependencies.delete(id);
       job.readyWall = Math.max(job.readyWall, at) as WallTime;
-      if (job.dependencies.size === 0) this.release(job);
+      if (job.unmetDependencies.size === 0) this.release(job);
     }
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** The job's cancellation is on record, or follows from one that is: so are all that need it, through any number of others. */
-  spread(job: Job): void {
+  onCancelled(job: Job): void {
     this.leave(job);
     this.cancelAll(job.id);
   }
@@ -131,7 +131,7 @@
 
   private mark(job: Job, because: JobId): boolean {
     this.leave(job);
-    if (job.cancelled || job.over) return false;
+    if (job.cancelled || job.isOver) return false;
     job.cancelled = true;
     this.io.log('info', 'job cancelled because of one that it awaits', { job: job.id, awaits: because });
     this.jobs.onEnded(job);
@@ -140,8 +140,8 @@
 
   /** The job awaits nothing any more. */
   private leave(job: Job): void {
-    const needs = [...job.dependencies];
-    job.dependencies.clear();
+    const needs = [...job.unmetDependencies];
+    job.unmetDependencies.clear();
     for (const id of needs) {
       const set = this.dependents.get(id);
       set?.delete(job);
@@ -154,7 +154,7 @@
   private inherit(ids: Iterable<JobId>): void {
     const todo = [...ids];
     for (let id = todo.pop(); id !== undefined; id = todo.pop()) {
-      const job = this.jobs.open.get(id);
+      const job = this.jobs.openJobs.get(id);
       if (job === undefined) continue;
       let priority = job.spec.priority;
       let dueBy = Number.POSITIVE_INFINITY;
@@ -162,17 +162,17 @@
         if (d.priority > priority) priority = d.priority;
         dueBy = Math.min(dueBy, this.latestFinish(d) - this.estimates.runS(d) * 1000);
       }
-      if (priority === job.priority && dueBy === job.dueBy) continue;
+      if (priority === job.priority && dueBy === job.inheritedDeadline) continue;
       job.priority = priority;
-      job.dueBy = dueBy;
-      todo.push(...job.dependencies);
+      job.inheritedDeadline = dueBy;
+      todo.push(...job.unmetDependencies);
     }
   }
 
   private latestFinish(job: Job): number {
     const { deadlineS } = job.spec;
     return Math.min(
-      job.dueBy,
+      job.inheritedDeadline,
       deadlineS === null ? Number.POSITIVE_INFINITY : job.acceptedAt + deadlineS * 1000,
     );
   }
@@ -182,13 +182,14 @@
    * cancellation may be on record already. Until that is known nothing may be said of it: another node may have told
    * a user that it is cancelled.
    */
-  uncertain(job: Job): boolean {
-    if ((this.unknown.size === 0 && this.jobs.asked.size === 0) || job.dependencies.size === 0) return false;
-    const seen = new Set<JobId>(job.dependencies);
+  isUncertain(job: Job): boolean {
+    if ((this.unknown.size === 0 && this.jobs.cancelRequested.size === 0) || job.unmetDependencies.size === 0)
+      return false;
+    const seen = new Set<JobId>(job.unmetDependencies);
     for (const id of seen) {
-      const need = this.jobs.open.get(id);
-      if (this.unknown.has(id) || (need?.asked && need.unsure)) return true;
-      for (const next of need?.dependencies ?? []) seen.add(next);
+      const need = this.jobs.openJobs.get(id);
+      if (this.unknown.has(id) || (need?.cancelRequested && need.mayHaveEnded)) return true;
+      for (const next of need?.unmetDependencies ?? []) seen.add(next);
     }
     return false;
   }
@@ -226,29 +227,29 @@
 
   private fetch(id: JobId): void {
     this.reading++;
-    this.io.state({ kind: 'get', key: FINAL + id }, Rank.work, (r) => {
+    this.io.store({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.work, (r) => {
       this.reading--;
       this.onRead(id, r);
       this.pump();
     });
   }
 
-  private onRead(id: JobId, r: StateReply): void {
-    if (this.jobs.open.has(id)) {
+  private onRead(id: JobId, r: StoreReply): void {
+    if (this.jobs.openJobs.has(id)) {
       this.unknown.delete(id);
       return;
     }
     // A repeated submission of the job may have had its final state read meanwhile.
-    const final = this.jobs.final(id);
+    const final = this.jobs.finalState(id);
     if (final !== null) return this.resolve(id, final.status, final.at);
     if (r.kind === 'item') {
       const { status, endedAt } = decodeFinalState(r.item);
       const at = endedAt ?? (0 as WallTime);
-      this.jobs.rememberFinal(id, status, at);
+      this.jobs.cacheFinalState(id, status, at);
       return this.resolve(id, status, at);
     }
     // Not over, so not cancelled either: only this owner could have done that.
     if (r.kind === 'missing') this.unknown.delete(id);
-    this.reads.push({ id, notBefore: later(this.io.now, r.kind === 'missing' ? ABSENT_MS : RETRY_MS) });
+    this.reads.push({ id, notBefore: addMs(this.io.now, r.kind === 'missing' ? ABSENT_MS : RETRY_MS) });
   }
 }
--- a/src/core/jobs/order.ts
+++ b/src/core/jobs/job-ordering.ts
@@ -6,11 +6,11 @@
 const DEFAULT_PATIENCE_S = 300;
 
 /** Learned ratio of real run times to owners' estimates, a class at a time. */
-export class Estimates {
+export class RuntimeEstimates {
   private readonly ratio = new Map<string, number>();
   private readonly mean = new Map<string, number>();
 
-  learn(cls: string, estimateS: number, actualS: number): void {
+  record(cls: string, estimateS: number, actualS: number): void {
     this.mean.set(cls, (this.mean.get(cls) ?? actualS) * 0.95 + actualS * 0.05);
     if (estimateS <= 0) return;
     const r = Math.min(5, Math.max(0.2, actualS / estimateS));
@@ -23,21 +23,21 @@
   }
 
   runS(job: Job): number {
-    return job.spec.estimateS * (this.ratio.get(job.spec.class) ?? 1);
+    return job.spec.estimatedRunS * (this.ratio.get(job.spec.class) ?? 1);
   }
 
   /** A task beyond its estimate is expected to go on for as long again as it is late, not to end at once. */
-  leftS(job: Job, elapsedS: number): number {
+  remainingS(job: Job, elapsedS: number): number {
     const left = this.runS(job) - elapsedS;
     return left > 0 ? left : 2 - left;
   }
 }
 
-export class Ordering {
+export class JobOrdering {
   private readonly byClass = new Map<string, Objective[]>();
-  private readonly estimates: Estimates;
+  private readonly estimates: RuntimeEstimates;
 
-  constructor(objectives: readonly Objective[], estimates: Estimates) {
+  constructor(objectives: readonly Objective[], estimates: RuntimeEstimates) {
     this.estimates = estimates;
     this.configure(objectives);
   }
@@ -67,7 +67,8 @@
       if (o.kind === 'deadline' && job.spec.deadlineS !== null)
         out.push(job.spec.deadlineS * (o.times ?? 1) - run);
     }
-    if (Number.isFinite(job.dueBy)) out.push((job.dueBy - job.acceptedAt) / 1000 - run);
+    if (Number.isFinite(job.inheritedDeadline))
+      out.push((job.inheritedDeadline - job.acceptedAt) / 1000 - run);
     if (out.length === 0)
       out.push(job.spec.deadlineS === null ? ready + DEFAULT_PATIENCE_S : job.spec.deadlineS - run);
     return out.sort((a, b) => a - b);
@@ -75,11 +76,11 @@
 
   /** Seconds until the next aim that can still be met; jobs beyond all their aims come last, oldest first. */
   slackS(job: Job, now: Instant, wall: number): number {
-    return slackOf(this.duesS(job, now, wall), ageS(job, now, wall));
+    return slackOf(this.deadlinesS(job, now, wall), ageS(job, now, wall));
   }
 
   /** Seconds until each aim that can still be met, earliest first. */
-  duesS(job: Job, now: Instant, wall: number): number[] {
+  deadlinesS(job: Job, now: Instant, wall: number): number[] {
     const age = ageS(job, now, wall);
     return this.startBy(job)
       .filter((s) => s >= age)
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/job-table.ts
@@ -1,35 +1,41 @@
 // Jobs of the share: acceptance, done bitmaps, cancels and final states. Everything a user is told
 // is committed first; the job's record changes by compare-and-set only, so done and cancelled exclude each other.
 import type { JobId, Revision, TeamName, WallTime } from '../../types/index.ts';
-import { retry } from '../base/answers.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Condition, Item, JobSpec, Put, UserAnswer } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import { FINAL, MORE, OPEN } from '../record/keys.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { JobSpec, StoreCondition, StoreItem, StorePut, UserResponse } from '../base/model.ts';
+import { retryLater } from '../base/responses.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import {
+  type FencedWrite,
+  type FencedWriter,
+  jsonBytes,
+  WritePriority,
+  type WriteResult,
+} from '../storage/fenced-writer.ts';
 import {
   decodeFinalState,
   decodeJobRecord,
+  dependenciesInPart,
+  dependencyPartKeys,
   encodeFinalState,
   encodeJobRecord,
   type FinalState,
   type JobRecord,
-  moreKeys,
-  partOf,
-  recordPuts,
-} from '../record/record.ts';
-import { bytesOf, Priorities, type Store, type Write, type WriteResult } from '../record/store.ts';
+  jobRecordPuts,
+} from '../storage/job-record.ts';
+import { DEPENDENCY_PART_PREFIX, FINAL_STATE_PREFIX, OPEN_JOB_PREFIX } from '../storage/keys.ts';
+import type { ArrayProgress } from './array-progress.ts';
 import { Job } from './job.ts';
-import type { Progress } from './progress.ts';
 
 const FINALS_KEPT = 20_000;
 
 /** Who follows how jobs come and go for the sake of those that await them; see dependencies.ts. */
-export interface JobsWatcher {
+export interface JobListener {
   isNeeded(id: JobId): boolean;
-  opened(job: Job): void;
+  onOpened(job: Job): void;
   /** Its cancellation is on record. */
-  spread(job: Job): void;
-  closed(job: Job, status: 'done' | 'cancelled', at: WallTime): void;
+  onCancelled(job: Job): void;
+  onClosed(job: Job, status: 'done' | 'cancelled', at: WallTime): void;
 }
 
 interface Final {
@@ -37,66 +43,68 @@
   at: WallTime;
 }
 
-export class Jobs {
-  readonly open = new Map<JobId, Job>();
+export class JobTable {
+  readonly openJobs = new Map<JobId, Job>();
   /** Open jobs with tasks that wait for a place. */
-  readonly waiting = new Set<Job>();
+  readonly waitingJobs = new Set<Job>();
   private readonly finals = new Map<JobId, Final>();
   /** Jobs whose cancellation is being written. */
-  readonly asked = new Set<Job>();
-  private readonly accepting = new Map<JobId, ((a: UserAnswer) => void)[]>();
+  readonly cancelRequested = new Set<Job>();
+  private readonly accepting = new Map<JobId, ((a: UserResponse) => void)[]>();
   /** Acceptances of each team that are being written. */
   private readonly beingAccepted = new Map<TeamName, number>();
-  private readonly io: Outbox;
-  private readonly store: Store;
-  private readonly progress: Progress;
-  watcher: JobsWatcher | null = null;
+  private readonly io: ControllerIo;
+  private readonly store: FencedWriter;
+  private readonly progress: ArrayProgress;
+  listener: JobListener | null = null;
   onAccepted: (job: Job) => void = () => {};
   /** A job ended: take its tasks out of queues. */
   onEnded: (job: Job) => void = () => {};
   /** A job that was asked to be cancelled goes on: the state service would not take the mark. */
-  onWanted: () => void = () => {};
+  onCancellationFailed: () => void = () => {};
   /** Its final state is on record. */
   onClosed: (job: Job, status: 'done' | 'cancelled') => void = () => {};
 
-  constructor(io: Outbox, store: Store, progress: Progress) {
+  constructor(io: ControllerIo, store: FencedWriter, progress: ArrayProgress) {
     this.io = io;
     this.store = store;
     this.progress = progress;
   }
 
-  load(item: Item): void {
+  restore(item: StoreItem): void {
     const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
-    const job = new Job(spec, item.revision, acceptedAt, this.io.now, true, this.waiting);
+    const job = new Job(spec, item.revision, acceptedAt, this.io.now, true, this.waitingJobs);
     job.cancelled = cancelled;
-    job.parts = dependencyParts;
-    this.open.set(spec.id, job);
+    job.dependencyParts = dependencyParts;
+    this.openJobs.set(spec.id, job);
   }
 
   /** Whether any job's record has further values. */
-  get inParts(): boolean {
-    for (const job of this.open.values()) if (job.parts > 0) return true;
+  get hasDependencyParts(): boolean {
+    for (const job of this.openJobs.values()) if (job.dependencyParts > 0) return true;
     return false;
   }
 
   /** A further value of a job's record that has been loaded. */
-  loadMore(item: Item): void {
-    const job = this.open.get(item.key.slice(MORE.length, item.key.lastIndexOf('/')) as JobId);
-    job?.spec.awaits?.push(...partOf(item));
+  restoreDependencyPart(item: StoreItem): void {
+    const job = this.openJobs.get(
+      item.key.slice(DEPENDENCY_PART_PREFIX.length, item.key.lastIndexOf('/')) as JobId,
+    );
+    job?.spec.dependsOn?.push(...dependenciesInPart(item));
   }
 
   /** A job on record that this owner does not know: taken in by another node under this term, and started by nobody. */
-  adopt(item: Item): void {
+  adopt(item: StoreItem): void {
     const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
     const { id } = spec;
     // Records of several values are made by owners only: this one is known, or is for the next owner to read.
     if (dependencyParts > 0) return;
-    const known = this.open.get(id);
+    const known = this.openJobs.get(id);
     if (known !== undefined && cancelled) return this.foundCancelled(known, item);
     if (known !== undefined || this.accepting.has(id) || this.finals.has(id)) return;
-    const job = new Job(spec, item.revision, acceptedAt, this.io.now, false, this.waiting);
+    const job = new Job(spec, item.revision, acceptedAt, this.io.now, false, this.waitingJobs);
     job.cancelled = cancelled;
-    this.open.set(id, job);
+    this.openJobs.set(id, job);
     this.io.log('info', 'job taken over from another node', { job: id });
     this.opened(job);
   }
@@ -109,8 +117,8 @@
    * The record says that the job is cancelled: by a copy of a mark that was given up as refused, carried out late. Whoever
    * reads the record tells so.
    */
-  private foundCancelled(job: Job, item: Item): void {
-    if (job.cancelled || job.writing) return;
+  private foundCancelled(job: Job, item: StoreItem): void {
+    if (job.cancelled || job.isWritingRecord) return;
     job.revision = item.revision;
     this.setCancelled(job);
     this.runAfter(job);
@@ -120,19 +128,19 @@
     job.cancelled = true;
     this.io.log('info', 'job cancelled', { job: job.id });
     this.onEnded(job);
-    this.watcher?.spread(job);
+    this.listener?.onCancelled(job);
   }
 
   private opened(job: Job): void {
-    this.watcher?.opened(job);
+    this.listener?.onOpened(job);
     if (!job.cancelled) this.onAccepted(job);
   }
 
-  final(id: JobId): Final | null {
+  finalState(id: JobId): Final | null {
     return this.finals.get(id) ?? null;
   }
 
-  rememberFinal(id: JobId, status: 'done' | 'cancelled', at: WallTime = 0 as WallTime): void {
+  cacheFinalState(id: JobId, status: 'done' | 'cancelled', at: WallTime = 0 as WallTime): void {
     this.finals.set(id, { status, at });
     if (this.finals.size <= FINALS_KEPT) return;
     for (const oldest of this.finals.keys()) {
@@ -141,32 +149,32 @@
     }
   }
 
-  accept(spec: JobSpec, answer: (a: UserAnswer) => void): void {
+  accept(spec: JobSpec, answer: (a: UserResponse) => void): void {
     const waiters = this.accepting.get(spec.id);
     if (waiters !== undefined) {
       waiters.push(answer);
       return;
     }
-    const nonce = this.store.nonce();
-    const acceptedAt = this.io.wall;
-    const record = { spec, acceptedAt, cancelled: false, writeId: nonce, dependencyParts: 0 };
-    const puts = recordPuts(record, this.store.limits);
+    const writeId = this.store.nextWriteId();
+    const acceptedAt = this.io.wallTime;
+    const record = { spec, acceptedAt, cancelled: false, writeId, dependencyParts: 0 };
+    const puts = jobRecordPuts(record, this.store.limits);
     if (puts === null) return answer({ kind: 'too-large', reason: 'the job is too large for a record' });
     this.accepting.set(spec.id, [answer]);
     const turn = this.beingAccepted.get(spec.team) ?? 0;
     this.beingAccepted.set(spec.team, turn + 1);
     this.store.write({
       conditions: [
-        { key: OPEN + spec.id, revision: 0 as Revision },
-        { key: FINAL + spec.id, revision: 0 as Revision },
+        { key: OPEN_JOB_PREFIX + spec.id, revision: 0 as Revision },
+        { key: FINAL_STATE_PREFIX + spec.id, revision: 0 as Revision },
       ],
       puts,
-      drops: [],
-      check: OPEN + spec.id,
-      nonce,
-      priority: Priorities.accept,
+      deletes: [],
+      verifyKey: OPEN_JOB_PREFIX + spec.id,
+      writeId,
+      priority: WritePriority.accept,
       turn,
-      done: (r) => this.onAccept(spec, acceptedAt, puts.length - 1, r),
+      onResult: (r) => this.onAccept(spec, acceptedAt, puts.length - 1, r),
     });
   }
 
@@ -177,41 +185,41 @@
     if (left > 0) this.beingAccepted.set(spec.team, left);
     else this.beingAccepted.delete(spec.team);
     if (r.kind === 'ok') {
-      const job = new Job(spec, r.revision, acceptedAt, this.io.now, false, this.waiting);
-      job.parts = parts;
-      this.open.set(spec.id, job);
+      const job = new Job(spec, r.revision, acceptedAt, this.io.now, false, this.waitingJobs);
+      job.dependencyParts = parts;
+      this.openJobs.set(spec.id, job);
       this.io.log('debug', 'job accepted', { job: spec.id, class: spec.class, tasks: spec.tasks });
       this.opened(job);
       for (const w of waiters) w({ kind: 'accepted', id: spec.id });
     } else if (r.kind === 'conflict' && r.item !== null) {
       // Another node took it in at the same moment.
       this.adopt(r.item);
-      const job = this.open.get(spec.id);
-      const told = job !== undefined && (job.cancelled || !job.blocked);
+      const job = this.openJobs.get(spec.id);
+      const told = job !== undefined && (job.cancelled || !job.isBlocked);
       for (const w of waiters)
         w(
           told
             ? { kind: 'known', id: spec.id, status: job.status() }
-            : retry('the job is being taken over from another node'),
+            : retryLater('the job is being taken over from another node'),
         );
     } else if (r.kind === 'rejected') {
-      for (const w of waiters) w(retry('the state service does not take the record'));
+      for (const w of waiters) w(retryLater('the state service does not take the record'));
     } else if (r.kind === 'conflict') {
       // The job is known from before: its final state is on record.
-      this.readFinal(spec.id, (a) => {
+      this.readFinalState(spec.id, (a) => {
         for (const w of waiters) w(a.kind === 'ended' ? { kind: 'known', id: spec.id, status: a.status } : a);
       });
-    } else for (const w of waiters) w(retry('the job service is changing hands'));
+    } else for (const w of waiters) w(retryLater('the job service is changing hands'));
   }
 
-  readFinal(id: JobId, answer: (a: UserAnswer) => void): void {
-    this.io.state({ kind: 'get', key: FINAL + id }, Rank.ask, (r) => {
+  readFinalState(id: JobId, answer: (a: UserResponse) => void): void {
+    this.io.store({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.query, (r) => {
       if (r.kind === 'item') {
         const { status, endedAt } = decodeFinalState(r.item);
-        this.rememberFinal(id, status, endedAt ?? undefined);
+        this.cacheFinalState(id, status, endedAt ?? undefined);
         answer({ kind: 'ended', id, status });
       } else if (r.kind === 'missing') answer({ kind: 'not-found' });
-      else answer(retry('the state service does not answer'));
+      else answer(retryLater('the state service does not answer'));
     });
   }
 
@@ -220,41 +228,41 @@
    * the mark is carried out without an answer, a node that reads the record tells the user that it is cancelled while
    * this owner, refused by the state service from then on, does not know it (docs/safety.md, point 15).
    */
-  cancel(job: Job, answer: (a: UserAnswer) => void): void {
+  cancel(job: Job, answer: (a: UserResponse) => void): void {
     if (job.cancelled) return answer({ kind: 'ended', id: job.id, status: 'cancelled' });
-    if (job.writing) {
+    if (job.isWritingRecord) {
       // Whichever write is first decides; the other is told its outcome.
       job.afterEnd.push(() => this.cancelAgain(job, answer));
       return;
     }
-    job.writing = true;
-    job.asked = true;
-    this.asked.add(job);
+    job.isWritingRecord = true;
+    job.cancelRequested = true;
+    this.cancelRequested.add(job);
     this.onEnded(job);
-    const nonce = this.store.nonce();
-    const value = encodeJobRecord(this.cancelledRecord(job, nonce));
-    const write: Write = {
-      conditions: [{ key: OPEN + job.id, revision: job.revision }],
-      puts: [{ key: OPEN + job.id, value }],
-      drops: [],
-      check: OPEN + job.id,
-      nonce,
-      priority: Priorities.cancel,
-      done: (r) => {
-        job.writing = false;
-        job.asked = false;
-        job.ending = null;
-        this.asked.delete(job);
+    const writeId = this.store.nextWriteId();
+    const value = encodeJobRecord(this.cancelledRecord(job, writeId));
+    const write: FencedWrite = {
+      conditions: [{ key: OPEN_JOB_PREFIX + job.id, revision: job.revision }],
+      puts: [{ key: OPEN_JOB_PREFIX + job.id, value }],
+      deletes: [],
+      verifyKey: OPEN_JOB_PREFIX + job.id,
+      writeId,
+      priority: WritePriority.cancel,
+      onResult: (r) => {
+        job.isWritingRecord = false;
+        job.cancelRequested = false;
+        job.terminalWrite = null;
+        this.cancelRequested.delete(job);
         this.onCancelWritten(job, r, answer);
       },
     };
-    job.ending = write;
+    job.terminalWrite = write;
     this.store.write(write);
   }
 
-  private onCancelWritten(job: Job, r: WriteResult, answer: (a: UserAnswer) => void): void {
+  private onCancelWritten(job: Job, r: WriteResult, answer: (a: UserResponse) => void): void {
     // The term is over: whoever waits here is answered by the next owner, or by the record.
-    if (r.kind === 'lost') return answer(retry('the job service is changing hands'));
+    if (r.kind === 'lost') return answer(retryLater('the job service is changing hands'));
     const marked =
       r.kind === 'ok' || (r.kind === 'conflict' && r.item !== null && decodeJobRecord(r.item).cancelled);
     if (r.kind === 'ok') job.revision = r.revision;
@@ -264,22 +272,23 @@
       this.setCancelled(job);
       answer({ kind: 'ended', id: job.id, status: 'cancelled' });
     } else {
-      this.onWanted();
-      answer(retry('the job is changing'));
+      this.onCancellationFailed();
+      answer(retryLater('the job is changing'));
     }
     this.runAfter(job);
   }
 
   /** A record from before the limits fell may be too large to write again; a cancelled job needs no lists. */
   private cancelledRecord(job: Job, writeId: string): JobRecord {
-    const { spec, acceptedAt, parts } = job;
-    const record = { spec, acceptedAt, cancelled: true, writeId, dependencyParts: parts };
-    if (parts === 0 && bytesOf(encodeJobRecord(record)) <= this.store.maxValue) return record;
-    const { awaits: _, ...rest } = spec;
-    return { ...record, spec: { ...rest, types: null } };
+    const { spec, acceptedAt, dependencyParts } = job;
+    const record = { spec, acceptedAt, cancelled: true, writeId, dependencyParts };
+    if (dependencyParts === 0 && jsonBytes(encodeJobRecord(record)) <= this.store.maxValueBytes)
+      return record;
+    const { dependsOn: _, ...rest } = spec;
+    return { ...record, spec: { ...rest, machineTypes: null } };
   }
 
-  private cancelAgain(job: Job, answer: (a: UserAnswer) => void): void {
+  private cancelAgain(job: Job, answer: (a: UserResponse) => void): void {
     const final = this.finals.get(job.id);
     if (final !== undefined) answer({ kind: 'ended', id: job.id, status: final.status });
     else this.cancel(job, answer);
@@ -290,53 +299,53 @@
   }
 
   /** A machine reported the task's result. */
-  taskDone(job: Job, index: number): void {
+  completeTask(job: Job, index: number): void {
     if (job.spec.kind === 'service' || !job.setDone(index)) return;
     // The tasks of a gang complete together. Waited for one by one, they may never all be heard: where a result is kept
     // the task ends at once when it is started again, and the others wait for it in vain.
     if (job.spec.kind === 'gang') for (let i = 0; i < job.spec.tasks; i++) job.setDone(i);
-    if (job.left === 0) this.finish(job);
-    else this.progress.note(job, index);
+    if (job.remainingTasks === 0) this.finish(job);
+    else this.progress.markChanged(job, index);
   }
 
   /** Whether the machine may forget this task's result. */
-  recorded(job: Job | undefined, index: number): boolean {
+  isResultRecorded(job: Job | undefined, index: number): boolean {
     if (job === undefined || job.cancelled || job.spec.kind === 'service') return true;
     return job.isRecorded(index);
   }
 
   tick(): void {
-    for (const job of this.open.values()) {
+    for (const job of this.openJobs.values()) {
       if (job.cancelled) {
-        if (job.live === 0 && job.unlocated === 0) this.finish(job);
-      } else if (job.left === 0) this.finish(job);
+        if (job.assignedTasks === 0 && job.unlocatedTasks === 0) this.finish(job);
+      } else if (job.remainingTasks === 0) this.finish(job);
     }
     this.progress.tick();
   }
 
   /** Moves the job's record to its final place; the one write after which it is called done. */
   private finish(job: Job): void {
-    if (job.writing || job.finishing) return;
-    job.writing = true;
-    job.finishing = true;
+    if (job.isWritingRecord || job.isWritingFinalState) return;
+    job.isWritingRecord = true;
+    job.isWritingFinalState = true;
     const status = job.cancelled ? 'cancelled' : 'done';
-    const nonce = this.store.nonce();
-    const conditions: Condition[] = [{ key: OPEN + job.id, revision: job.revision }];
-    const drops = [OPEN + job.id, ...moreKeys(job.id, job.parts)];
-    const endedAt = this.io.wall;
-    const final: FinalState = { status, writeId: nonce, endedAt };
-    const puts: Put[] = [{ key: FINAL + job.id, value: encodeFinalState(final) }];
-    const write: Write = {
+    const writeId = this.store.nextWriteId();
+    const conditions: StoreCondition[] = [{ key: OPEN_JOB_PREFIX + job.id, revision: job.revision }];
+    const deletes = [OPEN_JOB_PREFIX + job.id, ...dependencyPartKeys(job.id, job.dependencyParts)];
+    const endedAt = this.io.wallTime;
+    const final: FinalState = { status, writeId, endedAt };
+    const puts: StorePut[] = [{ key: FINAL_STATE_PREFIX + job.id, value: encodeFinalState(final) }];
+    const write: FencedWrite = {
       conditions,
       puts,
-      drops,
-      check: FINAL + job.id,
-      nonce,
-      priority: this.watcher?.isNeeded(job.id) ? Priorities.needed : Priorities.final,
-      done: (r) => {
-        job.writing = false;
-        job.finishing = false;
-        job.ending = null;
+      deletes,
+      verifyKey: FINAL_STATE_PREFIX + job.id,
+      writeId,
+      priority: this.listener?.isNeeded(job.id) ? WritePriority.finalWithDependents : WritePriority.final,
+      onResult: (r) => {
+        job.isWritingRecord = false;
+        job.isWritingFinalState = false;
+        job.terminalWrite = null;
         if (r.kind === 'ok') return this.close(job, status, endedAt);
         if (r.kind === 'lost') return;
         this.io.log('info', 'final state not written', { job: job.id, result: r.kind });
@@ -347,15 +356,15 @@
         else this.runAfter(job);
       },
     };
-    job.ending = write;
+    job.terminalWrite = write;
     this.store.write(write);
   }
 
   /** The job's record is not what it was taken to be: compared with the old one, no end would ever be written. */
   private reread(job: Job): void {
-    job.writing = true;
-    this.io.state({ kind: 'get', key: OPEN + job.id }, Rank.owner, (r) => {
-      job.writing = false;
+    job.isWritingRecord = true;
+    this.io.store({ kind: 'get', key: OPEN_JOB_PREFIX + job.id }, StorePriority.leader, (r) => {
+      job.isWritingRecord = false;
       if (r.kind === 'item') {
         job.revision = r.item.revision;
         if (decodeJobRecord(r.item).cancelled) this.foundCancelled(job, r.item);
@@ -365,15 +374,15 @@
   }
 
   private close(job: Job, status: 'done' | 'cancelled', at: WallTime): void {
-    job.over = true;
-    this.open.delete(job.id);
-    this.waiting.delete(job);
-    this.progress.drop(job);
-    this.rememberFinal(job.id, status, at);
+    job.isOver = true;
+    this.openJobs.delete(job.id);
+    this.waitingJobs.delete(job);
+    this.progress.remove(job);
+    this.cacheFinalState(job.id, status, at);
     this.io.log('debug', 'job over', { job: job.id, status });
     this.onEnded(job);
     this.onClosed(job, status);
-    this.watcher?.closed(job, status, at);
+    this.listener?.onClosed(job, status, at);
     this.runAfter(job);
   }
 }
--- a/src/core/jobs/shape.ts
+++ b/src/core/jobs/placement-constraints.ts
@@ -4,12 +4,13 @@
 export const isGang = (spec: JobSpec): boolean => spec.kind === 'gang' && spec.tasks > 1;
 
 /** Jobs for which this is the same may run on the same machines, as far as these are large enough. */
-export const placesOf = (s: JobSpec): string => `${s.types?.join() ?? ''}|${s.zone ?? ''}|${s.spot}`;
+export const placementKey = (s: JobSpec): string =>
+  `${s.machineTypes?.join() ?? ''}|${s.zone ?? ''}|${s.spot}`;
 
-export const takesAsMuch = (s: JobSpec, than: JobSpec): boolean =>
+export const needsAtLeast = (s: JobSpec, than: JobSpec): boolean =>
   s.cpus >= than.cpus && s.gpus >= than.gpus && s.memoryGb >= than.memoryGb;
 
-export function perMachine(type: MachineType, spec: JobSpec): number {
+export function tasksPerMachine(type: MachineType, spec: JobSpec): number {
   const { cpus, gpus, memoryGb } = spec;
   const per = (total: number, each: number) =>
     each <= 0 ? Number.POSITIVE_INFINITY : Math.floor((total + 1e-9) / each);
@@ -23,13 +24,14 @@
 };
 
 export const typeFits = (t: MachineType, spec: JobSpec): boolean =>
-  perMachine(t, spec) >= 1 && mayRunOnType(t, spec);
+  tasksPerMachine(t, spec) >= 1 && mayRunOnType(t, spec);
 
 export const mayRunOnType = (t: MachineType, spec: JobSpec): boolean =>
-  (spec.types === null || spec.types.includes(t.name)) && (spec.zone === null || t.zones.includes(spec.zone));
+  (spec.machineTypes === null || spec.machineTypes.includes(t.name)) &&
+  (spec.zone === null || t.zones.includes(spec.zone));
 
 /** A gang that must be spread, but whose tasks find a place in one zone only: all at once, they never can. */
-export const boundToOneZone = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
+export const isBoundToOneZone = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
   if (!isGang(spec) || !spec.spread) return false;
   if (spec.oneZone || spec.zone !== null) return true;
   const zones = new Set<string>();
--- a/src/core/share/recovery.ts
+++ b/src/core/leader/failover.ts
@@ -1,24 +1,29 @@
 // A new owner's first steps: read what is recorded, then learn from the machines what runs where.
 import {
+  addMs,
   type Instant,
   LONG_AGO,
-  later,
   type MachineId,
   NEVER,
   type Revision,
   type TypeName,
 } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Item, MachineType, Settings, StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import type { Jobs } from '../jobs/jobs.ts';
-import { BITS, type Progress } from '../jobs/progress.ts';
-import { type Catalogue, TYPE } from '../machines/catalogue.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { MachineType, Settings, StoreItem, StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { type ArrayProgress, DONE_BITMAP_PREFIX } from '../jobs/array-progress.ts';
+import type { JobTable } from '../jobs/job-table.ts';
 import type { Machine } from '../machines/machine.ts';
-import type { Machines } from '../machines/machines.ts';
-import { MACHINE, type Roster, type RosterMachine, type RosterPage } from '../machines/roster.ts';
-import { MORE, OPEN } from '../record/keys.ts';
-import { PAGE_VERSION } from '../record/page.ts';
+import {
+  MACHINE_PREFIX,
+  type MachineRegistry,
+  type RegisteredMachine,
+  type RegistryPage,
+} from '../machines/machine-registry.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+import { MACHINE_TYPE_PREFIX, type MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
+import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from '../storage/keys.ts';
+import { SHARED_RECORD_VERSION } from '../storage/shared-record.ts';
 
 const RETRY_MS = 250;
 const PROBE_MS = 2000;
@@ -30,18 +35,18 @@
 /** A worker whose node has gone waits for 4 s, and 1 s more before it tries the next. */
 const WORKER_TURN_MS = 5500;
 
-export class Recovery {
+export class Failover {
   /** Jobs and machines of the earlier terms are known. */
-  loaded = false;
+  isLoaded = false;
   /** Every recorded machine has been heard, or is certainly empty. */
-  complete = false;
+  isComplete = false;
   /** What was on record later than this has not been read. */
   jobsReadAt = 0 as Revision;
   onComplete: () => void = () => {};
   /** All records have been read. */
   onLoaded: () => void = () => {};
   /** All jobs on record are known. */
-  onJobs: () => void = () => {};
+  onJobsLoaded: () => void = () => {};
   private step: 'types' | 'jobs' | 'more' | 'bits' | 'machines' = 'types';
   private busy = false;
   private retryAt: Instant = LONG_AGO;
@@ -50,25 +55,25 @@
   /** Machines are given time to speak from here, however long reading the records took. */
   private loadedAt: Instant = NEVER;
   private readonly probedAt = new Map<MachineId, Instant>();
-  private readonly io: Outbox;
+  private readonly io: ControllerIo;
   private readonly settings: Settings;
-  private readonly jobs: Jobs;
-  private readonly machines: Machines;
-  private readonly catalogue: Catalogue;
-  private readonly progress: Progress;
-  private readonly roster: Roster;
+  private readonly jobs: JobTable;
+  private readonly machines: MachineTable;
+  private readonly catalogue: MachineTypeCatalog;
+  private readonly progress: ArrayProgress;
+  private readonly roster: MachineRegistry;
   private probing = 0;
   /** A record of a version that this program does not know: nothing is served on a guess. */
-  unreadable = false;
+  isUnreadable = false;
 
   constructor(
-    io: Outbox,
+    io: ControllerIo,
     settings: Settings,
-    jobs: Jobs,
-    machines: Machines,
-    catalogue: Catalogue,
-    progress: Progress,
-    roster: Roster,
+    jobs: JobTable,
+    machines: MachineTable,
+    catalogue: MachineTypeCatalog,
+    progress: ArrayProgress,
+    roster: MachineRegistry,
   ) {
     this.progress = progress;
     this.roster = roster;
@@ -82,42 +87,48 @@
 
   /** `current`: no other owner can exist, whose machines would be taken for silent here. */
   tick(current: boolean): void {
-    if (!this.loaded) this.load();
-    else if (!this.complete) this.locate(current);
+    if (!this.isLoaded) this.load();
+    else if (!this.isComplete) this.locate(current);
   }
 
   private load(): void {
-    if (this.busy || this.unreadable || this.io.now < this.retryAt) return;
+    if (this.busy || this.isUnreadable || this.io.now < this.retryAt) return;
     this.busy = true;
-    const prefix = { types: TYPE, jobs: OPEN, more: MORE, bits: BITS, machines: MACHINE }[this.step];
-    this.io.state({ kind: 'list', prefix, after: this.after }, Rank.owner, (r) => this.onPage(r));
+    const prefix = {
+      types: MACHINE_TYPE_PREFIX,
+      jobs: OPEN_JOB_PREFIX,
+      more: DEPENDENCY_PART_PREFIX,
+      bits: DONE_BITMAP_PREFIX,
+      machines: MACHINE_PREFIX,
+    }[this.step];
+    this.io.store({ kind: 'list', prefix, after: this.after }, StorePriority.leader, (r) => this.onPage(r));
   }
 
   private again(): void {
     this.busy = false;
-    this.retryAt = later(this.io.now, RETRY_MS);
+    this.retryAt = addMs(this.io.now, RETRY_MS);
   }
 
-  private next(step: Recovery['step']): void {
+  private next(step: Failover['step']): void {
     this.step = step;
     this.after = null;
     this.busy = false;
     this.load();
   }
 
-  private onPage(r: StateReply): void {
+  private onPage(r: StoreReply): void {
     if (r.kind !== 'items') return this.again();
     if (this.step === 'jobs' && this.after === null) this.jobsReadAt = r.revision;
     for (const item of r.items) this.take(item);
-    if (this.unreadable) return;
+    if (this.isUnreadable) return;
     if (r.more) {
       this.after = r.items.at(-1)?.key ?? null;
       this.busy = false;
       this.load();
     } else if (this.step === 'types') this.afterTypes();
-    else if (this.step === 'jobs' && this.jobs.inParts) this.next('more');
+    else if (this.step === 'jobs' && this.jobs.hasDependencyParts) this.next('more');
     else if (this.step === 'jobs' || this.step === 'more') {
-      this.onJobs();
+      this.onJobsLoaded();
       this.next('bits');
     } else if (this.step === 'bits') this.next('machines');
     else this.finishLoading();
@@ -125,59 +136,60 @@
 
   /** Without any type, from the record or the cloud, nothing can be judged: asked again until there is one. */
   private afterTypes(): void {
-    if (this.catalogue.known) this.next('jobs');
+    if (this.catalogue.isLoaded) this.next('jobs');
     else this.again();
   }
 
-  private take(item: Item): void {
+  private take(item: StoreItem): void {
     if (this.step === 'types')
       return this.catalogue.restore(
-        item.key.slice(TYPE.length) as TypeName,
+        item.key.slice(MACHINE_TYPE_PREFIX.length) as TypeName,
         (item.value as { v: MachineType }).v,
       );
-    if (this.step === 'jobs') return this.jobs.load(item);
-    if (this.step === 'more') return this.jobs.loadMore(item);
-    if ((item.value as { v?: unknown } | null)?.v !== PAGE_VERSION) return this.refuse(item.key);
-    if (this.step === 'bits') this.progress.load(item, this.jobs.open);
+    if (this.step === 'jobs') return this.jobs.restore(item);
+    if (this.step === 'more') return this.jobs.restoreDependencyPart(item);
+    if ((item.value as { v?: unknown } | null)?.v !== SHARED_RECORD_VERSION) return this.refuse(item.key);
+    if (this.step === 'bits') this.progress.restore(item, this.jobs.openJobs);
     else
       this.roster.load(
         item,
-        (id) => this.machines.all.has(id),
+        (id) => this.machines.byId.has(id),
         (m, page) => this.takeMachine(m, page),
       );
   }
 
   private refuse(key: string): void {
-    if (!this.unreadable)
+    if (!this.isUnreadable)
       this.io.log('error', 'a record is of a version this program does not know; nothing is served', { key });
-    this.unreadable = true;
+    this.isUnreadable = true;
   }
 
-  private takeMachine(r: RosterMachine, page: RosterPage): Machine {
+  private takeMachine(r: RegisteredMachine, page: RegistryPage): Machine {
     // A type no longer offered still counts, as if it held everything, until the machine is settled.
     const type = this.catalogue.types.get(r.type) ?? vanishedType(r.type);
     // Whoever owned the share before stops answering in time for this (see docs/safety.md).
-    const leaseEnds = later(this.takenAt, this.settings.workers.cancelS * 1000);
-    const m = this.machines.newMachine(r.id, type, r.zone, r.spot, leaseEnds);
-    m.page = page;
-    this.machines.touch(m);
+    const leaseEnds = addMs(this.takenAt, this.settings.workers.cancelS * 1000);
+    const m = this.machines.addMachine(r.id, type, r.zone, r.spot, leaseEnds);
+    m.registryPage = page;
+    this.machines.updateIndexes(m);
     return m;
   }
 
   private finishLoading(): void {
-    this.loaded = true;
+    this.isLoaded = true;
     this.loadedAt = this.io.now;
     this.busy = false;
     // This node may itself have answered the machines while it read.
-    const { leaseFromNow } = this.machines;
-    for (const m of this.machines.all.values()) m.leaseEnds = Math.max(m.leaseEnds, leaseFromNow) as Instant;
+    const { leaseExpiryFromNow } = this.machines;
+    for (const m of this.machines.byId.values())
+      m.leaseExpiresAt = Math.max(m.leaseExpiresAt, leaseExpiryFromNow) as Instant;
     this.onLoaded();
-    this.io.log('info', 'state read', { jobs: this.jobs.open.size, machines: this.machines.all.size });
+    this.io.log('info', 'state read', { jobs: this.jobs.openJobs.size, machines: this.machines.byId.size });
   }
 
   /** Machines not heard yet: asked with the new token, fenced by returning them if they stay silent. */
   private locate(current: boolean): void {
-    const silent = [...this.machines.all.values()].filter((m) => m.page !== null && !m.synced);
+    const silent = [...this.machines.byId.values()].filter((m) => m.registryPage !== null && !m.isReconciled);
     if (silent.length === 0) return this.finish();
     const blocked = this.machinesBlockWork();
     for (const m of silent) {
@@ -185,24 +197,24 @@
       if (
         current &&
         blocked &&
-        !m.releasing &&
+        !m.isReleasing &&
         this.io.now - this.loadedAt > this.fenceAfterMs(silent.length)
       ) {
-        this.machines.giveBack(m);
+        this.machines.beginRelease(m);
         this.io.log('info', 'silent machine is returned to settle what it runs', { machine: m.id });
       }
     }
   }
 
   private machinesBlockWork(): boolean {
-    for (const j of this.jobs.open.values()) if (j.unlocated > 0 && !j.blocked) return true;
+    for (const j of this.jobs.openJobs.values()) if (j.unlocatedTasks > 0 && !j.isBlocked) return true;
     return false;
   }
 
   /** A few machines that miss one turn are given up; more are given time, as something else may keep them away. */
   private fenceAfterMs(silent: number): number {
-    const reportMs = this.settings.workers.reportS * 1000;
-    const few = silent <= Math.max(1, this.machines.all.size * FEW);
+    const reportMs = this.settings.workers.heartbeatS * 1000;
+    const few = silent <= Math.max(1, this.machines.byId.size * FEW);
     return few ? reportMs * 1.25 + WORKER_TURN_MS : Math.max(3 * reportMs, 8000) + 4000;
   }
 
@@ -211,27 +223,27 @@
     if (m.addr === null || this.io.now - last < PROBE_MS || this.probing >= PROBES_AT_ONCE) return;
     this.probing++;
     this.probedAt.set(m.id, this.io.now);
-    this.io.probe(m.addr, this.machines.token, Math.max(1, m.session), (r) => {
+    this.io.probe(m.addr, this.machines.fencingToken, Math.max(1, m.agentEpoch), (r) => {
       this.probing--;
       // Once the machine is in use, only its own reports tell what is not on it: a start that answered
       // one of them may still be under way when this reply is made.
-      if (r.kind !== 'report' || this.machines.all.get(m.id) !== m || m.synced) return;
+      if (r.kind !== 'heartbeat' || this.machines.byId.get(m.id) !== m || m.isReconciled) return;
       // Its address may be another machine's by now.
-      if (r.report.machine !== m.id) return;
-      const known = m.session;
-      this.machines.report(m, r.report, true);
+      if (r.heartbeat.machine !== m.id) return;
+      const known = m.agentEpoch;
+      this.machines.onHeartbeat(m, r.heartbeat, true);
       // The session was another: ask again at once with the right one.
-      if (!r.executed && r.report.session !== known) this.probedAt.delete(m.id);
+      if (!r.executed && r.heartbeat.agentEpoch !== known) this.probedAt.delete(m.id);
     });
   }
 
   private finish(): void {
-    this.complete = true;
-    for (const job of this.jobs.open.values()) job.settle();
+    this.isComplete = true;
+    for (const job of this.jobs.openJobs.values()) job.resolveUnlocated();
     this.onComplete();
     this.io.log('info', 'all machines heard', {
-      machines: this.machines.all.size,
-      jobs: this.jobs.open.size,
+      machines: this.machines.byId.size,
+      jobs: this.jobs.openJobs.size,
     });
   }
 }
--- a/src/core/share/held-answers.ts
+++ b/src/core/leader/held-responses.ts
@@ -1,10 +1,10 @@
 // Answers to reports that are held for a moment: work that comes or is placed meanwhile starts at once, instead of waiting for
 // the machine's next report.
-import { type Instant, later, type MachineId } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Command, WorkerAnswer } from '../base/model.ts';
+import { addMs, type Instant, type MachineId } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Command, HeartbeatResponse } from '../base/model.ts';
 import type { Machine } from '../machines/machine.ts';
-import type { Machines } from '../machines/machines.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
 
 /** A busy machine's report waits this long at most for the next pass, if it has room for work that waits. */
 const WAIT_FOR_PASS_MS = 300;
@@ -14,7 +14,7 @@
 interface Held {
   m: Machine;
   commands: Command[];
-  answer: (a: WorkerAnswer) => void;
+  answer: (a: HeartbeatResponse) => void;
   until: Instant;
   /** No pass has run since the report. */
   fresh: boolean;
@@ -22,14 +22,14 @@
   lasting: boolean;
 }
 
-export class HeldAnswers {
+export class HeldResponses {
   private readonly held = new Map<MachineId, Held>();
   private readonly holdMs: number;
 
   /** `passPending`: whether a pass is due that may bind work; `current`: no other owner can exist. */
   constructor(
-    private readonly io: Outbox,
-    private readonly machines: Machines,
+    private readonly io: ControllerIo,
+    private readonly machines: MachineTable,
     reportS: number,
     private readonly passPending: () => boolean,
     private readonly mayStart: () => boolean,
@@ -45,19 +45,19 @@
 
   /** The report is answered at once if there is something to tell, else within a moment, and before `by`. */
   add(m: Machine, commands: Command[], answer: Held['answer'], by: Instant): void {
-    const until = Math.min(later(this.io.now, this.holdMs), by) as Instant;
+    const until = Math.min(addMs(this.io.now, this.holdMs), by) as Instant;
     const h: Held = { m, commands, answer, until, fresh: true, lasting: isLasting(m) };
     this.held.set(m.id, h);
     this.look(h);
   }
 
   /** Answers those that have something to tell, or whose time is up. */
-  answerDue(): void {
+  respondDue(): void {
     for (const h of this.held.values()) this.look(h);
   }
 
   /** A pass has run: what it has bound to machines whose answers are held starts. */
-  passed(): void {
+  onCycle(): void {
     for (const h of this.held.values()) {
       h.fresh = false;
       this.look(h);
@@ -69,12 +69,12 @@
     const h = this.held.get(m.id);
     if (h === undefined) return;
     this.held.delete(m.id);
-    h.answer({ kind: 'elsewhere', node: null });
+    h.answer({ kind: 'redirect', node: null });
   }
 
   /** The term is over: workers are sent on. */
   close(): void {
-    for (const h of this.held.values()) h.answer({ kind: 'elsewhere', node: null });
+    for (const h of this.held.values()) h.answer({ kind: 'redirect', node: null });
     this.held.clear();
   }
 
@@ -83,21 +83,21 @@
     h.commands.push(...this.machines.startQueued(m, this.mayStart));
     if (this.io.now < h.until && (this.awaitsPass(h) || this.awaitsWork(h))) return;
     this.held.delete(m.id);
-    this.machines.answered(m);
+    this.machines.renewLease(m);
     if (!this.current()) this.tellBeyond(m);
-    h.answer({ kind: 'orders', token: this.machines.token, commands: h.commands });
+    h.answer({ kind: 'commands', fencingToken: this.machines.fencingToken, commands: h.commands });
   }
 
   /** For plays of a refused leader: who follows it while another may own the share (scripts/refused.ts). */
   private tellBeyond(m: Machine): void {
-    const jobs = new Set([...m.entries.values()].map((e) => e.job.id));
+    const jobs = new Set([...m.assignments.values()].map((e) => e.job.id));
     this.io.log('debug', 'answered beyond the hold', { machine: m.id, jobs: [...jobs] });
   }
 
   /** Work waits that the next pass, which is due at once, may bind to this machine. */
   private awaitsPass(h: Held): boolean {
     const waited = this.holdMs - (h.until - this.io.now);
-    const hasRoom = h.m.place !== null && h.m.freeCpus > 0;
+    const hasRoom = h.m.indexPosition !== null && h.m.freeCpus > 0;
     return h.fresh && this.passPending() && hasRoom && waited < WAIT_FOR_PASS_MS;
   }
 
@@ -106,15 +106,15 @@
    * end by themselves. With anything else on it the answer goes at once, as the end of a task would be told late.
    */
   private awaitsWork({ m, commands, lasting }: Held): boolean {
-    if (commands.length > 0 || !m.synced || m.drain !== null) return false;
-    if (m.empty) return true;
+    if (commands.length > 0 || !m.isReconciled || m.drainReason !== null) return false;
+    if (m.isEmpty) return true;
     const room = m.freeCpus > 0 && (m.type.gpus === 0 || m.freeGpus > 0);
-    return lasting && room && m.place !== null && m.queue.length === 0;
+    return lasting && room && m.indexPosition !== null && m.queue.length === 0;
   }
 }
 
 const isLasting = (m: Machine): boolean => {
-  for (const e of m.entries.values())
+  for (const e of m.assignments.values())
     if (e.job.spec.kind !== 'service' || e.state !== 'running' || e.stopping !== null) return false;
   return true;
 };
--- a/src/core/share/user-requests.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -1,18 +1,19 @@
 // What users ask of the owner: new jobs, and what has become of those that it holds.
-import { retry, toSubmission } from '../base/answers.ts';
-import type { Outbox } from '../base/io.ts';
-import type { JobSpec, Settings, UserAnswer } from '../base/model.ts';
+
+import { infeasibilityReason, oversizeReason } from '../admission/feasibility.ts';
+import { jitteredRetryS } from '../admission/load-shedder.ts';
+import { TeamThrottle } from '../admission/team-throttle.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { JobSpec, Settings, UserResponse } from '../base/model.ts';
+import { asSubmissionResponse, retryLater } from '../base/responses.ts';
 import type { Configuration } from '../configuration/configuration.ts';
-import { impossible, tooLarge } from '../intake/admission.ts';
-import { spread } from '../intake/overload.ts';
-import { TeamThrottle } from '../intake/team-throttle.ts';
 import type { Dependencies } from '../jobs/dependencies.ts';
 import { checkDependencies } from '../jobs/dependency-check.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Jobs } from '../jobs/jobs.ts';
-import type { Catalogue } from '../machines/catalogue.ts';
-import type { Lookup } from '../record/lookup.ts';
-import type { Store } from '../record/store.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import type { MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
+import type { FencedWriter } from '../storage/fenced-writer.ts';
+import type { JobRecordReader } from '../storage/job-record-reader.ts';
 import type { Quota } from '../teams/quota.ts';
 
 /** Accepting work stops while more writes wait than can be made in this time: users are told to come back instead. */
@@ -22,69 +23,70 @@
 /** Of the jobs that a waiting one awaits, so many are told. */
 const DEPENDENCIES_SHOWN = 20;
 
-export class UserRequests {
+export class UserRequestHandler {
   private readonly throttle: TeamThrottle;
   private readonly maxBacklog: number;
 
   constructor(
-    private readonly io: Outbox,
+    private readonly io: ControllerIo,
     private readonly settings: Settings,
-    private readonly jobs: Jobs,
+    private readonly jobs: JobTable,
     private readonly quota: Quota,
-    private readonly store: Store,
-    private readonly catalogue: Catalogue,
-    private readonly lookup: Lookup,
+    private readonly store: FencedWriter,
+    private readonly catalogue: MachineTypeCatalog,
+    private readonly lookup: JobRecordReader,
     private readonly configuration: Configuration,
     private readonly dependencies: Dependencies,
     /** Whether all records have been read. */
     private readonly loaded: () => boolean,
   ) {
     this.throttle = new TeamThrottle(io);
-    this.maxBacklog = Math.ceil(settings.state.writeRps * MAX_BACKLOG_S);
+    this.maxBacklog = Math.ceil(settings.store.writesPerS * MAX_BACKLOG_S);
   }
 
   /** Seconds that it takes to write what waits to be written. */
   get backlogS(): number {
-    return this.store.backlog / this.settings.state.writeRps;
+    return this.store.backlog / this.settings.store.writesPerS;
   }
 
-  submit(spec: JobSpec, answer: (a: UserAnswer) => void): void {
-    const job = this.jobs.open.get(spec.id);
+  submit(spec: JobSpec, answer: (a: UserResponse) => void): void {
+    const job = this.jobs.openJobs.get(spec.id);
     if (job !== undefined) {
       const a = this.statusOf(job);
       return answer(a.kind === 'retry' ? a : { kind: 'known', id: spec.id, status: job.status() });
     }
-    const final = this.jobs.final(spec.id);
+    const final = this.jobs.finalState(spec.id);
     if (final !== null) return answer({ kind: 'known', id: spec.id, status: final.status });
-    if (!this.loaded()) return answer(retry('the jobs on record are being read'));
-    if (this.store.downSince !== null) return answer(retry('the state service does not answer', 2));
+    if (!this.loaded()) return answer(retryLater('the jobs on record are being read'));
+    if (this.store.unavailableSince !== null)
+      return answer(retryLater('the state service does not answer', 2));
     // A team that the settings do not name is refused below, and must not count among those that submissions are shared among.
-    if (this.quota.team(spec.team) !== undefined) this.throttle.asked(spec.team);
+    if (this.quota.team(spec.team) !== undefined) this.throttle.recordSubmission(spec.team);
     // Beyond the first bound those who ask for more than their part are sent back, beyond the second everybody.
     const { backlog } = this.store;
     if (
       backlog > this.maxBacklog * BACKLOG_SPARE ||
-      (backlog > this.maxBacklog && this.throttle.mayNot(spec.team))
+      (backlog > this.maxBacklog && this.throttle.isThrottled(spec.team))
     ) {
-      const afterS = this.throttle.afterS(spec.team, 1 + this.backlogS / 2);
-      return answer(retry('too many submissions at once', spread(this.io, afterS), true));
+      const afterS = this.throttle.retryAfterS(spec.team, 1 + this.backlogS / 2);
+      return answer(retryLater('too many submissions at once', jitteredRetryS(this.io, afterS), true));
     }
     if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, answer);
-    const reason = impossible(spec, this.catalogue.types, this.configuration.effective.teams);
+    const reason = infeasibilityReason(spec, this.catalogue.types, this.configuration.effective.teams);
     if (reason !== null) return this.refuse(spec, { kind: 'impossible', reason }, answer);
-    const large = tooLarge(spec, this.settings.state);
+    const large = oversizeReason(spec, this.settings.store);
     if (large !== null) return this.refuse(spec, { kind: 'too-large', reason: large }, answer);
-    if (spec.awaits === undefined) return this.jobs.accept(spec, answer);
+    if (spec.dependsOn === undefined) return this.jobs.accept(spec, answer);
     const known = (id: JobSpec['id']) =>
-      this.jobs.open.get(id)?.spec.kind ?? (this.jobs.final(id) === null ? null : 'over');
+      this.jobs.openJobs.get(id)?.spec.kind ?? (this.jobs.finalState(id) === null ? null : 'over');
     checkDependencies(spec, known, this.lookup, answer, () => this.acceptStill(spec, answer));
   }
 
   /** What the job awaits has been checked; another copy of the submission may have been faster. */
-  private acceptStill(spec: JobSpec, answer: (a: UserAnswer) => void): void {
+  private acceptStill(spec: JobSpec, answer: (a: UserResponse) => void): void {
     const known = this.status(spec.id);
     if (known === null) this.jobs.accept(spec, answer);
-    else answer(toSubmission(known));
+    else answer(asSubmissionResponse(known));
   }
 
   /**
@@ -93,21 +95,21 @@
    */
   private refuse(
     spec: JobSpec,
-    refusal: Extract<UserAnswer, { kind: 'impossible' | 'too-large' }>,
-    answer: (a: UserAnswer) => void,
+    refusal: Extract<UserResponse, { kind: 'impossible' | 'too-large' }>,
+    answer: (a: UserResponse) => void,
   ): void {
-    this.lookup.ask(spec.id, (a) => {
-      if (a.kind !== 'not-found') return answer(toSubmission(a));
+    this.lookup.readStatus(spec.id, (a) => {
+      if (a.kind !== 'not-found') return answer(asSubmissionResponse(a));
       this.io.log('info', 'job refused', { job: spec.id, reason: refusal.reason });
       answer(refusal);
     });
   }
 
   /** What is known without asking the state service; null if that must be asked. */
-  status(id: JobSpec['id']): UserAnswer | null {
-    const job = this.jobs.open.get(id);
+  status(id: JobSpec['id']): UserResponse | null {
+    const job = this.jobs.openJobs.get(id);
     if (job === undefined) {
-      const final = this.jobs.final(id);
+      const final = this.jobs.finalState(id);
       return final === null ? null : { kind: 'ended', id, status: final.status };
     }
     return this.statusOf(job);
@@ -115,27 +117,29 @@
 
   /** A job that waits may be larger than its team's limit, which was lowered after it was accepted. */
   private obstacleOf(job: Job): { reason?: string } {
-    if (!this.configuration.present || job.wanting === 0) return {};
-    const reason = this.quota.obstacle(job.spec);
+    if (!this.configuration.hasDocuments || job.unplacedTasks === 0) return {};
+    const reason = this.quota.violation(job.spec);
     return reason === null ? {} : { reason };
   }
 
-  private statusOf(job: Job): UserAnswer {
+  private statusOf(job: Job): UserResponse {
     const { id } = job;
     if (job.cancelled) return { kind: 'ended', id, status: 'cancelled' };
-    if (job.unsure) return UNSURE;
-    if (this.dependencies.uncertain(job)) return UNCERTAIN;
+    if (job.mayHaveEnded) return UNSURE;
+    if (this.dependencies.isUncertain(job)) return UNCERTAIN;
     return {
       kind: 'status',
       id,
       status: job.status(),
       done: Math.min(job.doneCount, job.spec.tasks),
-      running: job.running,
-      ...(job.dependencies.size === 0 ? {} : { awaits: [...job.dependencies].slice(0, DEPENDENCIES_SHOWN) }),
+      running: job.runningTasks,
+      ...(job.unmetDependencies.size === 0
+        ? {}
+        : { dependsOn: [...job.unmetDependencies].slice(0, DEPENDENCIES_SHOWN) }),
       ...this.obstacleOf(job),
     };
   }
 }
 
-const UNCERTAIN = retry('the jobs that it awaits are being read');
-const UNSURE = retry('its end or its cancellation is being written');
+const UNCERTAIN = retryLater('the jobs that it awaits are being read');
+const UNSURE = retryLater('its end or its cancellation is being written');
--- a/src/core/machines/rooms.ts
+++ b/src/core/machines/capacity-index.ts
@@ -2,36 +2,36 @@
 // date as entries change: the work for a change and for a choice does not grow with the number of machines.
 import type { Random } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
-import { type Bucket, type Machine, type Place, Pool } from './machine.ts';
+import { type CapacityBucket, type IndexPosition, type Machine, MachinePool } from './machine.ts';
 
 /** Room beyond this many CPUs or accelerators is told apart in steps that grow with it. */
 const FINE = 128;
 
 /** Machines on their way, by type. */
-export type Coming = ReadonlyMap<MachineType, number>;
+export type PendingCapacity = ReadonlyMap<MachineType, number>;
 
-export class Rooms {
-  readonly pools = new Map<string, Pool>();
+export class CapacityIndex {
+  readonly pools = new Map<string, MachinePool>();
   private readonly byImage = new Map<string, Set<Machine>>();
 
   /** Puts the machine where its free room belongs, or takes it out if it cannot be used. */
   update(m: Machine): void {
-    const old = m.place;
-    if (!m.usable) {
+    const old = m.indexPosition;
+    if (!m.isSchedulable) {
       if (old !== null) this.remove(m, old);
       return;
     }
     const bucket = this.bucketOf(m);
     if (old === null) {
       const pool = this.poolOf(m);
-      const place: Place = {
+      const place: IndexPosition = {
         pool,
         bucket,
         at: bucket.members.push(m) - 1,
         usableAt: pool.usable.push(m) - 1,
         free: [0, 0, 0],
       };
-      m.place = place;
+      m.indexPosition = place;
       this.count(m, 1);
       this.countFree(place, m.freeCpus, m.freeGpus, m.freeMemory);
       return;
@@ -44,14 +44,14 @@
   }
 
   private count(m: Machine, by: 1 | -1): void {
-    const { total } = m.place!.pool;
+    const { total } = m.indexPosition!.pool;
     total[0] += m.type.cpus * by;
     total[1] += m.type.gpus * by;
     total[2] += m.type.memoryGb * by;
   }
 
   /** The machine has so much free now. */
-  private countFree({ pool, free }: Place, cpus: number, gpus: number, memoryGb: number): void {
+  private countFree({ pool, free }: IndexPosition, cpus: number, gpus: number, memoryGb: number): void {
     pool.free[0] += cpus - free[0];
     pool.free[1] += gpus - free[1];
     pool.free[2] += memoryGb - free[2];
@@ -60,37 +60,37 @@
     free[2] = memoryGb;
   }
 
-  private remove(m: Machine, old: Place): void {
+  private remove(m: Machine, old: IndexPosition): void {
     this.count(m, -1);
     this.countFree(old, 0, 0, 0);
     this.leave(old);
     const last = old.pool.usable.pop()!;
     if (last !== m) {
       old.pool.usable[old.usableAt] = last;
-      last.place!.usableAt = old.usableAt;
+      last.indexPosition!.usableAt = old.usableAt;
     }
-    m.place = null;
+    m.indexPosition = null;
   }
 
-  private leave(old: Place): void {
+  private leave(old: IndexPosition): void {
     const { members } = old.bucket;
     const last = members.pop()!;
     if (old.at === members.length) return;
     members[old.at] = last;
-    last.place!.at = old.at;
+    last.indexPosition!.at = old.at;
   }
 
-  private poolOf(m: Machine): Pool {
+  private poolOf(m: Machine): MachinePool {
     const key = `${m.type.name}/${m.zone}/${m.spot ? 1 : 0}`;
     let pool = this.pools.get(key);
     if (pool === undefined) {
-      pool = new Pool(m.type, m.zone, m.spot);
+      pool = new MachinePool(m.type, m.zone, m.spot);
       this.pools.set(key, pool);
     }
     return pool;
   }
 
-  private bucketOf(m: Machine): Bucket {
+  private bucketOf(m: Machine): CapacityBucket {
     const pool = this.poolOf(m);
     const cpus = step(m.freeCpus);
     const gpus = step(m.freeGpus);
@@ -105,7 +105,7 @@
 
   // ---- images
 
-  cached(m: Machine, image: string): void {
+  addImage(m: Machine, image: string): void {
     let set = this.byImage.get(image);
     if (set === undefined) {
       set = new Set();
@@ -114,24 +114,24 @@
     set.add(m);
   }
 
-  dropped(m: Machine, image: string): void {
+  removeImage(m: Machine, image: string): void {
     const set = this.byImage.get(image);
     if (set === undefined) return;
     set.delete(m);
     if (set.size === 0) this.byImage.delete(image);
   }
 
-  forget(m: Machine): void {
-    for (const image of m.images.keys()) this.dropped(m, image);
+  removeAllImages(m: Machine): void {
+    for (const image of m.images.keys()) this.removeImage(m, image);
   }
 
-  holdersOf(image: string): ReadonlySet<Machine> | undefined {
+  machinesWithImage(image: string): ReadonlySet<Machine> | undefined {
     return this.byImage.get(image);
   }
 }
 
 /** Up to n members, in a row from a random one on. */
-export function sample(members: Machine[], n: number, random: Random, each: (m: Machine) => void): void {
+export function sampleFrom(members: Machine[], n: number, random: Random, each: (m: Machine) => void): void {
   const size = members.length;
   if (size === 0) return;
   let at = random.below(size);
--- a/src/core/machines/roster.ts
+++ b/src/core/machines/machine-registry.ts
@@ -8,13 +8,13 @@
   type TypeName,
   type ZoneName,
 } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Item } from '../base/model.ts';
-import { Page } from '../record/page.ts';
-import { bytesOf, Priorities, type Store } from '../record/store.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { StoreItem } from '../base/model.ts';
+import { type FencedWriter, jsonBytes, WritePriority } from '../storage/fenced-writer.ts';
+import { SharedRecord } from '../storage/shared-record.ts';
 import type { Machine } from './machine.ts';
 
-export const MACHINE = 'm/';
+export const MACHINE_PREFIX = 'm/';
 /**
  * Pages are begun no more often than this; machines that come up meanwhile share the next. While much else waits to be
  * written, less often, as they go before it.
@@ -29,7 +29,7 @@
 
 type Line = [MachineId, TypeName, ZoneName, 0 | 1];
 
-export interface RosterMachine {
+export interface RegisteredMachine {
   id: MachineId;
   type: TypeName;
   zone: ZoneName;
@@ -41,39 +41,39 @@
   machine: Machine;
 }
 
-export class RosterPage {
+export class RegistryPage {
   readonly members = new Map<MachineId, Member>();
   dirtySince: Instant | null = null;
   /** A page that takes over a part of this one is being written. */
   splitting = false;
-  constructor(readonly page: Page) {}
+  constructor(readonly page: SharedRecord) {}
 }
 
-export class Roster {
-  private readonly pages = new Set<RosterPage>();
+export class MachineRegistry {
+  private readonly pages = new Set<RegistryPage>();
   private gathering: Machine[] = [];
   private begunAt: Instant = LONG_AGO;
   private made = 0;
   private readonly room: number;
-  private readonly io: Outbox;
-  private readonly store: Store;
+  private readonly io: ControllerIo;
+  private readonly store: FencedWriter;
   private readonly term: Revision;
-  onRecorded: (m: Machine) => void = () => {};
+  onRegistered: (m: Machine) => void = () => {};
 
-  constructor(io: Outbox, store: Store, term: Revision) {
+  constructor(io: ControllerIo, store: FencedWriter, term: Revision) {
     this.io = io;
     this.store = store;
     this.term = term;
-    this.room = store.maxValue - OVERHEAD;
+    this.room = store.maxValueBytes - OVERHEAD;
   }
 
   /** A page of an earlier term; tells its machines, but those already known from another page. */
   load(
-    item: Item,
+    item: StoreItem,
     known: (id: MachineId) => boolean,
-    found: (m: RosterMachine, page: RosterPage) => Machine,
+    found: (m: RegisteredMachine, page: RegistryPage) => Machine,
   ): void {
-    const p = new RosterPage(new Page(this.store, item.key, item.revision));
+    const p = new RegistryPage(new SharedRecord(this.store, item.key, item.revision));
     this.pages.add(p);
     for (const line of (item.value as { m: Line[] }).m) {
       const [id, type, zone, spot] = line;
@@ -85,17 +85,17 @@
     }
   }
 
-  record(m: Machine): void {
-    if (m.page !== null || m.recording) return;
-    m.recording = true;
+  register(m: Machine): void {
+    if (m.registryPage !== null || m.isRegistering) return;
+    m.isRegistering = true;
     this.gathering.push(m);
     this.begin();
   }
 
   /** The machine holds nothing for certain: a later owner need not ask for it. */
-  unrecord(m: Machine): void {
-    const p = m.page;
-    m.page = null;
+  unregister(m: Machine): void {
+    const p = m.registryPage;
+    m.registryPage = null;
     if (p === null) return;
     p.members.delete(m.id);
     p.dirtySince ??= this.io.now;
@@ -104,7 +104,8 @@
   tick(): void {
     this.begin();
     for (const p of this.pages)
-      if (p.dirtySince !== null && !p.page.writing && this.io.now - p.dirtySince >= TIDY_MS) this.rewrite(p);
+      if (p.dirtySince !== null && !p.page.isWriting && this.io.now - p.dirtySince >= TIDY_MS)
+        this.rewrite(p);
   }
 
   private begin(): void {
@@ -114,12 +115,12 @@
     const all = this.gathering.map((machine) => ({ line: lineOf(machine), machine }));
     const batch = this.upToRoom(all);
     this.gathering.splice(0, batch.length);
-    this.make(batch, Priorities.roster, (ok, p) => {
+    this.make(batch, WritePriority.machineRegistry, (ok, p) => {
       for (const { machine } of batch) {
-        machine.recording = false;
+        machine.isRegistering = false;
         if (!ok) continue;
-        machine.page = p;
-        this.onRecorded(machine);
+        machine.registryPage = p;
+        this.onRegistered(machine);
       }
     });
   }
@@ -128,14 +129,16 @@
   private upToRoom(members: Member[]): Member[] {
     let bytes = 0;
     const n = members.findIndex((m, i) => {
-      bytes += bytesOf(m.line) + 1;
+      bytes += jsonBytes(m.line) + 1;
       return i > 0 && bytes > this.room;
     });
     return n < 0 ? members : members.slice(0, n);
   }
 
-  private make(batch: Member[], priority: number, done: (ok: boolean, p: RosterPage) => void): void {
-    const p = new RosterPage(new Page(this.store, `${MACHINE}${this.term}.${++this.made}`, 0 as Revision));
+  private make(batch: Member[], priority: number, done: (ok: boolean, p: RegistryPage) => void): void {
+    const p = new RegistryPage(
+      new SharedRecord(this.store, `${MACHINE_PREFIX}${this.term}.${++this.made}`, 0 as Revision),
+    );
     for (const m of batch) p.members.set(m.machine.id, m);
     this.pages.add(p);
     p.page.write(recordOf(p), priority, (ok) => {
@@ -148,16 +151,16 @@
    * A page of an earlier term may be larger than a value may be by now: a part of it is put on record elsewhere
    * before it is written without that part, so that no machine is missing in between.
    */
-  private split(p: RosterPage, keep: number): void {
+  private split(p: RegistryPage, keep: number): void {
     p.splitting = true;
     const rest = this.upToRoom([...p.members.values()].slice(keep));
-    this.make(rest, Priorities.record, (ok, heir) => {
+    this.make(rest, WritePriority.sharedRecord, (ok, heir) => {
       p.splitting = false;
       p.dirtySince = this.io.now;
       if (!ok) return;
       for (const { machine } of rest) {
         // Emptied for certain meanwhile: it leaves the new page as it left the old one.
-        if (p.members.delete(machine.id)) machine.page = heir;
+        if (p.members.delete(machine.id)) machine.registryPage = heir;
         else {
           heir.members.delete(machine.id);
           heir.dirtySince ??= this.io.now;
@@ -166,13 +169,13 @@
     });
   }
 
-  private rewrite(p: RosterPage): void {
+  private rewrite(p: RegistryPage): void {
     if (p.splitting) return;
     const keep = this.upToRoom([...p.members.values()]).length;
     if (keep < p.members.size) return this.split(p, keep);
     p.dirtySince = null;
     const empty = p.members.size === 0;
-    p.page.write(empty ? null : recordOf(p), Priorities.record, (ok) => {
+    p.page.write(empty ? null : recordOf(p), WritePriority.sharedRecord, (ok) => {
       if (!ok) p.dirtySince ??= this.io.now;
       else if (empty && p.members.size === 0) this.pages.delete(p);
     });
@@ -181,4 +184,4 @@
 
 const lineOf = (m: Machine): Line => [m.id, m.type.name, m.zone, m.spot ? 1 : 0];
 
-const recordOf = (p: RosterPage): { m: Line[] } => ({ m: [...p.members.values()].map((m) => m.line) });
+const recordOf = (p: RegistryPage): { m: Line[] } => ({ m: [...p.members.values()].map((m) => m.line) });
--- a/src/core/machines/catalogue.ts
+++ b/src/core/machines/machine-type-catalog.ts
@@ -1,37 +1,37 @@
 // The cloud's machine types: asked of the cloud by every node, and kept in the state service so that a
 // new owner can begin while the cloud's interface is down.
-import { type Instant, LONG_AGO, later, type Revision, type TypeName } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
+import { addMs, type Instant, LONG_AGO, type Revision, type TypeName } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
-import { Priorities, type Store } from '../record/store.ts';
+import { type FencedWriter, WritePriority } from '../storage/fenced-writer.ts';
 
-export const TYPE = 't/';
+export const MACHINE_TYPE_PREFIX = 't/';
 const RETRY_MS = 1500;
 /** Spot prices move; the owner asks again this often. */
 const REFRESH_MS = 60_000;
 
-export class Catalogue {
+export class MachineTypeCatalog {
   readonly types = new Map<TypeName, MachineType>();
   private readonly recorded = new Set<TypeName>();
   private asking = false;
   private nextAsk: Instant = LONG_AGO;
-  private readonly io: Outbox;
+  private readonly io: ControllerIo;
 
-  constructor(io: Outbox) {
+  constructor(io: ControllerIo) {
     this.io = io;
   }
 
-  get known(): boolean {
+  get isLoaded(): boolean {
     return this.types.size > 0;
   }
 
   /** Asks the cloud until it has answered once; the owner goes on asking for the prices. */
   tick(owner: boolean): void {
-    if (this.asking || this.io.now < this.nextAsk || (this.known && !owner)) return;
+    if (this.asking || this.io.now < this.nextAsk || (this.isLoaded && !owner)) return;
     this.asking = true;
     this.io.cloud({ kind: 'types' }, (r) => {
       this.asking = false;
-      this.nextAsk = later(
+      this.nextAsk = addMs(
         this.io.now,
         r.kind === 'types' ? REFRESH_MS : RETRY_MS + this.io.random.below(RETRY_MS),
       );
@@ -52,20 +52,20 @@
     if (!this.types.has(name)) this.types.set(name, t);
   }
 
-  record(store: Store): void {
+  persist(store: FencedWriter): void {
     for (const t of this.types.values()) {
       if (this.recorded.has(t.name)) continue;
       this.recorded.add(t.name);
-      const nonce = store.nonce();
-      const key = TYPE + t.name;
+      const writeId = store.nextWriteId();
+      const key = MACHINE_TYPE_PREFIX + t.name;
       store.write({
         conditions: [{ key, revision: 0 as Revision }],
-        puts: [{ key, value: { v: t, w: nonce } }],
-        drops: [],
-        check: key,
-        nonce,
-        priority: Priorities.record,
-        done: () => {},
+        puts: [{ key, value: { v: t, w: writeId } }],
+        deletes: [],
+        verifyKey: key,
+        writeId,
+        priority: WritePriority.sharedRecord,
+        onResult: () => {},
       });
     }
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,8 +1,8 @@
 // One machine: what is on it and queued for it, its room, and where the index of free room has it.
 import type { Attempt, Instant, JobId, MachineId, ZoneName } from '../../types/index.ts';
-import type { JobSpec, MachineType, Report, TaskReport } from '../base/model.ts';
-import type { Entry, Job } from '../jobs/job.ts';
-import { compare } from '../reports/listing.ts';
+import type { Heartbeat, JobSpec, MachineType, TaskStatus } from '../base/model.ts';
+import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
+import type { Job, TaskAssignment } from '../jobs/job.ts';
 import type { Resources } from '../teams/usage.ts';
 
 const EPS = 1e-9;
@@ -14,17 +14,17 @@
 }
 
 /** An exited task that its machine still reports, until it is told to forget it. */
-export interface Exited {
-  task: TaskReport['task'];
+export interface ExitedTask {
+  task: TaskStatus['task'];
   attempt: Attempt;
   job: JobId;
   index: number;
-  why: string;
-  seen: number;
-  gone?: boolean;
+  exitReason: string;
+  seenSeq: number;
+  isGone?: boolean;
 }
 
-export interface Queued {
+export interface QueuedTask {
   job: Job;
   index: number;
   attempt: Attempt;
@@ -32,51 +32,51 @@
 }
 
 /** Something a machine reports that belongs to no open job; it is stopped and forgotten. */
-export interface Stray {
-  task: TaskReport['task'];
+export interface OrphanTask {
+  task: TaskStatus['task'];
   attempt: Attempt;
 }
 
 export class Machine {
   addr: string | null = null;
-  session = 0;
+  agentEpoch = 0;
   /** The session whose lease has run out. */
-  endedSession = 0;
+  expiredEpoch = 0;
   seq = -1;
   /** The tasks of the report with this number, as it listed them. */
-  listed: readonly TaskReport[] | null = null;
+  lastTaskList: readonly TaskStatus[] | null = null;
   /** That report came as the answer to a probe. */
-  probed = false;
+  answeredProbe = false;
   /** All that was listed is known, and nothing has come or gone since: the same list again says nothing new. */
-  plain = false;
-  seenToken = 0;
+  isTaskListSettled = false;
+  seenFencingToken = 0;
   /** This term's token has been seen by the machine and a report made after that has been read. */
-  synced = false;
-  up = false;
+  isReconciled = false;
+  isUp = false;
   /** Written in the state service, so that a later owner knows to ask it. Nothing is started before. */
-  page: RecordPage | null = null;
-  recording = false;
-  releasing = false;
+  registryPage: RecordPage | null = null;
+  isRegistering = false;
+  isReleasing = false;
   /** Its lease has run out while nobody was answered: by when it is taken to be gone, if it does not report before. */
-  backBy: Instant | null = null;
+  expectedBackBy: Instant | null = null;
   /** Not heard when it should have been: nothing can be started on it before it is. */
-  quiet = false;
-  readonly entries = new Map<string, Entry>();
-  strays: Stray[] = [];
-  readonly queue: Queued[] = [];
+  isOverdue = false;
+  readonly assignments = new Map<string, TaskAssignment>();
+  orphans: OrphanTask[] = [];
+  readonly queue: QueuedTask[] = [];
   /** Exited tasks to be forgotten once recorded: key to job and index. */
-  readonly exited = new Map<string, Exited>();
-  lastReport: Instant;
+  readonly exitedTasks = new Map<string, ExitedTask>();
+  lastHeartbeat: Instant;
   /** When everything on it is gone for certain, unless it is answered again. */
-  leaseEnds: Instant;
-  noticeEnds: Instant | null = null;
-  drain: string | null = null;
+  leaseExpiresAt: Instant;
+  preemptedAt: Instant | null = null;
+  drainReason: string | null = null;
   idleSince: Instant;
   readonly images = new Map<string, number>();
   /** The image noted last: most reports say nothing new of it. */
   lastImage: string | null = null;
-  errorsInRow = 0;
-  readonly erredJobs = new Set<JobId>();
+  consecutiveFailures = 0;
+  readonly failedJobs = new Set<JobId>();
   usedCpus = 0;
   usedGpus = 0;
   usedMemory = 0;
@@ -84,9 +84,9 @@
   queuedGpus = 0;
   queuedMemory = 0;
   /** Where the index of free room has it; null while it cannot be used. */
-  place: Place | null = null;
+  indexPosition: IndexPosition | null = null;
   /** Counted whole against every team's limit. */
-  inDoubt = false;
+  countsAsUncertain = false;
 
   constructor(
     readonly id: MachineId,
@@ -96,9 +96,9 @@
     readonly requestedAt: Instant,
     leaseEnds: Instant,
   ) {
-    this.lastReport = requestedAt;
+    this.lastHeartbeat = requestedAt;
     this.idleSince = requestedAt;
-    this.leaseEnds = leaseEnds;
+    this.leaseExpiresAt = leaseEnds;
   }
 
   /**
@@ -107,25 +107,27 @@
    * worker that was started anew and counts from the beginning. Answered, that one's lease would be renewed while its tasks
    * are taken to be running; and the node that passes it on would tell its next report as what has changed since it.
    */
-  mayAnswer(r: Report): boolean {
-    if (r.session !== this.session) return false;
-    if (r.seq < this.seq) return this.probed;
-    return this.listed !== null && compare(this.listed, r.tasks).tasks === this.listed;
+  mayRespondTo(r: Heartbeat): boolean {
+    if (r.agentEpoch !== this.agentEpoch) return false;
+    if (r.seq < this.seq) return this.answeredProbe;
+    return (
+      this.lastTaskList !== null && diffTaskLists(this.lastTaskList, r.tasks).tasks === this.lastTaskList
+    );
   }
 
-  get usable(): boolean {
+  get isSchedulable(): boolean {
     return (
-      this.synced &&
-      this.up &&
-      this.page !== null &&
-      !this.releasing &&
-      !this.quiet &&
-      this.drain === null &&
-      this.strays.length === 0
+      this.isReconciled &&
+      this.isUp &&
+      this.registryPage !== null &&
+      !this.isReleasing &&
+      !this.isOverdue &&
+      this.drainReason === null &&
+      this.orphans.length === 0
     );
   }
-  get empty(): boolean {
-    return this.entries.size === 0 && this.queue.length === 0 && this.strays.length === 0;
+  get isEmpty(): boolean {
+    return this.assignments.size === 0 && this.queue.length === 0 && this.orphans.length === 0;
   }
   /** Room after all that is on it and queued for it. */
   get freeCpus(): number {
@@ -139,10 +141,10 @@
   }
 }
 
-export const entryKey = (task: string, attempt: number): string => `${task}@${attempt}`;
+export const assignmentKey = (task: string, attempt: number): string => `${task}@${attempt}`;
 
 /** Machines of one pool whose free room is about the same. */
-export interface Bucket {
+export interface CapacityBucket {
   /** No member has more free than this. */
   cpusBelow: number;
   gpusBelow: number;
@@ -150,8 +152,8 @@
 }
 
 /** Machines that are alike but for what is on them. */
-export class Pool {
-  readonly buckets = new Map<number, Bucket>();
+export class MachinePool {
+  readonly buckets = new Map<number, CapacityBucket>();
   readonly usable: Machine[] = [];
   /** Of its usable machines: what they have, and what of it is free. */
   readonly total: Resources = [0, 0, 0];
@@ -165,7 +167,7 @@
   /** Whether a job's description lets its tasks run here. */
   admits(spec: JobSpec): boolean {
     const { type } = this;
-    if (spec.types !== null && !spec.types.includes(type.name)) return false;
+    if (spec.machineTypes !== null && !spec.machineTypes.includes(type.name)) return false;
     if (spec.zone !== null && spec.zone !== this.zone) return false;
     if (this.spot && !spec.spot) return false;
     return (
@@ -175,16 +177,16 @@
 }
 
 /** Where a machine stands in the index; kept by the machine itself so that leaving takes no search. */
-export interface Place {
-  pool: Pool;
-  bucket: Bucket;
+export interface IndexPosition {
+  pool: MachinePool;
+  bucket: CapacityBucket;
   at: number;
   usableAt: number;
   /** Its free room as the index has counted it. */
   free: Resources;
 }
 
-export function hasRoom(m: Machine, job: Job): boolean {
+export function hasFreeCapacity(m: Machine, job: Job): boolean {
   const { spec } = job;
   return (
     m.type.cpus - m.usedCpus + EPS >= spec.cpus &&
@@ -193,13 +195,13 @@
   );
 }
 
-export function zoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
+export function isZoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
   if (job.spec.oneZone) for (const z of used.keys()) if (z !== zone) return false;
   return !job.spec.spread || (used.get(zone) ?? 0) < Math.ceil(job.spec.tasks / 2);
 }
 
 /** Room for the task after everything on the machine and what is queued ahead of it. */
-export function roomAhead(m: Machine, job: Job): boolean {
+export function hasCapacityAhead(m: Machine, job: Job): boolean {
   const { spec } = job;
   let cpus = m.freeCpus;
   let gpus = m.freeGpus;
