--- a/src/core/membership/leadership.ts
+++ b/src/core/membership/leader-election.ts
@@ -1,23 +1,30 @@
 // Who owns the share: a key attached to a hold in the state service. The revision of the commit that
 // created the key is the owner's term, its token for machines, and the condition of all it writes.
-import { type HoldId, type Instant, LONG_AGO, later, type NodeId, type Revision } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Condition, Item, Put, StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
 import {
-  CONFIG_NEWS,
-  CONFIGURED_OWNER_KEY,
-  OWNER_KEY,
-  READ_KEY,
-  type ReadRecord,
-  SHARE,
-} from '../record/keys.ts';
+  addMs,
+  type Instant,
+  LONG_AGO,
+  type NodeId,
+  type Revision,
+  type StoreLeaseId,
+} from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { StoreCondition, StoreItem, StorePut, StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import {
+  CONFIG_NOTIFICATION_KEY,
+  CONFIGURED_LEADER_KEY,
+  LAST_RECOVERY_KEY,
+  LEADER_KEY,
+  type RecoveryRecord,
+  SHARD_PREFIX,
+} from '../storage/keys.ts';
 
 /**
  * A worker whose report an owner leaves unanswered waits for 4 s; the next owner is to be there by then, or it goes round by
  * nodes that may be dead, at 5 s each.
  */
-export const HOLD_MS = 3000;
+export const LEADER_LEASE_MS = 3000;
 const EXTEND_EVERY_MS = 750;
 /**
  * A renewal that is answered late still counts from when it was sent, and the next goes out meanwhile: given up sooner,
@@ -35,31 +42,35 @@
 /** Steady clocks drift apart by at most 0.05%; twice that, and a little for the sender. */
 const DRIFT = 0.001;
 
-export interface OwnerRecord {
+export interface LeaderRecord {
   node: NodeId;
   revision: Revision;
 }
 
-export interface LeadershipHost {
-  onOwned(term: Revision): void;
-  onLost(why: string): void;
-  onOwnerKnown(): void;
+export interface LeaderElectionListener {
+  onElected(term: Revision): void;
+  onLeadershipLost(why: string): void;
+  onLeaderKnown(): void;
   /** Among the owner's writes, so conditional on its term; the revision, or null if it was not made as asked. */
-  writeMove(conditions: Condition[], puts: Put[], done: (revision: Revision | null) => void): void;
+  migrateLeaderKey(
+    conditions: StoreCondition[],
+    puts: StorePut[],
+    done: (revision: Revision | null) => void,
+  ): void;
   /** The configuration's head is on record at this revision. */
-  onConfiguration(revision: Revision): void;
+  onConfigurationChanged(revision: Revision): void;
 }
 
-export class Leadership {
+export class LeaderElection {
   term: Revision | null = null;
-  owner: OwnerRecord | null = null;
+  leader: LeaderRecord | null = null;
   /** Until when, on this node's steady clock, nobody else can have taken the share. */
-  holdEnds: Instant = LONG_AGO;
+  leaseExpiresAt: Instant = LONG_AGO;
   /** When the last request that the state service is known to have served was sent. */
   confirmedAt: Instant = LONG_AGO;
   /** The last owner known to have read all records. */
-  lastRead: ReadRecord | null = null;
-  private hold: HoldId | null = null;
+  lastRecovery: RecoveryRecord | null = null;
+  private hold: StoreLeaseId | null = null;
   private busy = false;
   private nextExtend: Instant = LONG_AGO;
   private nextTry: Instant = LONG_AGO;
@@ -79,14 +90,14 @@
   /** A write that moves it is on its way, under the present term. */
   private moving = false;
   private nextMove: Instant = LONG_AGO;
-  private readonly io: Outbox;
+  private readonly io: ControllerIo;
   private readonly me: NodeId;
   private readonly rank: number;
   private readonly nodes: number;
-  private readonly host: LeadershipHost;
+  private readonly host: LeaderElectionListener;
 
   /** `rank`: how many of the `nodes` stand before this one in the list. */
-  constructor(io: Outbox, me: NodeId, rank: number, nodes: number, host: LeadershipHost) {
+  constructor(io: ControllerIo, me: NodeId, rank: number, nodes: number, host: LeaderElectionListener) {
     this.io = io;
     this.me = me;
     this.rank = rank;
@@ -95,17 +106,17 @@
   }
 
   /** The key under which the share is owned. */
-  get ownerKey(): string {
-    return this.moved ? CONFIGURED_OWNER_KEY : OWNER_KEY;
+  get leaderKey(): string {
+    return this.moved ? CONFIGURED_LEADER_KEY : LEADER_KEY;
   }
 
   /** True while no other controller can own the share: what this node answers is not stale. */
-  get current(): boolean {
-    return this.term !== null && this.io.now < this.holdEnds;
+  get holdsLease(): boolean {
+    return this.term !== null && this.io.now < this.leaseExpiresAt;
   }
 
   /** The state service has answered this node since it last failed to. */
-  get readsRecord(): boolean {
+  get isStoreReadable(): boolean {
     return this.watchFrom !== null;
   }
 
@@ -118,30 +129,30 @@
   }
 
   /** A peer says it owns the share under a revision; the larger revision is the later owner. */
-  heard(node: NodeId, revision: Revision): void {
+  observeLeader(node: NodeId, revision: Revision): void {
     // Said by a former self, and late: believed, nobody would look for the next owner.
     if (revision <= this.overUpTo) return;
-    if (this.owner !== null && revision <= this.owner.revision) return;
-    this.owner = { node, revision };
+    if (this.leader !== null && revision <= this.leader.revision) return;
+    this.leader = { node, revision };
     this.unownedSince = null;
     if (this.term !== null && revision > this.term && node !== this.me)
-      this.lose('another controller took over');
-    this.host.onOwnerKnown();
+      this.stepDown('another controller took over');
+    this.host.onLeaderKnown();
   }
 
   /** A machine has seen a token above this node's: somebody took over. */
-  superseded(): void {
-    this.lose('a machine has seen a higher token');
-    this.owner = null;
+  onHigherFencingToken(): void {
+    this.stepDown('a machine has seen a higher token');
+    this.leader = null;
     this.unownedSince = null;
-    this.reread();
+    this.refresh();
   }
 
   /**
    * Who owns the share must be read again, and at once. A watch that is open tells only of changes from where it began:
    * left to end, it would make this node wait for a change that may never come, while nobody owns the share.
    */
-  reread(): void {
+  refresh(): void {
     this.watchFrom = null;
     this.watching = false;
     this.asked++;
@@ -152,14 +163,14 @@
     this.watching = true;
     const no = ++this.asked;
     if (this.watchFrom === null)
-      this.io.state({ kind: 'list', prefix: SHARE, after: null }, Rank.hold, (r) => {
+      this.io.store({ kind: 'list', prefix: SHARD_PREFIX, after: null }, StorePriority.lease, (r) => {
         if (no === this.asked) this.onList(r);
       });
     else {
       const waitMs = this.configuration > 0 ? CONFIGURED_WATCH_MS : WATCH_MS;
-      this.io.state(
-        { kind: 'watch', prefix: SHARE, after: this.watchFrom, waitMs },
-        Rank.hold,
+      this.io.store(
+        { kind: 'watch', prefix: SHARD_PREFIX, after: this.watchFrom, waitMs },
+        StorePriority.lease,
         (r) => {
           if (no === this.asked) this.onChanges(r);
         },
@@ -168,36 +179,36 @@
     }
   }
 
-  private onList(r: StateReply): void {
+  private onList(r: StoreReply): void {
     this.watching = false;
     if (r.kind !== 'items') {
-      this.nextTry = later(this.io.now, RETRY_MS + this.io.random.below(RETRY_MS));
+      this.nextTry = addMs(this.io.now, RETRY_MS + this.io.random.below(RETRY_MS));
       return;
     }
     this.watchFrom = r.revision;
     this.note(r.items);
-    const found = r.items.find((i) => i.key === this.ownerKey);
+    const found = r.items.find((i) => i.key === this.leaderKey);
     if (found !== undefined) this.see(found);
     else this.vanish(r.revision);
     this.watch();
   }
 
-  private onChanges(r: StateReply): void {
+  private onChanges(r: StoreReply): void {
     this.watching = false;
     if (r.kind !== 'changes') {
       if (r.kind === 'too-old') this.watchFrom = null;
-      this.nextTry = later(this.io.now, RETRY_MS + this.io.random.below(RETRY_MS));
+      this.nextTry = addMs(this.io.now, RETRY_MS + this.io.random.below(RETRY_MS));
       // A watch that broke may have missed the share's end.
       if (r.kind !== 'refused') this.watchFrom = null;
       return;
     }
     this.watchFrom = r.revision;
-    const before = this.ownerKey;
+    const before = this.leaderKey;
     this.note(r.puts);
-    const put = r.puts.filter((i) => i.key === this.ownerKey).at(-1);
-    const dropped = r.drops.includes(this.ownerKey);
+    const put = r.puts.filter((i) => i.key === this.leaderKey).at(-1);
+    const dropped = r.deletes.includes(this.leaderKey);
     // Who owns the share under its other key may have been on record before.
-    if (before !== this.ownerKey && put === undefined) this.watchFrom = null;
+    if (before !== this.leaderKey && put === undefined) this.watchFrom = null;
     if (put !== undefined) this.see(put);
     if (dropped && put === undefined) this.vanish(r.revision);
     // Which of the two came last is not told: read again.
@@ -206,21 +217,21 @@
   }
 
   /** What stands beside the owner's key. */
-  private note(items: Item[]): void {
-    const read = items.find((i) => i.key === READ_KEY);
-    if (read !== undefined) this.lastRead = read.value as ReadRecord;
-    if (items.some((i) => i.key === OWNER_KEY && isMoved(i))) this.moved = true;
-    const news = items.find((i) => i.key === CONFIG_NEWS);
+  private note(items: StoreItem[]): void {
+    const read = items.find((i) => i.key === LAST_RECOVERY_KEY);
+    if (read !== undefined) this.lastRecovery = read.value as RecoveryRecord;
+    if (items.some((i) => i.key === LEADER_KEY && isMoved(i))) this.moved = true;
+    const news = items.find((i) => i.key === CONFIG_NOTIFICATION_KEY);
     if (news === undefined || news.revision <= this.configuration) return;
     this.configuration = news.revision;
-    this.host.onConfiguration(news.revision);
+    this.host.onConfigurationChanged(news.revision);
   }
 
-  private see(item: Item): void {
+  private see(item: StoreItem): void {
     const node = (item.value as { node?: NodeId }).node;
     if (node === undefined) return;
     this.unownedSince = null;
-    if (node !== this.me) this.heard(node, item.revision);
+    if (node !== this.me) this.observeLeader(node, item.revision);
     // A key of this node's under another revision is an earlier process of it, or a request of that process that came
     // late: its hold runs out by itself.
     else if (item.revision !== this.term) this.endedAsOwner = true;
@@ -228,7 +239,7 @@
 
   private vanish(at: Revision): void {
     this.overUpTo = Math.max(this.overUpTo, at) as Revision;
-    if (this.term === null) this.owner = null;
+    if (this.term === null) this.leader = null;
     this.unownedSince ??= this.io.now;
   }
 
@@ -239,9 +250,9 @@
     if (io.now - this.unownedSince < this.turn * TURN_MS) return;
     this.busy = true;
     const sentAt = io.now;
-    io.state({ kind: 'grant', ttlMs: HOLD_MS }, Rank.hold, (r) => {
-      if (r.kind !== 'granted') return this.backOff();
-      this.take(r.hold, sentAt);
+    io.store({ kind: 'grant-lease', ttlMs: LEADER_LEASE_MS }, StorePriority.lease, (r) => {
+      if (r.kind !== 'lease-granted') return this.backOff();
+      this.take(r.lease, sentAt);
     });
   }
 
@@ -252,54 +263,54 @@
 
   private backOff(): void {
     this.busy = false;
-    this.nextTry = later(this.io.now, RETRY_MS + this.io.random.below(500));
+    this.nextTry = addMs(this.io.now, RETRY_MS + this.io.random.below(500));
   }
 
   /**
    * What takes the share: on the condition that nobody owns it, under either key, and that the configuration is the one
    * that this node knows of, so that the new owner knows at its term what it has to read.
    */
-  private taking(hold: HoldId): { conditions: Condition[]; puts: Put[] } {
+  private taking(lease: StoreLeaseId): { conditions: StoreCondition[]; puts: StorePut[] } {
     const none = 0 as Revision;
-    const conditions = [{ key: CONFIG_NEWS, revision: this.configuration }];
-    if (!this.moved) conditions.push({ key: OWNER_KEY, revision: none });
+    const conditions = [{ key: CONFIG_NOTIFICATION_KEY, revision: this.configuration }];
+    if (!this.moved) conditions.push({ key: LEADER_KEY, revision: none });
     if (this.configuration === 0)
-      return { conditions, puts: [{ key: OWNER_KEY, value: { node: this.me }, hold }] };
-    conditions.push({ key: CONFIGURED_OWNER_KEY, revision: none });
-    const puts: Put[] = [{ key: CONFIGURED_OWNER_KEY, value: { node: this.me }, hold }];
-    if (!this.moved) puts.push({ key: OWNER_KEY, value: MOVED });
+      return { conditions, puts: [{ key: LEADER_KEY, value: { node: this.me }, lease }] };
+    conditions.push({ key: CONFIGURED_LEADER_KEY, revision: none });
+    const puts: StorePut[] = [{ key: CONFIGURED_LEADER_KEY, value: { node: this.me }, lease }];
+    if (!this.moved) puts.push({ key: LEADER_KEY, value: MOVED });
     return { conditions, puts };
   }
 
-  private take(hold: HoldId, sentAt: Instant): void {
+  private take(lease: StoreLeaseId, sentAt: Instant): void {
     const { io } = this;
-    const { conditions, puts } = this.taking(hold);
+    const { conditions, puts } = this.taking(lease);
     const configured = this.configuration > 0;
-    io.state({ kind: 'commit', conditions, puts, drops: [] }, Rank.hold, (r) => {
+    io.store({ kind: 'compare-and-swap', conditions, puts, deletes: [] }, StorePriority.lease, (r) => {
       if (r.kind === 'committed') {
         this.moved ||= configured;
-        this.own(r.revision, hold, sentAt);
+        this.own(r.revision, lease, sentAt);
         return;
       }
       // Without an answer the take-over may still be applied; the hold is left to end, and with it the key.
-      if (r.kind === 'no-answer') io.state({ kind: 'revoke', hold }, Rank.hold, () => {});
+      if (r.kind === 'no-answer') io.store({ kind: 'revoke-lease', lease }, StorePriority.lease, () => {});
       this.unownedSince = null;
-      this.reread();
+      this.refresh();
       this.backOff();
     });
   }
 
-  private own(term: Revision, hold: HoldId, sentAt: Instant): void {
+  private own(term: Revision, hold: StoreLeaseId, sentAt: Instant): void {
     this.busy = false;
     this.term = term;
     this.hold = hold;
-    this.owner = { node: this.me, revision: term };
+    this.leader = { node: this.me, revision: term };
     this.unownedSince = null;
     this.endedAsOwner = false;
     this.confirm(sentAt);
     this.nextExtend = LONG_AGO;
     this.io.log('info', 'term taken', { term });
-    this.host.onOwned(term);
+    this.host.onElected(term);
   }
 
   /**
@@ -312,16 +323,16 @@
     if (this.moved || this.configuration === 0 || term === null || hold === null) return;
     if (this.moving || io.now < this.nextMove) return;
     this.moving = true;
-    this.nextMove = later(io.now, RETRY_MS);
-    const conditions = [{ key: CONFIGURED_OWNER_KEY, revision: 0 as Revision }];
-    const puts: Put[] = [
-      { key: CONFIGURED_OWNER_KEY, value: { node: this.me }, hold },
-      { key: OWNER_KEY, value: MOVED },
+    this.nextMove = addMs(io.now, RETRY_MS);
+    const conditions = [{ key: CONFIGURED_LEADER_KEY, revision: 0 as Revision }];
+    const puts: StorePut[] = [
+      { key: CONFIGURED_LEADER_KEY, value: { node: this.me }, lease: hold },
+      { key: LEADER_KEY, value: MOVED },
     ];
-    this.host.writeMove(conditions, puts, (revision) => {
+    this.host.migrateLeaderKey(conditions, puts, (revision) => {
       if (this.term !== term) return;
       const { confirmedAt } = this;
-      this.lose('the share has moved to the key for configured shares');
+      this.stepDown('the share has moved to the key for configured shares');
       if (revision === null) return;
       this.moved = true;
       this.own(revision, hold, confirmedAt);
@@ -330,43 +341,43 @@
 
   private confirm(sentAt: Instant): void {
     this.confirmedAt = Math.max(this.confirmedAt, sentAt) as Instant;
-    this.holdEnds = later(this.confirmedAt, HOLD_MS * (1 - DRIFT));
+    this.leaseExpiresAt = addMs(this.confirmedAt, LEADER_LEASE_MS * (1 - DRIFT));
   }
 
   private extend(): void {
     const { io } = this;
     if (io.now < this.nextExtend || this.hold === null) return;
     const sentAt = io.now;
-    this.nextExtend = later(sentAt, EXTEND_EVERY_MS);
+    this.nextExtend = addMs(sentAt, EXTEND_EVERY_MS);
     const term = this.term;
-    io.state(
-      { kind: 'extend', hold: this.hold },
-      Rank.hold,
+    io.store(
+      { kind: 'renew-lease', lease: this.hold },
+      StorePriority.lease,
       (r) => {
         if (this.term !== term) return;
         if (r.kind === 'ok') this.confirm(sentAt);
-        else if (r.kind === 'missing') this.lose('the hold has ended');
-        else this.nextExtend = Math.min(this.nextExtend, later(io.now, EXTEND_AGAIN_MS)) as Instant;
+        else if (r.kind === 'missing') this.stepDown('the hold has ended');
+        else this.nextExtend = Math.min(this.nextExtend, addMs(io.now, EXTEND_AGAIN_MS)) as Instant;
       },
       EXTEND_TIMEOUT_MS,
     );
   }
 
-  lose(why: string): void {
+  stepDown(why: string): void {
     if (this.term === null) return;
     this.io.log('info', 'term lost', { term: this.term, why });
     this.term = null;
     this.hold = null;
-    this.holdEnds = LONG_AGO;
+    this.leaseExpiresAt = LONG_AGO;
     this.moving = false;
-    if (this.owner?.node === this.me) this.owner = null;
-    this.reread();
-    this.host.onLost(why);
+    if (this.leader?.node === this.me) this.leader = null;
+    this.refresh();
+    this.host.onLeadershipLost(why);
   }
 }
 
 /** Left under the first key when the share has moved: it names no owner, and is never dropped. */
-const MOVED = { moved: CONFIGURED_OWNER_KEY };
+const MOVED = { moved: CONFIGURED_LEADER_KEY };
 
-const isMoved = (item: Item): boolean =>
-  (item.value as { moved?: string } | null)?.moved === CONFIGURED_OWNER_KEY;
+const isMoved = (item: StoreItem): boolean =>
+  (item.value as { moved?: string } | null)?.moved === CONFIGURED_LEADER_KEY;
--- a/src/core/placement/fit.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -3,8 +3,8 @@
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Machine, Pool } from '../machines/machine.ts';
-import type { Rooms } from '../machines/rooms.ts';
+import type { CapacityIndex } from '../machines/capacity-index.ts';
+import type { Machine, MachinePool } from '../machines/machine.ts';
 
 interface Shape {
   cpus: number;
@@ -28,7 +28,7 @@
 /** What room for a class is worth while none of its tasks wait. */
 const NOT_WAITING = 0.3;
 /** A task is not put where it displaces waiting work worth this many times as much. */
-export const WASTEFUL = 1.6;
+export const WASTEFUL_COST_RATIO = 1.6;
 /** Dear machines are left to fall idle, and be returned, before cheap ones: so much for each time the price grows by e. */
 const DEARER = 0.4;
 /** Fuller machines are filled first: emptier ones drain, for tasks that need them whole or to be returned. */
@@ -37,7 +37,7 @@
 const LATE = 2;
 const LATE_MAX = 1;
 
-export class Fit {
+export class BinPackingScorer {
   private shapes: Shape[] = [];
   /** The least urgent class's. */
   leastPriority = 0;
@@ -64,7 +64,7 @@
    */
   refresh(
     jobs: Iterable<Job>,
-    rooms: Rooms,
+    rooms: CapacityIndex,
     expected: (cls: string) => number,
     allows: (job: Job) => number,
   ): void {
@@ -73,7 +73,7 @@
       { spec: JobSpec; n: number; wanted: number; priority: number; room: Room }
     >();
     for (const j of jobs) {
-      if (j.unwanted) continue;
+      if (j.isCancelling) continue;
       const s = sums.get(j.spec.class) ?? {
         spec: j.spec,
         n: 0,
@@ -83,7 +83,7 @@
       };
       s.n++;
       // What waits for its team's limit alone would not take the room.
-      const wanted = j.wanting === 0 ? 0 : Math.min(j.wanting, allows(j));
+      const wanted = j.unplacedTasks === 0 ? 0 : Math.min(j.unplacedTasks, allows(j));
       s.wanted += wanted;
       if (wanted > 0) s.priority = Math.max(s.priority, j.priority);
       s.room.cpus += j.spec.cpus;
@@ -96,15 +96,15 @@
     this.shapes = [];
     for (const [cls, s] of sums) {
       const mean = { cpus: s.room.cpus / s.n, gpus: s.room.gpus / s.n, memoryGb: s.room.memoryGb / s.n };
-      const value = this.valueOf(mean, s.spec.types);
-      this.bases.set(cls, this.cheapest(mean, s.spec.types));
+      const value = this.valueOf(mean, s.spec.machineTypes);
+      this.bases.set(cls, this.cheapest(mean, s.spec.machineTypes));
       this.values.set(cls, value);
       // While any of it waits all room counts: free room beyond that was gone to small tasks before the next look at it.
       const kept = s.wanted > 0 ? 1 : freeSlots(rooms, s.spec, mean, expected(cls)) ? 0 : NOT_WAITING;
-      const { types, spot } = s.spec;
+      const { machineTypes, spot } = s.spec;
       const priority = s.wanted > 0 ? s.priority : s.spec.priority;
       this.leastPriority = Math.min(this.leastPriority, priority);
-      this.shapes.push({ ...mean, types, spot, priority, value: value * kept });
+      this.shapes.push({ ...mean, types: machineTypes, spot, priority, value: value * kept });
     }
   }
 
@@ -120,8 +120,8 @@
   }
 
   /** Whether the job's tasks do not suit the type even on an empty machine. */
-  wasteful(job: Job, pool: Pool): boolean {
-    return this.typeScore(job, pool) > WASTEFUL;
+  wasteful(job: Job, pool: MachinePool): boolean {
+    return this.typeScore(job, pool) > WASTEFUL_COST_RATIO;
   }
 
   /** The lowest price at which such a task could run. */
@@ -162,7 +162,7 @@
     // Work is not kept from a machine for the sake of what is less urgent: services found 197 machines standing idle,
     // each worth more to a gang of lower priority.
     const kept = this.cost(job, m.type, room, m.spot, job.priority);
-    if (kept > WASTEFUL) return Number.POSITIVE_INFINITY;
+    if (kept > WASTEFUL_COST_RATIO) return Number.POSITIVE_INFINITY;
     // Among those it may take, still the one that is worth least to all others.
     const cost =
       job.priority <= this.leastPriority ? kept : this.cost(job, m.type, room, m.spot, this.leastPriority);
@@ -177,7 +177,7 @@
    * others need, or that needed others: a chain pays it at every link.
    */
   private lateness(job: Job, m: Machine): number {
-    if (!job.inChain || job.slackS === null) return 0;
+    if (!job.isInDependencyChain || job.slackS === null) return 0;
     const fetchS = m.images.has(job.spec.image) ? 0 : job.spec.imageGb / Math.max(1e-3, m.type.fetchGbPerS);
     return Math.min(LATE_MAX, (LATE * (this.answerInS(m) + fetchS)) / Math.max(1, job.slackS));
   }
@@ -197,7 +197,7 @@
   }
 
   /** The same for the machine when empty: says how well its type suits. */
-  typeScore(job: Job, { type, spot }: Pool): number {
+  typeScore(job: Job, { type, spot }: MachinePool): number {
     return this.cost(job, type, type, spot, job.priority);
   }
 
@@ -217,14 +217,14 @@
   private fetchPenalty(job: Job, m: Machine): number {
     if (m.images.has(job.spec.image) || m.type.fetchGbPerS <= 0) return 0;
     const fetchS = job.spec.imageGb / m.type.fetchGbPerS;
-    return fetchS / (fetchS + Math.max(1, job.spec.estimateS));
+    return fetchS / (fetchS + Math.max(1, job.spec.estimatedRunS));
   }
 }
 
 const freeRoom = (m: Machine): Room => ({ cpus: m.freeCpus, gpus: m.freeGpus, memoryGb: m.freeMemory });
 
 /** Whether there is room now for more than n tasks of about this size. */
-function freeSlots(rooms: Rooms, spec: JobSpec, shape: Room, n: number): boolean {
+function freeSlots(rooms: CapacityIndex, spec: JobSpec, shape: Room, n: number): boolean {
   let found = 0;
   for (const pool of rooms.pools.values()) {
     if (!pool.admits(spec)) continue;
--- a/src/core/placement/shares.ts
+++ b/src/core/scheduling/fair-share.ts
@@ -5,11 +5,11 @@
 // owed anything.
 import type { Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import { dominant, maxMin, type Part } from '../teams/maxmin.ts';
-import { addTo, type Resources, takes, type Usage, type Use } from '../teams/usage.ts';
+import { dominantShare, maxMinShares, type ShareDemand } from '../teams/max-min-fairness.ts';
+import { addResources, type ClassUsage, type Resources, resourcesOf, type Usage } from '../teams/usage.ts';
 import type { MachineSet } from './machine-sets.ts';
 
-export interface Floors {
+export interface FairShareFloors {
   /** Part of its fair share that a team, or a class, is never kept below. 0: none. */
   team: number;
   class: number;
@@ -28,32 +28,32 @@
 
 const NONE: Resources = [0, 0, 0];
 
-export class Shares {
+export class FairShare {
   private readonly accounts = new Map<MachineSet, Account>();
   private guaranteed = new Map<string, Resources>();
-  private floors: Floors = { team: 0, class: 0 };
+  private floors: FairShareFloors = { team: 0, class: 0 };
 
   constructor(private readonly usage: Usage) {}
 
   /** Guarantees and floors from now on. */
-  configure(teams: Iterable<Team>, floors: Floors): void {
+  configure(teams: Iterable<Team>, floors: FairShareFloors): void {
     this.guaranteed = new Map([...teams].map((t) => [t.name, [t.cpus, t.gpus, 0]]));
     this.floors = floors;
   }
 
-  begin(): void {
+  beginCycle(): void {
     this.accounts.clear();
   }
 
   /** A machine set that has less room than waits in it, `tasks` of each job. Work: the jobs, and n log n in the names. */
-  short(machineSet: MachineSet, waiting: readonly { job: Job; tasks: number }[]): void {
+  isShort(machineSet: MachineSet, waiting: readonly { job: Job; tasks: number }[]): void {
     const capacity: Resources = [0, 0, 0];
     for (const p of machineSet.pools) for (let r = 0; r < 3; r++) capacity[r] = capacity[r]! + p.total[r]!;
     const teams = new Map<string, Resources>();
     const classes = new Map<string, Resources>();
     for (const { job, tasks } of waiting) {
-      addTo(sumOf(teams, job.spec.team), job.spec, tasks);
-      addTo(sumOf(classes, job.spec.class), job.spec, tasks);
+      addResources(sumOf(teams, job.spec.team), job.spec, tasks);
+      addResources(sumOf(classes, job.spec.class), job.spec, tasks);
     }
     const usedBy = (by: 'teams' | 'classes') => this.usage.on(machineSet.types, by);
     this.accounts.set(machineSet, {
@@ -64,29 +64,29 @@
   }
 
   /** How many tasks of the job go before others, for its team's or its class's sake. */
-  owed(job: Job, machineSet: MachineSet): number {
+  owedTasks(job: Job, machineSet: MachineSet): number {
     const a = this.accounts.get(machineSet);
     if (a === undefined) return 0;
-    const each = dominant(takes(job.spec), a.capacity);
+    const each = dominantShare(resourcesOf(job.spec), a.capacity);
     if (each <= 0) return 0;
     const of = (s: Side, name: string): number =>
-      (s.floors.get(name) ?? 0) - dominant(s.used.get(name) ?? NONE, a.capacity);
+      (s.floors.get(name) ?? 0) - dominantShare(s.used.get(name) ?? NONE, a.capacity);
     const missing = Math.max(of(a.teams, job.spec.team), of(a.classes, job.spec.class));
     return Math.max(0, Math.floor(missing / each + 1e-6));
   }
 
   /** Tasks of the job have found a place since the accounts were made. */
-  placed(job: Job, machineSet: MachineSet, tasks: number): void {
+  onPlaced(job: Job, machineSet: MachineSet, tasks: number): void {
     const a = this.accounts.get(machineSet);
     if (a === undefined) return;
-    addTo(sumOf(a.teams.used, job.spec.team), job.spec, tasks);
-    addTo(sumOf(a.classes.used, job.spec.class), job.spec, tasks);
+    addResources(sumOf(a.teams.used, job.spec.team), job.spec, tasks);
+    addResources(sumOf(a.classes.used, job.spec.class), job.spec, tasks);
   }
 }
 
 function side(
   wanted: Map<string, Resources>,
-  using: Map<string, Use>,
+  using: Map<string, ClassUsage>,
   capacity: Resources,
   floor: number,
   guaranteed: Map<string, Resources> | null,
@@ -96,7 +96,7 @@
   if (floor <= 0) return { floors, used };
   // Who asks for nothing more keeps what it has: that is not shared out.
   const names = [...new Set([...wanted.keys(), ...using.keys()])];
-  const parts: Part[] = names.map((name) => {
+  const parts: ShareDemand[] = names.map((name) => {
     const want = wanted.get(name) ?? NONE;
     const use = used.get(name) ?? NONE;
     return {
@@ -105,9 +105,9 @@
       weight: 1,
     };
   });
-  const got = maxMin(parts, capacity);
+  const got = maxMinShares(parts, capacity);
   names.forEach((name, i) => {
-    if (wanted.has(name)) floors.set(name, got[i]! * dominant(parts[i]!.demand, capacity) * floor);
+    if (wanted.has(name)) floors.set(name, got[i]! * dominantShare(parts[i]!.demand, capacity) * floor);
   });
   return { floors, used };
 }
--- a/src/core/placement/gangs.ts
+++ b/src/core/scheduling/gang-scheduler.ts
@@ -1,11 +1,11 @@
 // Gangs: all parts get their places at once, under one attempt; a waiting gang that lost a part gets a
 // replacement under the same attempt. A gang that finds no room has it gathered in one zone.
 import type { Attempt, ZoneName } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import { type Job, Task } from '../jobs/job.ts';
-import { type Machine, roomAhead, zoneAllowed } from '../machines/machine.ts';
-import type { Rooms } from '../machines/rooms.ts';
-import type { Fit } from './fit.ts';
+import type { ControllerIo } from '../base/io.ts';
+import { type Job, TaskPhase } from '../jobs/job.ts';
+import type { CapacityIndex } from '../machines/capacity-index.ts';
+import { hasCapacityAhead, isZoneAllowed, type Machine } from '../machines/machine.ts';
+import type { BinPackingScorer } from './bin-packing.ts';
 import type { Reservations } from './reservations.ts';
 
 type Enqueue = (m: Machine, index: number, attempt: Attempt) => void;
@@ -17,24 +17,24 @@
 const SPARE = 3;
 /** Machines with the image looked at for each part. */
 const LOOK_IMAGE = 30;
-export class GangPlanner {
+export class GangScheduler {
   constructor(
-    private readonly io: Outbox,
-    private readonly rooms: Rooms,
-    private readonly fit: Fit,
+    private readonly io: ControllerIo,
+    private readonly rooms: CapacityIndex,
+    private readonly fit: BinPackingScorer,
     private readonly reservations: Reservations,
   ) {}
 
   /** Gives every missing part its place, or none; returns how many were placed. */
   plan(job: Job, allowed: number, nextAttempt: () => Attempt, enqueue: Enqueue, mayReserve = true): number {
-    if (job.unlocated > 0 || job.queued > 0) return 0;
+    if (job.unlocatedTasks > 0 || job.queuedTasks > 0) return 0;
     // A gang that has run and lost a part is over: its other parts exit, and the next attempt starts afresh.
-    if (job.live > 0 && (job.gangRan || job.gangAttempt === null)) return 0;
+    if (job.assignedTasks > 0 && (job.gangHasRun || job.gangAttempt === null)) return 0;
     const missing = partsToPlace(job);
     if (missing.length === 0 || missing.length > allowed) return 0;
     const places = this.places(job, missing.length, mayReserve);
     if (places === null) return 0;
-    const attempt = job.live > 0 ? job.gangAttempt! : nextAttempt();
+    const attempt = job.assignedTasks > 0 ? job.gangAttempt! : nextAttempt();
     job.gangAttempt = attempt;
     missing.forEach((index, i) => {
       enqueue(places[i]!, index, attempt);
@@ -59,7 +59,7 @@
     // Once begun in a zone, gathering goes on there.
     let zone = most?.zone ?? null;
     if (zone !== null) for (const m of this.reservations.of(job)) zone = m.zone;
-    this.reservations.want(job, n, zone);
+    this.reservations.reserve(job, n, zone);
     return null;
   }
 
@@ -72,7 +72,12 @@
     const slots: Slot[] = [];
     const seen = new Set<Machine>();
     const add = (m: Machine): boolean => {
-      if (seen.has(m) || this.reservations.keptFrom(m, job) || job.failedOn.has(m.id) || !roomAhead(m, job))
+      if (
+        seen.has(m) ||
+        this.reservations.isReservedAgainst(m, job) ||
+        job.failedOn.has(m.id) ||
+        !hasCapacityAhead(m, job)
+      )
         return false;
       const score = this.fit.score(job, m);
       if (!Number.isFinite(score)) return false;
@@ -101,9 +106,9 @@
   private addImageHolders(job: Job, n: number, zones: ZoneName[], add: (m: Machine) => boolean): void {
     let wanted = n * SPARE;
     let looks = n * LOOK_IMAGE;
-    for (const m of this.rooms.holdersOf(job.spec.image) ?? []) {
+    for (const m of this.rooms.machinesWithImage(job.spec.image) ?? []) {
       if (wanted <= 0 || looks-- <= 0) return;
-      if (m.place?.pool.admits(job.spec) && zones.includes(m.zone) && add(m)) wanted--;
+      if (m.indexPosition?.pool.admits(job.spec) && zones.includes(m.zone) && add(m)) wanted--;
     }
   }
 
@@ -113,7 +118,7 @@
     const out: Slot[] = [];
     for (const s of slots) {
       if (out.length === n) break;
-      if (!zoneAllowed(job, s.m.zone, zones)) continue;
+      if (!isZoneAllowed(job, s.m.zone, zones)) continue;
       out.push(s);
       zones.set(s.m.zone, (zones.get(s.m.zone) ?? 0) + 1);
     }
@@ -125,7 +130,7 @@
 
 function partsToPlace(job: Job): number[] {
   const out: number[] = [];
-  for (let i = 0; i < job.spec.tasks; i++) if (job.state[i] === Task.Waiting) out.push(i);
+  for (let i = 0; i < job.spec.tasks; i++) if (job.phases[i] === TaskPhase.Waiting) out.push(i);
   return out;
 }
 
--- a/src/core/placement/ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,21 +1,21 @@
 // In which order waiting jobs are served: priority, then teams within their guarantee, then the time left until the next
 // aim that can still be met; while there is not room for all, less those that are put off (triage.ts), which come last.
-import type { Outbox } from '../base/io.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Jobs } from '../jobs/jobs.ts';
-import { ageS, type Estimates, type Ordering, slackOf } from '../jobs/order.ts';
-import { isGang } from '../jobs/shape.ts';
+import { ageS, type JobOrdering, type RuntimeEstimates, slackOf } from '../jobs/job-ordering.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import { isGang } from '../jobs/placement-constraints.ts';
 import type { Quota } from '../teams/quota.ts';
+import type { FairShare } from './fair-share.ts';
+import { type Candidate, type Supply, selectLateJobs } from './late-job-selection.ts';
 import type { MachineSet, MachineSets } from './machine-sets.ts';
-import type { Shares } from './shares.ts';
-import { type Candidate, type Supply, triage } from './triage.ts';
 
-export interface Ranked {
+export interface RankedJobs {
   /** By priority and guarantee; the jobs of one go before all of the next. */
   groups: Job[][];
   /** For jobs in whose machine set there is not room for all: what goes first for the sake of shares (shares.ts). */
   machineSets: ReadonlyMap<Job, MachineSet>;
-  putOff: ReadonlySet<Job>;
+  deferred: ReadonlySet<Job>;
 }
 
 const LEAST_S = 1;
@@ -44,29 +44,29 @@
   slack: number;
 }
 
-export class Ranking {
+export class JobRanking {
   constructor(
-    private readonly io: Outbox,
-    private readonly jobs: Jobs,
+    private readonly io: ControllerIo,
+    private readonly jobs: JobTable,
     private readonly quota: Quota,
-    private readonly ordering: Ordering,
-    private readonly estimates: Estimates,
-    private readonly shares: Shares,
+    private readonly ordering: JobOrdering,
+    private readonly estimates: RuntimeEstimates,
+    private readonly shares: FairShare,
     private readonly machineSets: MachineSets,
   ) {}
 
-  rank(): Ranked {
-    this.machineSets.begin();
-    this.shares.begin();
-    const { now, wall } = this.io;
+  rank(): RankedJobs {
+    this.machineSets.beginCycle();
+    this.shares.beginCycle();
+    const { now, wallTime } = this.io;
     const rows: Row[] = [];
-    for (const job of this.jobs.waiting) {
-      if (job.unwanted || now < job.retryAt) continue;
-      const age = ageS(job, now, wall);
-      const dues = this.ordering.duesS(job, now, wall);
+    for (const job of this.jobs.waitingJobs) {
+      if (job.isCancelling || now < job.retryAt) continue;
+      const age = ageS(job, now, wallTime);
+      const dues = this.ordering.deadlinesS(job, now, wallTime);
       const slack = slackOf(dues, age);
       job.slackS = slack;
-      const tasks = Math.min(job.waiting, this.quota.allows(job));
+      const tasks = Math.min(job.waitingTasks, this.quota.allowedTasks(job));
       const group = -2 * job.priority + (this.quota.withinGuarantee(job) ? 0 : 1);
       rows.push({ job, tasks, group, machineSet: this.machineSets.of(job), age, dues, slack });
     }
@@ -74,32 +74,32 @@
     return this.sorted(rows);
   }
 
-  private sorted(rows: Row[]): Ranked {
+  private sorted(rows: Row[]): RankedJobs {
     const bySet = new Map<MachineSet, Row[]>();
     for (const r of rows) {
       const list = bySet.get(r.machineSet);
       if (list === undefined) bySet.set(r.machineSet, [r]);
       else list.push(r);
     }
-    const out = { groups: [] as Job[][], machineSets: new Map<Job, MachineSet>(), putOff: new Set<Job>() };
+    const out = { groups: [] as Job[][], machineSets: new Map<Job, MachineSet>(), deferred: new Set<Job>() };
     const triages = new Map<MachineSet, Triage>();
     for (const [machineSet, here] of bySet) {
       if (here.reduce((n, r) => n + takesOf(r), 0) <= this.machineSets.free(machineSet)) continue;
       triages.set(machineSet, { supply: this.machineSets.supply(machineSet), taken: 0 });
-      this.shares.short(machineSet, here);
+      this.shares.isShort(machineSet, here);
       for (const r of here) out.machineSets.set(r.job, machineSet);
     }
     for (let from = 0; from < rows.length; ) {
       let to = from;
       while (to < rows.length && rows[to]!.group === rows[from]!.group) to++;
-      out.groups.push(this.sortGroup(rows.slice(from, to), triages, out.putOff));
+      out.groups.push(this.sortGroup(rows.slice(from, to), triages, out.deferred));
       from = to;
     }
     return out;
   }
 
   /** Jobs of one group: those kept in the order of the aims that they are kept for, then those put off. */
-  private sortGroup(rows: Row[], triages: Map<MachineSet, Triage>, putOff: Set<Job>): Job[] {
+  private sortGroup(rows: Row[], triages: Map<MachineSet, Triage>, deferred: Set<Job>): Job[] {
     const inTime: { job: Job; due: number }[] = [];
     const late: RowCandidate[] = [];
     const bySet = new Map<Triage, RowCandidate[]>();
@@ -113,16 +113,16 @@
       }
     }
     for (const [t, here] of bySet) {
-      const sorted = triage(here, t.supply, t.taken);
+      const sorted = selectLateJobs(here, t.supply, t.taken);
       for (const { c, due } of sorted.inTime) inTime.push({ job: c.job, due });
-      late.push(...sorted.putOff);
+      late.push(...sorted.late);
       t.taken += here.reduce((n, c) => n + c.takes, 0);
     }
     inTime.sort((a, b) => a.due - b.due);
     // The least work first, and what has waited for long counts for less.
     const rank = (c: RowCandidate): number => c.work / Math.max(LEAST_S, c.age);
     late.sort((a, b) => rank(a) - rank(b));
-    for (const c of late) putOff.add(c.job);
+    for (const c of late) deferred.add(c.job);
     return [...inTime, ...late].map((x) => x.job);
   }
 
@@ -130,10 +130,10 @@
     const { job, age } = r;
     const takes = takesOf(r);
     // A gang of which only a part is missing has been paid for already.
-    const begun = isGang(job.spec) && job.live > 0;
+    const begun = isGang(job.spec) && job.assignedTasks > 0;
     const runS = job.spec.kind === 'service' ? SERVICE_S : this.estimates.runS(job);
     const work = begun ? 0 : takes * Math.max(LEAST_S, runS);
-    return { job, age, dues: begun ? [0] : r.dues, takes, work };
+    return { job, age, deadlines: begun ? [0] : r.dues, takes, work };
   }
 }
 
--- a/src/core/placement/triage.ts
+++ b/src/core/scheduling/late-job-selection.ts
@@ -9,7 +9,7 @@
 export interface Candidate {
   readonly job: Job;
   /** Seconds from now by which its tasks should have started, one for each aim that can still be met, earliest first. */
-  readonly dues: readonly number[];
+  readonly deadlines: readonly number[];
   /** What its waiting tasks take of the resource that is short, and for how long: what putting it off saves. */
   readonly takes: number;
   readonly work: number;
@@ -24,18 +24,22 @@
 /** How much can have been started within so many seconds: what is free, what comes free, and what is on its way. */
 export type Supply = (withinS: number) => number;
 
-export interface Sorted<C extends Candidate> {
+export interface LateJobSelection<C extends Candidate> {
   /** In the order in which they should start, each with the seconds until the aim that it is kept for. */
   inTime: { c: C; due: number }[];
-  putOff: C[];
+  late: C[];
 }
 
-export function triage<C extends Candidate>(candidates: readonly C[], supply: Supply, taken = 0): Sorted<C> {
+export function selectLateJobs<C extends Candidate>(
+  candidates: readonly C[],
+  supply: Supply,
+  taken = 0,
+): LateJobSelection<C> {
   const byDue = new TinyQueue<Entry<C>>([], (a, b) => a.due - b.due);
-  const putOff: C[] = [];
+  const late: C[] = [];
   for (const c of candidates) {
-    const due = c.dues[0];
-    if (due === undefined) putOff.push(c);
+    const due = c.deadlines[0];
+    if (due === undefined) late.push(c);
     else byDue.push({ c, aim: 0, due });
   }
   const byWork = new TinyQueue<Entry<C>>([], (a, b) => b.c.work - a.c.work);
@@ -54,11 +58,11 @@
       sum -= largest.c.takes;
       // Only a later aim than the one that is being looked at: what came before has been settled.
       let aim = largest.aim + 1;
-      while ((largest.c.dues[aim] ?? Number.POSITIVE_INFINITY) <= e.due) aim++;
-      const due = largest.c.dues[aim];
-      if (due === undefined) putOff.push(largest.c);
+      while ((largest.c.deadlines[aim] ?? Number.POSITIVE_INFINITY) <= e.due) aim++;
+      const due = largest.c.deadlines[aim];
+      if (due === undefined) late.push(largest.c);
       else byDue.push({ c: largest.c, aim, due });
     }
   }
-  return { inTime: kept.filter((e) => !gone.has(e)), putOff };
+  return { inTime: kept.filter((e) => !gone.has(e)), late };
 }
--- a/src/core/placement/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -3,12 +3,12 @@
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Estimates } from '../jobs/order.ts';
-import { typeFits } from '../jobs/shape.ts';
-import type { Pool } from '../machines/machine.ts';
-import type { Coming, Rooms } from '../machines/rooms.ts';
+import type { RuntimeEstimates } from '../jobs/job-ordering.ts';
+import { typeFits } from '../jobs/placement-constraints.ts';
+import type { CapacityIndex, PendingCapacity } from '../machines/capacity-index.ts';
+import type { MachinePool } from '../machines/machine.ts';
 import type { Usage } from '../teams/usage.ts';
-import type { Supply } from './triage.ts';
+import type { Supply } from './late-job-selection.ts';
 
 /**
  * Of what is expected to come free so much is counted on; the rest is lost to pieces that nothing fits into, to room kept for
@@ -23,7 +23,7 @@
 export interface MachineSet {
   /** What its tasks lack first: CPUs, or accelerators. In the order of Resources. */
   resource: 0 | 1;
-  pools: Pool[];
+  pools: MachinePool[];
   /** Types of the machines in them. */
   types: Set<TypeName>;
   /** One of its jobs, and the least that a task of any of them needs. */
@@ -37,13 +37,13 @@
   private readonly names = new WeakMap<Job, { pools: number; name: string }>();
 
   constructor(
-    private readonly rooms: Rooms,
+    private readonly rooms: CapacityIndex,
     private readonly usage: Usage,
-    private readonly estimates: Estimates,
-    private readonly coming: () => Coming,
+    private readonly estimates: RuntimeEstimates,
+    private readonly coming: () => PendingCapacity,
   ) {}
 
-  begin(): void {
+  beginCycle(): void {
     this.machineSets.clear();
   }
 
@@ -103,7 +103,7 @@
       all += u.sum[r]!;
       // Of estimate 0, services would count as ending every second, and there would always seem to be room for all.
       if (u.spec.kind === 'service') continue;
-      ends += u.sum[r]! / Math.max(LEAST_S, this.estimates.meanRunS(cls, u.spec.estimateS));
+      ends += u.sum[r]! / Math.max(LEAST_S, this.estimates.meanRunS(cls, u.spec.estimatedRunS));
     }
     return all > 0 ? ends / all : 0;
   }
--- a/src/core/placement/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,13 +1,13 @@
 // Machines kept from smaller tasks while room for a larger one gathers on them. Without this, small tasks refill
 // each gap as it opens, and a task that needs most of a machine, or a gang that needs several, waits for ever.
-import { type Instant, later, type Millis, type ZoneName } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Entry, Job } from '../jobs/job.ts';
-import type { Estimates } from '../jobs/order.ts';
-import { type Machine, type Pool, zoneAllowed } from '../machines/machine.ts';
-import type { Machines } from '../machines/machines.ts';
-import { type Rooms, sample } from '../machines/rooms.ts';
-import type { Fit } from './fit.ts';
+import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Job, TaskAssignment } from '../jobs/job.ts';
+import type { RuntimeEstimates } from '../jobs/job-ordering.ts';
+import { type CapacityIndex, sampleFrom } from '../machines/capacity-index.ts';
+import { isZoneAllowed, type Machine, type MachinePool } from '../machines/machine.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+import type { BinPackingScorer } from './bin-packing.ts';
 import type { Preemption } from './preemption.ts';
 
 /** A job gathers room when it has waited this long, and only where it is likely to come within the next. */
@@ -35,22 +35,22 @@
 export class Reservations {
   private readonly holds = new Map<Machine, Hold>();
   private readonly ofJob = new Map<Job, Set<Machine>>();
-  private readonly inPool = new Map<Pool, number>();
+  private readonly inPool = new Map<MachinePool, number>();
   private left = 0;
   /** How many machines were looked at, for the tests that bound the work. */
-  looked = 0;
+  machinesExamined = 0;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly machines: Machines,
-    private readonly rooms: Rooms,
-    private readonly fit: Fit,
-    private readonly estimates: Estimates,
+    private readonly io: ControllerIo,
+    private readonly machines: MachineTable,
+    private readonly rooms: CapacityIndex,
+    private readonly fit: BinPackingScorer,
+    private readonly estimates: RuntimeEstimates,
     private readonly preemption: Preemption,
   ) {}
 
   /** Whether the machine gathers room for another job. */
-  keptFrom(m: Machine, job: Job): boolean {
+  isReservedAgainst(m: Machine, job: Job): boolean {
     const h = this.holds.get(m);
     return h !== undefined && h.job !== job;
   }
@@ -60,14 +60,14 @@
   }
 
   /** At the start of a pass: holds that are no longer needed, or have not paid, end. */
-  begin(): void {
+  beginCycle(): void {
     this.left = PER_PASS;
-    this.preemption.begin(this.machines.all.size);
+    this.preemption.beginCycle(this.machines.byId.size);
     this.inPool.clear();
     for (const [m, h] of this.holds) {
-      const over = h.job.over || h.job.unwanted || h.job.waiting === 0;
-      if (over || m.place === null || this.io.now >= h.until) this.release(m);
-      else this.inPool.set(m.place.pool, (this.inPool.get(m.place.pool) ?? 0) + 1);
+      const over = h.job.isOver || h.job.isCancelling || h.job.waitingTasks === 0;
+      if (over || m.indexPosition === null || this.io.now >= h.until) this.release(m);
+      else this.inPool.set(m.indexPosition.pool, (this.inPool.get(m.indexPosition.pool) ?? 0) + 1);
     }
   }
 
@@ -81,20 +81,20 @@
   }
 
   /** Keeps machines for tasks of the job that found no place; in one zone if the job is bound to one. */
-  want(job: Job, tasks: number, zone: ZoneName | null): void {
+  reserve(job: Job, tasks: number, zone: ZoneName | null): void {
     if (this.io.now - job.readyAt < AFTER_MS || this.left <= 0) return;
     // Where room for smaller work comes and goes by itself, only a task that gives way helps.
     const large = this.fit.valueOfClass(job.spec.class) >= LARGER * this.fit.leastValue;
-    if (!large && (this.preemption.left <= 0 || job.priority <= this.fit.leastPriority)) return;
+    if (!large && (this.preemption.remainingStops <= 0 || job.priority <= this.fit.leastPriority)) return;
     const missing = Math.min(tasks - (this.ofJob.get(job)?.size ?? 0), this.left);
     if (missing <= 0) return;
-    const found: { m: Machine; pool: Pool; eta: number; stops: Entry[] }[] = [];
+    const found: { m: Machine; pool: MachinePool; eta: number; stops: TaskAssignment[] }[] = [];
     for (const pool of this.rooms.pools.values()) {
       if (!pool.admits(job.spec) || (zone !== null && pool.zone !== zone)) continue;
-      if (!zoneAllowed(job, pool.zone, job.zones)) continue;
+      if (!isZoneAllowed(job, pool.zone, job.zones)) continue;
       if (this.fit.wasteful(job, pool)) continue;
-      sample(pool.usable, LOOK * missing, this.io.random, (m) => {
-        this.looked++;
+      sampleFrom(pool.usable, LOOK * missing, this.io.random, (m) => {
+        this.machinesExamined++;
         if (this.holds.has(m) || job.failedOn.has(m.id)) return;
         const { eta, stops } = this.eta(m, job);
         if (eta <= WITHIN_S && (large || stops.length > 0)) found.push({ m, pool, eta, stops });
@@ -105,7 +105,8 @@
     for (const f of found) {
       if (n >= missing) break;
       const held = this.inPool.get(f.pool) ?? 0;
-      if (held >= Math.max(1, f.pool.usable.length * PART) || f.stops.length > this.preemption.left) continue;
+      if (held >= Math.max(1, f.pool.usable.length * PART) || f.stops.length > this.preemption.remainingStops)
+        continue;
       this.inPool.set(f.pool, held + 1);
       this.keep(f.m, job, f.eta * 1000);
       for (const e of f.stops) this.preemption.stop(e, job);
@@ -115,24 +116,24 @@
   }
 
   private keep(m: Machine, job: Job, etaMs: Millis): void {
-    this.holds.set(m, { job, until: later(this.io.now, etaMs + PATIENCE_MS) });
+    this.holds.set(m, { job, until: addMs(this.io.now, etaMs + PATIENCE_MS) });
     const set = this.ofJob.get(job) ?? new Set();
     set.add(m);
     this.ofJob.set(job, set);
-    for (const q of [...m.queue]) if (q.job.spec.kind !== 'gang') this.machines.takeBack(m, q);
+    for (const q of [...m.queue]) if (q.job.spec.kind !== 'gang') this.machines.dequeue(m, q);
   }
 
   /** Seconds until the machine has room for a task of the job if nothing more is put on it, and who must give way for that. */
-  private eta(m: Machine, job: Job): { eta: number; stops: Entry[] } {
+  private eta(m: Machine, job: Job): { eta: number; stops: TaskAssignment[] } {
     const { cpus, gpus, memoryGb } = job.spec;
     let c = m.freeCpus - cpus;
     let g = m.freeGpus - gpus;
     let mem = m.freeMemory - memoryGb;
     const enough = () => c >= -1e-9 && g >= -1e-9 && mem >= -1e-9;
     if (enough()) return { eta: 0, stops: [] };
-    const ends = [...m.entries.values()].map((e) => this.end(e, job));
+    const ends = [...m.assignments.values()].map((e) => this.end(e, job));
     ends.sort((a, b) => a.left - b.left);
-    const stops: Entry[] = [];
+    const stops: TaskAssignment[] = [];
     for (const { e, left, stop } of ends) {
       c += e.job.spec.cpus;
       g += e.job.spec.gpus;
@@ -144,15 +145,15 @@
   }
 
   /** When the task's room is free: by itself, or sooner because it gives way. */
-  private end(e: Entry, job: Job): { e: Entry; left: number; stop: boolean } {
+  private end(e: TaskAssignment, job: Job): { e: TaskAssignment; left: number; stop: boolean } {
     const left = this.leftS(e.job, e.runningAt);
-    const yielded = this.preemption.left > 0 ? this.preemption.freeS(e, job) : null;
+    const yielded = this.preemption.remainingStops > 0 ? this.preemption.freeS(e, job) : null;
     if (yielded === null || left <= yielded + WORTH_S) return { e, left, stop: false };
     return { e, left: yielded, stop: true };
   }
 
   private leftS(job: Job, runningAt: Instant | null): number {
     if (job.spec.kind === 'service') return Number.POSITIVE_INFINITY;
-    return this.estimates.leftS(job, runningAt === null ? 0 : (this.io.now - runningAt) / 1000);
+    return this.estimates.remainingS(job, runningAt === null ? 0 : (this.io.now - runningAt) / 1000);
   }
 }
--- a/src/core/placement/dispatch.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,26 +1,32 @@
 // Join-below-threshold: a task joins a random machine with room, else a random machine whose queue
 // is below the threshold, else it waits in the controller. Tasks queued too long are taken back.
-import { type Attempt, type Instant, LONG_AGO, later, type Revision } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
+import { type Attempt, addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Jobs } from '../jobs/jobs.ts';
-import { isGang, placesOf, takesAsMuch } from '../jobs/shape.ts';
-import { type Machine, type Pool, type Queued, roomAhead, zoneAllowed } from '../machines/machine.ts';
-import type { Machines } from '../machines/machines.ts';
-import { type Rooms, sample } from '../machines/rooms.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import { isGang, needsAtLeast, placementKey } from '../jobs/placement-constraints.ts';
+import { type CapacityIndex, sampleFrom } from '../machines/capacity-index.ts';
+import {
+  hasCapacityAhead,
+  isZoneAllowed,
+  type Machine,
+  type MachinePool,
+  type QueuedTask,
+} from '../machines/machine.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
 import type { Quota } from '../teams/quota.ts';
-import type { Fit } from './fit.ts';
-import { GangPlanner } from './gangs.ts';
+import type { BinPackingScorer } from './bin-packing.ts';
+import type { FairShare } from './fair-share.ts';
+import { GangScheduler } from './gang-scheduler.ts';
+import type { JobRanking } from './job-ranking.ts';
 import type { Preemption } from './preemption.ts';
-import type { Ranking } from './ranking.ts';
 import type { Reservations } from './reservations.ts';
-import type { Shares } from './shares.ts';
 
-export interface DispatchSettings {
+export interface SchedulerOptions {
   /** Queue length below which a machine without room may be joined. */
   threshold: number;
-  takeBackMs: number;
+  dequeueAfterMs: number;
   /** Parts of their fair share that teams, and classes, are never kept below while there is not room for all. */
   teamFloor: number;
   classFloor: number;
@@ -51,47 +57,47 @@
   job: Job;
 }
 
-export class Dispatch {
+export class Scheduler {
   private attempts = 0;
   private dirty = true;
   private nextPass: Instant = LONG_AGO;
   private nextTakeBack: Instant = LONG_AGO;
   /** Machines whose queues got something since they were last asked for. */
-  readonly touched = new Set<Machine>();
+  readonly changedMachines = new Set<Machine>();
   /** How many machines were looked at, for the tests that bound the work. */
-  looked = 0;
-  private readonly gangs: GangPlanner;
+  machinesExamined = 0;
+  private readonly gangs: GangScheduler;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly jobs: Jobs,
-    private readonly machines: Machines,
-    private readonly rooms: Rooms,
+    private readonly io: ControllerIo,
+    private readonly jobs: JobTable,
+    private readonly machines: MachineTable,
+    private readonly rooms: CapacityIndex,
     private readonly quota: Quota,
-    private readonly ranking: Ranking,
-    private readonly shares: Shares,
-    private options: DispatchSettings,
+    private readonly ranking: JobRanking,
+    private readonly shares: FairShare,
+    private options: SchedulerOptions,
     private readonly term: Revision,
-    private readonly fit: Fit,
+    private readonly fit: BinPackingScorer,
     private readonly reservations: Reservations,
     private readonly preemption: Preemption,
   ) {
-    this.gangs = new GangPlanner(io, rooms, fit, reservations);
+    this.gangs = new GangScheduler(io, rooms, fit, reservations);
   }
 
   /** Settings from now on. */
-  configure(options: DispatchSettings): void {
+  configure(options: SchedulerOptions): void {
     this.options = options;
-    this.poke();
+    this.requestCycle();
   }
 
-  poke(): void {
+  requestCycle(): void {
     this.dirty = true;
   }
 
   /** Whether anything waits that a machine with room might take in the next pass. */
-  get pending(): boolean {
-    return this.dirty && this.jobs.waiting.size > 0;
+  get hasPendingCycle(): boolean {
+    return this.dirty && this.jobs.waitingJobs.size > 0;
   }
 
   /** Attempts rise with the term and within it, so none is ever used twice for a task. */
@@ -101,30 +107,30 @@
   }
 
   /** One pass over the waiting jobs, when anything has changed and the last pass is long enough ago. */
-  pass(): boolean {
+  runCycle(): boolean {
     const { io } = this;
     if (!this.dirty || io.now < this.nextPass) return false;
     this.dirty = false;
-    const size = this.jobs.waiting.size * PASS_MS_PER_JOB + this.machines.all.size * PASS_MS_PER_MACHINE;
+    const size = this.jobs.waitingJobs.size * PASS_MS_PER_JOB + this.machines.byId.size * PASS_MS_PER_MACHINE;
     const gap = Math.min(PASS_MS_MAX, PASS_MS + size);
-    this.nextPass = later(io.now, gap * io.pace);
+    this.nextPass = addMs(io.now, gap * io.intervalFactor);
     this.takeBackLate();
-    const { groups, machineSets, putOff } = this.ranking.rank();
+    const { groups, machineSets, deferred } = this.ranking.rank();
     const hopeless: Hopeless[] = [];
-    this.reservations.begin();
+    this.reservations.beginCycle();
     let left = BIND_MAX;
     for (const jobs of groups) {
       for (const job of jobs) {
         const machineSet = machineSets.get(job);
-        const owed = machineSet === undefined ? 0 : this.shares.owed(job, machineSet);
+        const owed = machineSet === undefined ? 0 : this.shares.owedTasks(job, machineSet);
         if (left <= 0 || owed <= 0) continue;
         const n = this.place(job, Math.min(left, owed), hopeless, true);
-        this.shares.placed(job, machineSet!, n);
+        this.shares.onPlaced(job, machineSet!, n);
         left -= n;
       }
       for (const job of jobs) {
         if (left <= 0) break;
-        left -= this.place(job, left, hopeless, !putOff.has(job));
+        left -= this.place(job, left, hopeless, !deferred.has(job));
       }
     }
     if (left <= 0) this.dirty = true;
@@ -133,7 +139,7 @@
 
   /** Places tasks of the job; returns how many. `mayReserve`: room that it lacks may be kept for it. */
   private place(job: Job, most: number, hopeless: Hopeless[], mayReserve: boolean): number {
-    const allowed = this.quota.allows(job);
+    const allowed = this.quota.allowedTasks(job);
     if (allowed <= 0) return 0;
     if (isGang(job.spec))
       return this.gangs.plan(
@@ -144,20 +150,20 @@
         mayReserve,
       );
     const rules = needsPlaceCheck(job);
-    if (rules && job.unlocated > 0) return 0;
+    if (rules && job.unlocatedTasks > 0) return 0;
     const kind = kindOf(job.spec);
     const gathered = [...this.reservations.of(job)].length > 0;
     if (!gathered && hopeless.some((h) => h.kind === kind && asksAsMuch(job, h.job))) {
-      if (mayReserve) this.reservations.want(job, Math.min(allowed, job.waiting), null);
+      if (mayReserve) this.reservations.reserve(job, Math.min(allowed, job.waitingTasks), null);
       return 0;
     }
     let n = 0;
     while (n < Math.min(allowed, most)) {
-      const index = job.peek();
+      const index = job.nextWaitingTask();
       if (index < 0) return n;
       const m = this.choose(job, rules);
       if (m === null) {
-        if (mayReserve) this.reservations.want(job, Math.min(allowed, job.waiting), null);
+        if (mayReserve) this.reservations.reserve(job, Math.min(allowed, job.waitingTasks), null);
         if (!rules && job.failedOn.size === 0) hopeless.push({ kind, job });
         return n;
       }
@@ -165,7 +171,7 @@
       n++;
       // Fuller machines suit better, so the next task of the job would come here again: no need to look round for it.
       while (!rules && n < Math.min(allowed, most) && this.suits(m, job)) {
-        const next = job.peek();
+        const next = job.nextWaitingTask();
         if (next < 0) return n;
         this.enqueue(m, job, next, this.nextAttempt());
         n++;
@@ -176,7 +182,9 @@
 
   private suits(m: Machine, job: Job): boolean {
     return (
-      roomAhead(m, job) && !this.reservations.keptFrom(m, job) && Number.isFinite(this.fit.score(job, m))
+      hasCapacityAhead(m, job) &&
+      !this.reservations.isReservedAgainst(m, job) &&
+      Number.isFinite(this.fit.score(job, m))
     );
   }
 
@@ -186,32 +194,37 @@
     const avoid = job.failedOn.size < 3 ? job.failedOn : null;
     const best = new Lowest();
     const look = (m: Machine) => {
-      this.looked++;
-      if (avoid?.has(m.id) || this.reservations.keptFrom(m, job) || !roomAhead(m, job)) return;
+      this.machinesExamined++;
+      if (avoid?.has(m.id) || this.reservations.isReservedAgainst(m, job) || !hasCapacityAhead(m, job))
+        return;
       best.offer(m, this.fit.score(job, m));
     };
-    const pools: Pool[] = [];
+    const pools: MachinePool[] = [];
     for (const pool of this.rooms.pools.values()) {
-      if (!pool.admits(job.spec) || (rules && !zoneAllowed(job, pool.zone, job.zones))) continue;
+      if (!pool.admits(job.spec) || (rules && !isZoneAllowed(job, pool.zone, job.zones))) continue;
       pools.push(pool);
       for (const b of pool.buckets.values())
         if (b.cpusBelow > job.spec.cpus && b.gpusBelow > job.spec.gpus)
-          sample(b.members, LOOK, this.io.random, look);
+          sampleFrom(b.members, LOOK, this.io.random, look);
     }
     this.lookAtImageHolders(job, pools, look);
     // Kept before another task of the job took its zone's part: what pools were left out for holds for these as well.
-    for (const m of this.reservations.of(job)) if (!rules || zoneAllowed(job, m.zone, job.zones)) look(m);
+    for (const m of this.reservations.of(job)) if (!rules || isZoneAllowed(job, m.zone, job.zones)) look(m);
     if (best.found.length > 0) return this.pick(best.found);
     return this.belowThreshold(job, pools, avoid);
   }
 
   /** Machines that need not fetch the image first are few among many and would seldom be sampled. */
-  private lookAtImageHolders(job: Job, pools: Pool[], look: (m: Machine) => void): void {
-    const holders = this.rooms.holdersOf(job.spec.image);
+  private lookAtImageHolders(job: Job, pools: MachinePool[], look: (m: Machine) => void): void {
+    const holders = this.rooms.machinesWithImage(job.spec.image);
     if (holders === undefined) return;
     let left = LOOK_IMAGE;
     for (const m of holders) {
-      if (m.place === null || m.freeCpus + EPS < job.spec.cpus || !pools.includes(m.place.pool)) {
+      if (
+        m.indexPosition === null ||
+        m.freeCpus + EPS < job.spec.cpus ||
+        !pools.includes(m.indexPosition.pool)
+      ) {
         // Looking at a machine without room is cheap, but not free.
         left -= 0.1;
       } else {
@@ -222,21 +235,21 @@
     }
   }
 
-  private belowThreshold(job: Job, pools: Pool[], avoid: ReadonlySet<string> | null): Machine | null {
+  private belowThreshold(job: Job, pools: MachinePool[], avoid: ReadonlySet<string> | null): Machine | null {
     const best = new Lowest();
     for (const pool of pools) {
       if (this.fit.wasteful(job, pool)) continue;
       const score = this.fit.typeScore(job, pool);
       const urgent = job.priority > this.fit.leastPriority;
-      sample(pool.usable, urgent ? LOOK_URGENT : LOOK, this.io.random, (m) => {
-        this.looked++;
+      sampleFrom(pool.usable, urgent ? LOOK_URGENT : LOOK, this.io.random, (m) => {
+        this.machinesExamined++;
         if (
           m.queue.length >= this.options.threshold ||
           avoid?.has(m.id) ||
-          this.reservations.keptFrom(m, job)
+          this.reservations.isReservedAgainst(m, job)
         )
           return;
-        if (roomAhead(m, job)) return;
+        if (hasCapacityAhead(m, job)) return;
         // Where less urgent work can give way it starts sooner than where it waits for an end.
         best.offer(m, urgent && this.preemption.plan(m, job) !== null ? score - SOONER : score);
       });
@@ -251,29 +264,29 @@
   private enqueue(m: Machine, job: Job, index: number, attempt: Attempt): void {
     this.reservations.release(m);
     this.machines.enqueue(m, { job, index, attempt, since: this.io.now });
-    this.touched.add(m);
+    this.changedMachines.add(m);
   }
 
   /** A task queued too long moves to a machine with room; with none in sight it keeps its turn. */
   private takeBackLate(): void {
     const { now } = this.io;
     if (now < this.nextTakeBack) return;
-    this.nextTakeBack = later(now, TAKE_BACK_EVERY_MS);
+    this.nextTakeBack = addMs(now, TAKE_BACK_EVERY_MS);
     const hopeless: Hopeless[] = [];
-    for (const m of this.machines.all.values()) {
+    for (const m of this.machines.byId.values()) {
       if (m.queue.length === 0) continue;
-      if (!m.usable) {
-        this.machines.takeBackAll(m);
+      if (!m.isSchedulable) {
+        this.machines.dequeueAll(m);
         continue;
       }
       this.preemption.forQueue(m);
       for (const q of [...m.queue])
-        if (now - q.since > this.options.takeBackMs && this.elsewhere(m, q, hopeless))
-          this.machines.takeBack(m, q);
+        if (now - q.since > this.options.dequeueAfterMs && this.elsewhere(m, q, hopeless))
+          this.machines.dequeue(m, q);
     }
   }
 
-  private elsewhere(m: Machine, q: Queued, hopeless: Hopeless[]): boolean {
+  private elsewhere(m: Machine, q: QueuedTask, hopeless: Hopeless[]): boolean {
     const { job } = q;
     if (isGang(job.spec)) return false;
     const kind = kindOf(job.spec);
@@ -283,9 +296,9 @@
       if (!pool.admits(job.spec)) continue;
       for (const b of pool.buckets.values())
         if (!found && b.cpusBelow > job.spec.cpus && b.gpusBelow > job.spec.gpus)
-          sample(b.members, LOOK, this.io.random, (x) => {
-            this.looked++;
-            found ||= x !== m && roomAhead(x, job);
+          sampleFrom(b.members, LOOK, this.io.random, (x) => {
+            this.machinesExamined++;
+            found ||= x !== m && hasCapacityAhead(x, job);
           });
     }
     if (!found) hopeless.push({ kind, job });
@@ -316,7 +329,7 @@
 const needsPlaceCheck = (job: Job): boolean => job.spec.tasks > 1 && (job.spec.oneZone || job.spec.spread);
 
 /** Jobs of the same kind differ for a choice of place only in how much their tasks take. */
-const kindOf = (s: JobSpec): string => `${s.class}|${placesOf(s)}`;
+const kindOf = (s: JobSpec): string => `${s.class}|${placementKey(s)}`;
 
 const asksAsMuch = (job: Job, than: Job): boolean =>
-  takesAsMuch(job.spec, than.spec) && job.priority <= than.priority;
+  needsAtLeast(job.spec, than.spec) && job.priority <= than.priority;
--- a/src/core/record/store.ts
+++ b/src/core/storage/fenced-writer.ts
@@ -1,40 +1,40 @@
 // The owner's writes: batched into one transaction at a time, each conditional on the term.
-import { type Instant, LONG_AGO, later, type Revision } from '../../types/index.ts';
-import { Budget } from '../base/budget.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Condition, Item, Put, Settings, StateReply } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
+import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, StoreCondition, StoreItem, StorePut, StoreReply } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { TokenBucket } from '../base/token-bucket.ts';
 
 /** The record that names the owner, and its revision under this term: the condition of all that the owner writes. */
-export type Term = Condition;
+export type FencingCondition = StoreCondition;
 
 export type WriteResult =
   | { kind: 'ok'; revision: Revision }
   /** The key of `check` holds something else than what this write would have left. */
-  | { kind: 'conflict'; item: Item | null }
+  | { kind: 'conflict'; item: StoreItem | null }
   /** The state service will not have it, on its own or with others: too large, or malformed. */
   | { kind: 'rejected' }
   | { kind: 'lost' };
 
-export interface Write {
-  conditions: Condition[];
-  puts: Put[];
-  drops: string[];
+export interface FencedWrite {
+  conditions: StoreCondition[];
+  puts: StorePut[];
+  deletes: string[];
   /** The key that tells whether a write without an answer went through; its value carries `w`, unique to the write. */
-  check: string;
-  nonce: string | null;
+  verifyKey: string;
+  writeId: string | null;
   /** Smaller goes first; see Priorities. */
   priority: number;
   /** Among writes of the same priority: smaller goes first, as if each team's writes took turns. */
   turn?: number;
-  done: (r: WriteResult) => void;
+  onResult: (r: WriteResult) => void;
   /** Its transaction was rejected along with others: it is sent on its own, so that it alone fails. */
   alone?: boolean;
   /**
    * What is known of it: nothing of it can be on record; a copy is under way; or a copy was never answered, and may
    * have been carried out or be carried out later, until a newer copy is answered. Kept by the store.
    */
-  standing?: 'waiting' | 'sent' | 'unanswered';
+  progress?: 'waiting' | 'sent' | 'unanswered';
 }
 
 /**
@@ -42,7 +42,14 @@
  * Machines go before acceptances: one change puts up to a few hundred on record, and nothing starts on them before; behind
  * the acceptances of a burst they stood idle until the last job was accepted.
  */
-export const Priorities = { cancel: 0, roster: 1, accept: 2, needed: 3, final: 4, record: 5 } as const;
+export const WritePriority = {
+  cancel: 0,
+  machineRegistry: 1,
+  accept: 2,
+  finalWithDependents: 3,
+  final: 4,
+  sharedRecord: 5,
+} as const;
 
 const MAX_BYTES = 48 * 1024;
 const RETRY_MS = 250;
@@ -59,40 +66,40 @@
 /** After a refusal for too many changes the lower rate is kept for this long. */
 const SLOW_MS = 60_000;
 
-export class Store {
-  private queue: Write[] = [];
-  private inFlight: Write[] | null = null;
+export class FencedWriter {
+  private queue: FencedWrite[] = [];
+  private inFlight: FencedWrite[] | null = null;
   private notBefore: Instant = LONG_AGO;
   private nonces = 0;
   private patienceMs = PATIENCE_MS;
   /** Since when the state service has refused or not answered; null while it serves. */
-  downSince: Instant | null = null;
-  private readonly writes: Budget;
-  private readonly io: Outbox;
-  private readonly term: Term;
-  readonly limits: Settings['state'];
+  unavailableSince: Instant | null = null;
+  private readonly writes: TokenBucket;
+  private readonly io: ControllerIo;
+  private readonly term: FencingCondition;
+  readonly limits: Settings['store'];
   private readonly rateNow: number;
   private slowUntil: Instant | null = null;
   private readonly onLost: () => void;
 
-  constructor(io: Outbox, settings: Settings, term: Term, onLost: () => void) {
+  constructor(io: ControllerIo, settings: Settings, term: FencingCondition, onLost: () => void) {
     this.io = io;
     this.term = term;
-    this.limits = settings.state;
+    this.limits = settings.store;
     this.onLost = onLost;
-    this.rateNow = settings.writeRpsNow * WRITE_SHARE;
-    this.writes = new Budget(
+    this.rateNow = settings.currentWritesPerS * WRITE_SHARE;
+    this.writes = new TokenBucket(
       this.rateNow,
-      Math.max(settings.state.writeRps * WRITE_SHARE, settings.state.txnOps),
+      Math.max(settings.store.writesPerS * WRITE_SHARE, settings.store.maxTransactionOps),
     );
   }
 
   /** Bytes that one value may have. */
-  get maxValue(): number {
-    return this.limits.valueKb * 1024;
+  get maxValueBytes(): number {
+    return this.limits.maxValueKb * 1024;
   }
 
-  nonce(): string {
+  nextWriteId(): string {
     return `${this.term.revision}.${++this.nonces}`;
   }
 
@@ -100,8 +107,8 @@
     return this.queue.length + (this.inFlight?.length ?? 0);
   }
 
-  write(w: Write): void {
-    w.standing = 'waiting';
+  write(w: FencedWrite): void {
+    w.progress = 'waiting';
     let at = this.queue.length;
     while (at > 0 && after(this.queue[at - 1]!, w)) at--;
     this.queue.splice(at, 0, w);
@@ -118,8 +125,8 @@
 
   /** The service grants fewer changes than were made: what waits is written at the rate announced for later. */
   private slowDown(): void {
-    this.slowUntil = later(this.io.now, SLOW_MS);
-    this.writes.rate = this.limits.writeRps * WRITE_SHARE;
+    this.slowUntil = addMs(this.io.now, SLOW_MS);
+    this.writes.rate = this.limits.writesPerS * WRITE_SHARE;
   }
 
   private pump(): void {
@@ -138,11 +145,13 @@
     let conditions = 1;
     let n = 0;
     for (const w of this.queue) {
-      changes += w.puts.length + w.drops.length;
+      changes += w.puts.length + w.deletes.length;
       conditions += w.conditions.length;
       bytes += sizeOf(w);
       const fits =
-        changes <= this.limits.txnOps && conditions <= this.limits.txnOps * 4 && bytes <= MAX_BYTES;
+        changes <= this.limits.maxTransactionOps &&
+        conditions <= this.limits.maxTransactionOps * 4 &&
+        bytes <= MAX_BYTES;
       if (n > 0 && (!fits || w.alone)) break;
       n++;
       if (w.alone) break;
@@ -150,16 +159,16 @@
     return n;
   }
 
-  private send(batch: Write[]): void {
+  private send(batch: FencedWrite[]): void {
     this.inFlight = batch;
     const sentAt = this.io.now;
-    for (const w of batch) if (w.standing === 'waiting') w.standing = 'sent';
+    for (const w of batch) if (w.progress === 'waiting') w.progress = 'sent';
     const conditions = [this.term, ...batch.flatMap((w) => w.conditions)];
     const puts = batch.flatMap((w) => w.puts);
-    const drops = batch.flatMap((w) => w.drops);
-    this.io.state(
-      { kind: 'commit', conditions, puts, drops },
-      Rank.owner,
+    const deletes = batch.flatMap((w) => w.deletes);
+    this.io.store(
+      { kind: 'compare-and-swap', conditions, puts, deletes },
+      StorePriority.leader,
       (r) => {
         this.heed(r, this.io.now - sentAt);
         this.onReply(batch, r);
@@ -169,36 +178,36 @@
   }
 
   /** Only one transaction is under way at a time: one that will never be answered must not hold up the rest for long. */
-  private heed(r: StateReply, tookMs: number): void {
+  private heed(r: StoreReply, tookMs: number): void {
     this.patienceMs =
       r.kind === 'no-answer'
         ? Math.min(PATIENCE_MAX_MS, this.patienceMs * PATIENCE_GROWS)
         : Math.min(PATIENCE_MAX_MS, Math.max(PATIENCE_MS, tookMs * PATIENCE_TIMES));
   }
 
-  private onReply(batch: Write[], r: StateReply): void {
+  private onReply(batch: FencedWrite[], r: StoreReply): void {
     this.inFlight = null;
     if (r.kind === 'committed') {
-      this.downSince = null;
-      for (const w of batch) w.done({ kind: 'ok', revision: r.revision });
+      this.unavailableSince = null;
+      for (const w of batch) w.onResult({ kind: 'ok', revision: r.revision });
     } else if (r.kind === 'conflict') this.onConflict(batch, r.failed);
     else if (r.kind === 'rejected') this.onRejected(batch, r.reason);
     else {
       if (r.kind === 'refused' && r.busy) this.slowDown();
       // Refused or unanswered: the same batch again. Its conditions let at most one of the copies through,
       // however late the first one is applied; a conflict is then resolved by reading.
-      if (r.kind !== 'refused' || !r.busy) this.downSince ??= this.io.now;
+      if (r.kind !== 'refused' || !r.busy) this.unavailableSince ??= this.io.now;
       for (const w of batch)
-        if (r.kind === 'no-answer') w.standing = 'unanswered';
+        if (r.kind === 'no-answer') w.progress = 'unanswered';
         else notDone(w);
       this.queue.unshift(...batch);
-      this.notBefore = later(this.io.now, RETRY_MS);
+      this.notBefore = addMs(this.io.now, RETRY_MS);
     }
     this.pump();
   }
 
   /** One bad write must not fail the others of its transaction. */
-  private onRejected(batch: Write[], reason: string): void {
+  private onRejected(batch: FencedWrite[], reason: string): void {
     if (batch.length > 1) {
       for (const w of batch) {
         w.alone = true;
@@ -208,20 +217,20 @@
       return;
     }
     for (const w of batch) {
-      this.io.log('error', 'state service rejected a write', { reason, key: w.check });
-      w.done({ kind: 'rejected' });
+      this.io.log('error', 'state service rejected a write', { reason, key: w.verifyKey });
+      w.onResult({ kind: 'rejected' });
     }
   }
 
-  private onConflict(batch: Write[], failed: string[]): void {
-    this.downSince = null;
+  private onConflict(batch: FencedWrite[], failed: string[]): void {
+    this.unavailableSince = null;
     if (failed.includes(this.term.key)) {
-      for (const w of [...batch, ...this.queue.splice(0)]) w.done({ kind: 'lost' });
+      for (const w of [...batch, ...this.queue.splice(0)]) w.onResult({ kind: 'lost' });
       this.onLost();
       return;
     }
     const bad = new Set(failed);
-    const clean: Write[] = [];
+    const clean: FencedWrite[] = [];
     for (const w of batch) {
       if (w.conditions.some((c) => bad.has(c.key))) this.settle(w);
       else {
@@ -233,16 +242,16 @@
   }
 
   /** A write whose condition failed: either its own first copy went through, or something else is there. */
-  private settle(w: Write): void {
-    this.io.state({ kind: 'get', key: w.check }, Rank.owner, (r) => {
+  private settle(w: FencedWrite): void {
+    this.io.store({ kind: 'get', key: w.verifyKey }, StorePriority.leader, (r) => {
       if (r.kind === 'item') {
-        const mine = w.nonce !== null && (r.item.value as { w?: string } | null)?.w === w.nonce;
-        w.done(mine ? { kind: 'ok', revision: r.item.revision } : { kind: 'conflict', item: r.item });
+        const mine = w.writeId !== null && (r.item.value as { w?: string } | null)?.w === w.writeId;
+        w.onResult(mine ? { kind: 'ok', revision: r.item.revision } : { kind: 'conflict', item: r.item });
       } else if (r.kind === 'missing') {
-        if (w.nonce === null) w.done({ kind: 'ok', revision: 0 as Revision });
-        else w.done({ kind: 'conflict', item: null });
+        if (w.writeId === null) w.onResult({ kind: 'ok', revision: 0 as Revision });
+        else w.onResult({ kind: 'conflict', item: null });
       } else {
-        this.notBefore = later(this.io.now, RETRY_MS);
+        this.notBefore = addMs(this.io.now, RETRY_MS);
         this.queue.unshift(w);
       }
     });
@@ -250,19 +259,19 @@
 }
 
 /** The last copy was not carried out; an earlier one without an answer may have been. */
-const notDone = (w: Write): void => {
-  if (w.standing === 'sent') w.standing = 'waiting';
+const notDone = (w: FencedWrite): void => {
+  if (w.progress === 'sent') w.progress = 'waiting';
 };
 
-const after = (a: Write, b: Write): boolean =>
+const after = (a: FencedWrite, b: FencedWrite): boolean =>
   a.priority > b.priority || (a.priority === b.priority && (a.turn ?? 0) > (b.turn ?? 0));
 
-const countChanges = (batch: Write[]): number =>
-  batch.reduce((n, w) => n + w.puts.length + w.drops.length, 0);
+const countChanges = (batch: FencedWrite[]): number =>
+  batch.reduce((n, w) => n + w.puts.length + w.deletes.length, 0);
 
 /** What a value takes in the state service. */
-export const bytesOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
+export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
-const sizeOf = (w: Write): number =>
-  w.puts.reduce((n, p) => n + bytesOf(p.value) + p.key.length + 32, 0) +
-  [...w.drops, ...w.conditions.map((c) => c.key)].reduce((n, k) => n + k.length + 32, 0);
+const sizeOf = (w: FencedWrite): number =>
+  w.puts.reduce((n, p) => n + jsonBytes(p.value) + p.key.length + 32, 0) +
+  [...w.deletes, ...w.conditions.map((c) => c.key)].reduce((n, k) => n + k.length + 32, 0);
--- a/src/core/record/lookup.ts
+++ b/src/core/storage/job-record-reader.ts
@@ -1,16 +1,22 @@
 // Jobs this node does not hold: read from the state service, many names in one compare-only transaction.
 import type { JobId, Revision } from '../../types/index.ts';
-import { retry, toSubmission } from '../base/answers.ts';
-import { Budget } from '../base/budget.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Condition, Settings, StateReply, UserAnswer } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
-import { FINAL, OPEN } from './keys.ts';
-import { decodeFinalState, decodeJobRecord, type JobRecord, moreKeys, partOf } from './record.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, StoreCondition, StoreReply, UserResponse } from '../base/model.ts';
+import { asSubmissionResponse, retryLater } from '../base/responses.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
+import { TokenBucket } from '../base/token-bucket.ts';
+import {
+  decodeFinalState,
+  decodeJobRecord,
+  dependenciesInPart,
+  dependencyPartKeys,
+  type JobRecord,
+} from './job-record.ts';
+import { FINAL_STATE_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
 interface Waiting {
   id: JobId;
-  answer: (a: UserAnswer) => void;
+  answer: (a: UserResponse) => void;
 }
 const MAX_WAITING = 300;
 /** Part of the region's state requests that one node may use for look-ups. */
@@ -18,19 +24,19 @@
 /** Jobs read for one question about a job that awaits others. */
 const MAX_DERIVED = 50;
 
-export class Lookup {
+export class JobRecordReader {
   private waiting: Waiting[] = [];
   private busy = false;
   private readonly ended = new Map<JobId, 'done' | 'cancelled'>();
-  private readonly budget: Budget;
-  private readonly io: Outbox;
+  private readonly budget: TokenBucket;
+  private readonly io: ControllerIo;
   private readonly perBatch: number;
 
-  constructor(io: Outbox, settings: Settings) {
+  constructor(io: ControllerIo, settings: Settings) {
     this.io = io;
-    this.perBatch = Math.max(1, Math.min(40, settings.state.txnOps * 2 - 2));
-    const rate = Math.max(1, settings.state.rps * SHARE);
-    this.budget = new Budget(rate, rate);
+    this.perBatch = Math.max(1, Math.min(40, settings.store.maxTransactionOps * 2 - 2));
+    const rate = Math.max(1, settings.store.requestsPerS * SHARE);
+    this.budget = new TokenBucket(rate, rate);
   }
 
   /** Questions that wait to be read. */
@@ -39,21 +45,21 @@
   }
 
   /** A final state is final: any node may answer it from memory. */
-  known(id: JobId): UserAnswer | null {
+  cachedFinalState(id: JobId): UserResponse | null {
     const status = this.ended.get(id);
     return status === undefined ? null : { kind: 'ended', id, status };
   }
 
-  remember(a: UserAnswer): void {
+  cacheFinalState(a: UserResponse): void {
     if (a.kind !== 'ended') return;
     this.ended.set(a.id, a.status);
     if (this.ended.size > 20_000) this.ended.delete(this.ended.keys().next().value as JobId);
   }
 
-  ask(id: JobId, answer: (a: UserAnswer) => void): void {
-    const known = this.known(id);
+  readStatus(id: JobId, answer: (a: UserResponse) => void): void {
+    const known = this.cachedFinalState(id);
     if (known !== null) return answer(known);
-    if (this.waiting.length >= MAX_WAITING) return answer(retry('too many questions at once', 2, true));
+    if (this.waiting.length >= MAX_WAITING) return answer(retryLater('too many questions at once', 2, true));
     this.waiting.push({ id, answer });
     this.pump();
   }
@@ -67,52 +73,52 @@
     this.busy = true;
     const batch = this.waiting.splice(0, this.perBatch);
     const conditions = batch.flatMap((w) => neither(w.id));
-    this.io.state(
-      { kind: 'commit', conditions, puts: [], drops: [] },
-      Rank.ask,
+    this.io.store(
+      { kind: 'compare-and-swap', conditions, puts: [], deletes: [] },
+      StorePriority.query,
       (r) => this.onCompared(batch, r),
       1200,
     );
   }
 
-  private onCompared(batch: Waiting[], r: StateReply): void {
+  private onCompared(batch: Waiting[], r: StoreReply): void {
     this.busy = false;
     const found = new Set(r.kind === 'conflict' ? r.failed : []);
     for (const w of batch) {
       if (r.kind === 'committed') w.answer({ kind: 'not-found' });
-      else if (r.kind !== 'conflict') w.answer(retry('the state service does not answer'));
-      else if (found.has(FINAL + w.id)) this.readFinal(w);
-      else if (found.has(OPEN + w.id)) this.readOpen(w);
+      else if (r.kind !== 'conflict') w.answer(retryLater('the state service does not answer'));
+      else if (found.has(FINAL_STATE_PREFIX + w.id)) this.readFinal(w);
+      else if (found.has(OPEN_JOB_PREFIX + w.id)) this.readOpen(w);
       else w.answer({ kind: 'not-found' });
     }
     this.pump();
   }
 
-  private get(key: string, then: (r: StateReply) => void): void {
-    this.io.state({ kind: 'get', key }, Rank.ask, then);
+  private get(key: string, then: (r: StoreReply) => void): void {
+    this.io.store({ kind: 'get', key }, StorePriority.query, then);
   }
 
   private readFinal(w: Waiting): void {
-    this.get(FINAL + w.id, (r) => {
-      if (r.kind !== 'item') return w.answer(retry('the state service does not answer'));
-      const a: UserAnswer = {
+    this.get(FINAL_STATE_PREFIX + w.id, (r) => {
+      if (r.kind !== 'item') return w.answer(retryLater('the state service does not answer'));
+      const a: UserResponse = {
         kind: 'ended',
         id: w.id,
         status: decodeFinalState(r.item).status,
       };
-      this.remember(a);
+      this.cacheFinalState(a);
       w.answer(a);
     });
   }
 
   private readOpen(w: Waiting): void {
-    this.get(OPEN + w.id, (r) => {
+    this.get(OPEN_JOB_PREFIX + w.id, (r) => {
       if (r.kind === 'item') {
         const record = decodeJobRecord(r.item);
         if (record.cancelled) w.answer({ kind: 'ended', id: w.id, status: 'cancelled' });
         else this.awaitsOf(record, (awaits) => this.derive(w, awaits));
       } else if (r.kind === 'missing') this.readFinal(w);
-      else w.answer(retry('the state service does not answer'));
+      else w.answer(retryLater('the state service does not answer'));
     });
   }
 
@@ -121,7 +127,7 @@
    * does not say so. That none was cancelled when looked at, later than the job's own record, makes `queued` true.
    */
   private derive(w: Waiting, awaits: JobId[] | null): void {
-    if (awaits === null) return w.answer(retry('the state service does not answer'));
+    if (awaits === null) return w.answer(retryLater('the state service does not answer'));
     const seen = new Set(awaits);
     const todo = [...seen];
     let reads = 0;
@@ -130,9 +136,9 @@
       if (id === undefined)
         return w.answer({ kind: 'status', id: w.id, status: 'queued', done: 0, running: 0 });
       if (++reads > MAX_DERIVED || !this.budget.take(this.io.now))
-        return w.answer(retry('the jobs that it awaits are being read', 2));
+        return w.answer(retryLater('the jobs that it awaits are being read', 2));
       this.readDependency(id, (n) => {
-        if (n === null) return w.answer(retry('the state service does not answer'));
+        if (n === null) return w.answer(retryLater('the state service does not answer'));
         if (n === 'cancelled') return this.cancelled(w);
         for (const a of n === 'done' ? [] : n)
           if (!seen.has(a)) {
@@ -147,14 +153,14 @@
 
   /** All that a job awaits, with the further values of its record; null when they cannot be read. */
   private awaitsOf(record: JobRecord, then: (awaits: JobId[] | null) => void): void {
-    const all = [...(record.spec.awaits ?? [])];
-    const keys = moreKeys(record.spec.id, record.dependencyParts);
+    const all = [...(record.spec.dependsOn ?? [])];
+    const keys = dependencyPartKeys(record.spec.id, record.dependencyParts);
     const next = (): void => {
       const key = keys.shift();
       if (key === undefined) return then(all);
       this.get(key, (r) => {
         if (r.kind !== 'item') return then(null);
-        all.push(...partOf(r.item));
+        all.push(...dependenciesInPart(r.item));
         next();
       });
     };
@@ -162,8 +168,8 @@
   }
 
   private cancelled(w: Waiting): void {
-    const a: UserAnswer = { kind: 'ended', id: w.id, status: 'cancelled' };
-    this.remember(a);
+    const a: UserResponse = { kind: 'ended', id: w.id, status: 'cancelled' };
+    this.cacheFinalState(a);
     w.answer(a);
   }
 
@@ -173,10 +179,10 @@
     then: (n: 'done' | 'cancelled' | JobId[] | null) => void,
     again = true,
   ): void {
-    this.get(FINAL + id, (f) => {
+    this.get(FINAL_STATE_PREFIX + id, (f) => {
       if (f.kind === 'item') return then(decodeFinalState(f.item).status);
       if (f.kind !== 'missing') return then(null);
-      this.get(OPEN + id, (o) => {
+      this.get(OPEN_JOB_PREFIX + id, (o) => {
         if (o.kind === 'item') {
           const record = decodeJobRecord(o.item);
           if (record.cancelled) then('cancelled');
@@ -188,19 +194,24 @@
   }
 
   /** Which of the jobs were ever accepted, as the state service says; null when that cannot be known now. */
-  exist(ids: JobId[], then: (found: Map<JobId, 'open' | 'over'> | null) => void): void {
+  findExisting(ids: JobId[], then: (found: Map<JobId, 'open' | 'over'> | null) => void): void {
     const found = new Map<JobId, 'open' | 'over'>();
     const compare = (from: number): void => {
       const batch = ids.slice(from, from + this.perBatch);
       if (batch.length === 0) return then(found);
       if (!this.budget.take(this.io.now)) return then(null);
-      const op = { kind: 'commit' as const, conditions: batch.flatMap(neither), puts: [], drops: [] };
-      this.io.state(op, Rank.ask, (r) => {
+      const op = {
+        kind: 'compare-and-swap' as const,
+        conditions: batch.flatMap(neither),
+        puts: [],
+        deletes: [],
+      };
+      this.io.store(op, StorePriority.query, (r) => {
         if (r.kind !== 'committed' && r.kind !== 'conflict') return then(null);
         const there = new Set(r.kind === 'conflict' ? r.failed : []);
         for (const id of batch) {
-          if (there.has(FINAL + id)) found.set(id, 'over');
-          else if (there.has(OPEN + id)) found.set(id, 'open');
+          if (there.has(FINAL_STATE_PREFIX + id)) found.set(id, 'over');
+          else if (there.has(OPEN_JOB_PREFIX + id)) found.set(id, 'open');
         }
         compare(from + batch.length);
       });
@@ -209,26 +220,26 @@
   }
 
   /** The first service among open jobs, null if there is none. */
-  services(ids: JobId[], then: (id: JobId | 'unclear' | null) => void): void {
+  findFirstService(ids: JobId[], then: (id: JobId | 'unclear' | null) => void): void {
     const [id, ...rest] = ids;
     if (id === undefined) return then(null);
     if (!this.budget.take(this.io.now)) return then('unclear');
-    this.get(OPEN + id, (r) => {
+    this.get(OPEN_JOB_PREFIX + id, (r) => {
       // What is no longer open was no service, or was cancelled.
       if (r.kind === 'item' && decodeJobRecord(r.item).spec.kind === 'service') then(id);
-      else if (r.kind === 'item' || r.kind === 'missing') this.services(rest, then);
+      else if (r.kind === 'item' || r.kind === 'missing') this.findFirstService(rest, then);
       else then('unclear');
     });
   }
 
   /** Answers a submission of a job that is on record already. */
-  asKnown(id: JobId, answer: (a: UserAnswer) => void): void {
-    this.ask(id, (a) => {
-      answer(a.kind === 'not-found' ? retry('the job is changing') : toSubmission(a));
+  answerRepeatedSubmission(id: JobId, answer: (a: UserResponse) => void): void {
+    this.readStatus(id, (a) => {
+      answer(a.kind === 'not-found' ? retryLater('the job is changing') : asSubmissionResponse(a));
     });
   }
 }
 
 /** True of a job that was never accepted. */
-const neither = (id: JobId): Condition[] =>
-  [OPEN, FINAL].map((prefix) => ({ key: prefix + id, revision: 0 as Revision }));
+const neither = (id: JobId): StoreCondition[] =>
+  [OPEN_JOB_PREFIX, FINAL_STATE_PREFIX].map((prefix) => ({ key: prefix + id, revision: 0 as Revision }));
--- a/src/core/record/record.ts
+++ b/src/core/storage/job-record.ts
@@ -2,9 +2,9 @@
 // longer than a value may be. All are written in one transaction and deleted in one, so whoever finds the first finds the rest.
 // The short field names belong to the stored form alone; everything else works with the types of this module.
 import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
-import type { Item, JobKind, JobSpec, Priority, Put, StateLimits } from '../base/model.ts';
-import { MORE, OPEN } from './keys.ts';
-import { bytesOf } from './store.ts';
+import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
+import { jsonBytes } from './fenced-writer.ts';
+import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
 /** A job's specification as it is stored, and as controllers pass it to each other. */
 export interface StoredJobSpec {
@@ -45,22 +45,41 @@
   memoryGb: spec.memoryGb,
   image: spec.image,
   imageGb: spec.imageGb,
-  types: spec.types,
+  types: spec.machineTypes,
   zone: spec.zone,
   oneZone: spec.oneZone,
   spread: spec.spread,
   spot: spec.spot,
-  estimateS: spec.estimateS,
-  checkpointS: spec.checkpointS,
-  saveS: spec.saveS,
+  estimateS: spec.estimatedRunS,
+  checkpointS: spec.checkpointIntervalS,
+  saveS: spec.checkpointDurationS,
   deadlineS: spec.deadlineS,
-  ...(spec.awaits === undefined ? {} : { awaits: spec.awaits }),
+  ...(spec.dependsOn === undefined ? {} : { awaits: spec.dependsOn }),
 });
 
-export const decodeJobSpec = (stored: StoredJobSpec): JobSpec => {
-  const { awaits, ...rest } = stored;
-  return { ...rest, ...(awaits === undefined ? {} : { awaits }) };
-};
+export const decodeJobSpec = (stored: StoredJobSpec): JobSpec => ({
+  id: stored.id,
+  class: stored.class,
+  team: stored.team,
+  kind: stored.kind,
+  priority: stored.priority,
+  tasks: stored.tasks,
+  cpus: stored.cpus,
+  gpus: stored.gpus,
+  memoryGb: stored.memoryGb,
+  image: stored.image,
+  imageGb: stored.imageGb,
+  machineTypes: stored.types,
+  zone: stored.zone,
+  oneZone: stored.oneZone,
+  spread: stored.spread,
+  spot: stored.spot,
+  estimatedRunS: stored.estimateS,
+  checkpointIntervalS: stored.checkpointS,
+  checkpointDurationS: stored.saveS,
+  deadlineS: stored.deadlineS,
+  ...(stored.awaits === undefined ? {} : { dependsOn: stored.awaits }),
+});
 
 /** What is on record of a job that is not over. */
 export interface JobRecord {
@@ -89,7 +108,7 @@
   ...(record.dependencyParts > 0 ? { x: record.dependencyParts } : {}),
 });
 
-export function decodeJobRecord(item: Item): JobRecord {
+export function decodeJobRecord(item: StoreItem): JobRecord {
   const { s, t, c, w, x } = item.value as StoredJobRecord;
   return {
     spec: decodeJobSpec(s),
@@ -120,13 +139,13 @@
   ...(final.endedAt === null ? {} : { t: final.endedAt }),
 });
 
-export function decodeFinalState(item: Item): FinalState {
+export function decodeFinalState(item: StoreItem): FinalState {
   const { s, w, t } = item.value as StoredFinalState;
   return { status: s, writeId: w, endedAt: t ?? null };
 }
 
-export const moreKeys = (id: JobId, parts: number): string[] =>
-  Array.from({ length: parts }, (_, i) => `${MORE}${id}/${i + 1}`);
+export const dependencyPartKeys = (id: JobId, parts: number): string[] =>
+  Array.from({ length: parts }, (_, i) => `${DEPENDENCY_PART_PREFIX}${id}/${i + 1}`);
 
 /** Bytes left free for the cancellation mark and the number of parts, which may be added later. */
 const RESERVED_BYTES = 32;
@@ -135,19 +154,23 @@
 const TRANSACTION_MAX_BYTES = 48 * 1024;
 
 /** What is to be stored for a new job; null when one transaction cannot hold it. */
-export function recordPuts(record: JobRecord, limits: StateLimits): Put[] | null {
-  const maxBytes = Math.floor(limits.valueKb * 1024) - RESERVED_BYTES;
-  const key = OPEN + record.spec.id;
+export function jobRecordPuts(record: JobRecord, limits: StoreLimits): StorePut[] | null {
+  const maxBytes = Math.floor(limits.maxValueKb * 1024) - RESERVED_BYTES;
+  const key = OPEN_JOB_PREFIX + record.spec.id;
   const value = encodeJobRecord(record);
-  if (bytesOf(value) <= maxBytes) return [{ key, value }];
+  if (jsonBytes(value) <= maxBytes) return [{ key, value }];
   const parts = splitDependencies(value, maxBytes);
   const [first, ...more] = parts;
   // The first value names at least one, so that a reader who knows no parts sees a job that waits.
-  if (first === undefined || first.length === 0 || more.length + OTHER_CHANGES > limits.txnOps) return null;
+  if (first === undefined || first.length === 0 || more.length + OTHER_CHANGES > limits.maxTransactionOps)
+    return null;
   const head = { ...value, s: { ...value.s, awaits: first }, x: more.length };
-  const keys = moreKeys(record.spec.id, more.length);
-  const puts: Put[] = [{ key, value: head }, ...more.map((ids, i) => ({ key: keys[i]!, value: { a: ids } }))];
-  return bytesOf(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
+  const keys = dependencyPartKeys(record.spec.id, more.length);
+  const puts: StorePut[] = [
+    { key, value: head },
+    ...more.map((ids, i) => ({ key: keys[i]!, value: { a: ids } })),
+  ];
+  return jsonBytes(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
 }
 
 /** The dependencies in portions of which the first fits the job's own value and each other a value of its own. */
@@ -155,14 +178,14 @@
   const { awaits = [], ...rest } = value.s;
   const parts: JobId[][] = [];
   // Besides the list's own brackets, an id takes itself, two quotes and a comma.
-  let leftBytes = maxBytes - bytesOf({ ...value, s: { ...rest, awaits: [] } });
+  let leftBytes = maxBytes - jsonBytes({ ...value, s: { ...rest, awaits: [] } });
   let part: JobId[] = [];
   for (const id of awaits) {
     leftBytes -= id.length + 3;
     if (leftBytes < 0) {
       parts.push(part);
       part = [];
-      leftBytes = maxBytes - bytesOf({ a: [] }) - id.length - 3;
+      leftBytes = maxBytes - jsonBytes({ a: [] }) - id.length - 3;
     }
     part.push(id);
   }
@@ -171,4 +194,4 @@
 }
 
 /** The dependencies in one of the further values. */
-export const partOf = (item: Item): JobId[] => (item.value as { a: JobId[] }).a;
+export const dependenciesInPart = (item: StoreItem): JobId[] => (item.value as { a: JobId[] }).a;
--- a/src/core/record/page.ts
+++ b/src/core/storage/shared-record.ts
@@ -1,16 +1,16 @@
 // A record in the state service that many small facts share, rewritten whole when one of them has changed:
 // changes a second are scarce, and a value holds several kilobytes.
 import type { Revision } from '../../types/index.ts';
-import type { Store } from './store.ts';
+import type { FencedWriter } from './fenced-writer.ts';
 
 /** Layout of the values, read and written by versions from 0.1 on that may serve side by side; a record of another version is refused, see recovery.ts. */
-export const PAGE_VERSION = 1;
+export const SHARED_RECORD_VERSION = 1;
 
-export class Page {
-  writing = false;
-  private readonly store: Store;
+export class SharedRecord {
+  isWriting = false;
+  private readonly store: FencedWriter;
   constructor(
-    store: Store,
+    store: FencedWriter,
     readonly key: string,
     public revision: Revision,
   ) {
@@ -20,17 +20,17 @@
   /** Writes the value, or drops the key for null; `done` tells whether this very value is on record. */
   write(value: Record<string, unknown> | null, priority: number, done: (ok: boolean) => void): void {
     const { key } = this;
-    this.writing = true;
-    const nonce = value === null ? null : this.store.nonce();
+    this.isWriting = true;
+    const writeId = value === null ? null : this.store.nextWriteId();
     this.store.write({
       conditions: [{ key, revision: this.revision }],
-      puts: value === null ? [] : [{ key, value: { v: PAGE_VERSION, ...value, w: nonce } }],
-      drops: value === null ? [key] : [],
-      check: key,
-      nonce,
+      puts: value === null ? [] : [{ key, value: { v: SHARED_RECORD_VERSION, ...value, w: writeId } }],
+      deletes: value === null ? [key] : [],
+      verifyKey: key,
+      writeId,
       priority,
-      done: (r) => {
-        this.writing = false;
+      onResult: (r) => {
+        this.isWriting = false;
         if (r.kind === 'ok') this.revision = value === null ? (0 as Revision) : r.revision;
         // Rejected, or the term is lost: nothing has changed on record.
         else if (r.kind === 'conflict') this.revision = r.item?.revision ?? (0 as Revision);
--- a/src/core/teams/maxmin.ts
+++ b/src/core/teams/max-min-fairness.ts
@@ -5,7 +5,7 @@
 /** One number for each resource, in the same order everywhere. */
 export type Amounts = readonly number[];
 
-export interface Part {
+export interface ShareDemand {
   /** All that it uses and asks for. */
   demand: Amounts;
   /** What it has before anything is shared out; no more of this than it asks for is counted. */
@@ -16,7 +16,7 @@
 const EPS = 1e-9;
 
 /** The greatest part that an amount takes of any resource. */
-export function dominant(amount: Amounts, capacity: Amounts): number {
+export function dominantShare(amount: Amounts, capacity: Amounts): number {
   let most = 0;
   for (let r = 0; r < capacity.length; r++)
     if (amount[r]! > 0) most = Math.max(most, capacity[r]! > 0 ? amount[r]! / capacity[r]! : 1);
@@ -24,14 +24,14 @@
 }
 
 /** For each part the fraction of its demand that it gets, from 0 to 1. Work: n log n in the parts. */
-export function maxMin(parts: readonly Part[], capacity: Amounts): number[] {
+export function maxMinShares(parts: readonly ShareDemand[], capacity: Amounts): number[] {
   const left = [...capacity];
   const base = parts.map((p) => baseOf(p));
   shrink(base, parts, left);
   const got = base.map((f) => f);
   // What is left of each part's demand grows at the weight's rate, measured in dominant shares of the whole.
   const rest = parts.map((p, i) => p.demand.map((d) => d * (1 - base[i]!)));
-  const size = rest.map((r) => dominant(r, capacity));
+  const size = rest.map((r) => dominantShare(r, capacity));
   const order = [...parts.keys()].filter((i) => size[i]! > EPS);
   order.sort((a, b) => size[a]! / parts[a]!.weight - size[b]! / parts[b]!.weight);
   const rate = capacity.map(() => 0);
@@ -78,7 +78,7 @@
 }
 
 /** The fraction of its demand that a part is guaranteed: all resources together, as its tasks need them together. */
-function baseOf(p: Part): number {
+function baseOf(p: ShareDemand): number {
   let f = Number.POSITIVE_INFINITY;
   for (let r = 0; r < p.demand.length; r++)
     if (p.demand[r]! > EPS) f = Math.min(f, p.guaranteed[r]! / p.demand[r]!);
@@ -86,7 +86,7 @@
 }
 
 /** With less capacity than is guaranteed in all, all guarantees shrink alike. */
-function shrink(base: number[], parts: readonly Part[], left: number[]): void {
+function shrink(base: number[], parts: readonly ShareDemand[], left: number[]): void {
   let by = 1;
   const sums = left.map((_, r) => parts.reduce((s, p, i) => s + p.demand[r]! * base[i]!, 0));
   for (let r = 0; r < left.length; r++)
--- a/src/core/teams/quota.ts
+++ b/src/core/teams/quota.ts
@@ -5,21 +5,21 @@
 import type { Job } from '../jobs/job.ts';
 import { Usage } from './usage.ts';
 
-export interface TeamUse {
+export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 const EPS = 1e-6;
-const NONE: TeamUse = { cpus: 0, gpus: 0 };
+const NONE: TeamUsage = { cpus: 0, gpus: 0 };
 
 export class Quota {
   /** The same by team and by class, for those who share out room. */
   readonly usage = new Usage();
   private teams: ReadonlyMap<TeamName, Team>;
   /** Tasks on machines and in their queues. */
-  private readonly use = new Map<TeamName, TeamUse>();
+  private readonly use = new Map<TeamName, TeamUsage>();
   /** Machines not yet heard under this term: any team may hold all of them. */
-  private readonly doubt: TeamUse = { cpus: 0, gpus: 0 };
+  private readonly doubt: TeamUsage = { cpus: 0, gpus: 0 };
 
   constructor(teams: ReadonlyMap<TeamName, Team>) {
     this.teams = teams;
@@ -45,18 +45,18 @@
     u.gpus += job.spec.gpus * tasks;
   }
 
-  doubtful(type: TeamUse, sign: 1 | -1): void {
+  addUncertain(type: TeamUsage, sign: 1 | -1): void {
     this.doubt.cpus += type.cpus * sign;
     this.doubt.gpus += type.gpus * sign;
   }
 
-  used(team: TeamName): TeamUse {
+  used(team: TeamName): TeamUsage {
     const u = this.use.get(team) ?? NONE;
     return { cpus: u.cpus + this.doubt.cpus, gpus: u.gpus + this.doubt.gpus };
   }
 
   /** How far the team's own tasks, on machines and in queues, are above its limit; null if they are not. */
-  above(name: TeamName): TeamUse | null {
+  overQuota(name: TeamName): TeamUsage | null {
     const t = this.teams.get(name);
     const u = this.use.get(name) ?? NONE;
     if (t === undefined) return u.cpus > EPS || u.gpus > EPS ? { ...u } : null;
@@ -66,17 +66,17 @@
   }
 
   /** Why the job can't run under its team's limit, whatever else the team runs; null if it can. */
-  obstacle(spec: JobSpec): string | null {
+  violation(spec: JobSpec): string | null {
     const t = this.teams.get(spec.team);
-    return t === undefined ? `team ${spec.team} is not known here` : beyondLimit(spec, t);
+    return t === undefined ? `team ${spec.team} is not known here` : quotaViolation(spec, t);
   }
 
   /** How many more of the job's tasks the team's limit allows beside what it uses, and what else is counted as used. */
-  allows(job: Job, beside: TeamUse = NONE): number {
+  allowedTasks(job: Job, beside: TeamUsage = NONE): number {
     const t = this.teams.get(job.spec.team);
     if (t === undefined) return 0;
     // All tasks of a gang run at once: one that is larger than its team's limit is not begun.
-    if (job.spec.kind === 'gang' && beyondLimit(job.spec, t) !== null) return 0;
+    if (job.spec.kind === 'gang' && quotaViolation(job.spec, t) !== null) return 0;
     const u = this.used(job.spec.team);
     return Math.min(
       fits(t.cpusMax, u.cpus + beside.cpus, job.spec.cpus),
@@ -99,7 +99,7 @@
 }
 
 /** Why a team's limit does not allow the job, even if nothing else of the team runs; null if it does. */
-export function beyondLimit(spec: JobSpec, team: Team): string | null {
+export function quotaViolation(spec: JobSpec, team: Team): string | null {
   const n = spec.kind === 'array' ? 1 : spec.tasks;
   if (team.cpusMax > 0 && spec.cpus * n > team.cpusMax)
     return `the job needs ${spec.cpus * n} CPUs at once and team ${spec.team} may use ${team.cpusMax}`;
--- a/src/core/teams/accounts.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -1,15 +1,15 @@
 // What became of each team's work, by class: for operators, who ask whom the fleet serves least. Jobs that are over are
 // counted on record, in pages that several teams share, written seldom; open ones are counted from their own records. So a
 // new owner goes on from where the last page was: what ended in the seconds since is missing from it, and nothing else.
-import { type Instant, LONG_AGO, later, type Revision, type WallTime } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
-import type { Item } from '../base/model.ts';
-import { Rank } from '../base/statebudget.ts';
+import { addMs, type Instant, LONG_AGO, type Revision, type WallTime } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { StoreItem } from '../base/model.ts';
+import { StorePriority } from '../base/store-request-budget.ts';
 import type { Job } from '../jobs/job.ts';
-import { Page } from '../record/page.ts';
-import { Priorities, type Store } from '../record/store.ts';
+import { type FencedWriter, WritePriority } from '../storage/fenced-writer.ts';
+import { SharedRecord } from '../storage/shared-record.ts';
 
-export const ACCOUNT = 'u/';
+export const USAGE_PREFIX = 'u/';
 const WRITE_EVERY_MS = 10_000;
 const RETRY_MS = 1000;
 const TELL_EVERY_MS = 30_000;
@@ -28,7 +28,7 @@
 /** Jobs over, of them done; tasks of those; CPU seconds of tasks that completed. */
 type Ended = [over: number, done: number, tasks: number, cpuS: number];
 
-export interface Served {
+export interface UsageSummary {
   team: string;
   class: string;
   /** Open services, which are in none of the figures below but `started` and those about waiting. */
@@ -49,10 +49,10 @@
 class AccountPage {
   readonly names = new Set<string>();
   dirty = false;
-  constructor(readonly page: Page) {}
+  constructor(readonly page: SharedRecord) {}
 }
 
-export class Accounts {
+export class UsageAccounting {
   private readonly ended = new Map<string, Ended>();
   private readonly pages: AccountPage[] = [];
   private readonly home = new Map<string, AccountPage>();
@@ -64,15 +64,15 @@
   private nextTell: Instant;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly store: Store,
+    private readonly io: ControllerIo,
+    private readonly store: FencedWriter,
     private readonly term: Revision,
   ) {
-    this.perPage = Math.max(1, Math.floor(store.maxValue / LINE_MAX));
-    this.nextTell = later(io.now, TELL_EVERY_MS);
+    this.perPage = Math.max(1, Math.floor(store.maxValueBytes / LINE_MAX));
+    this.nextTell = addMs(io.now, TELL_EVERY_MS);
   }
 
-  closed(job: Job, status: 'done' | 'cancelled'): void {
+  onJobClosed(job: Job, status: 'done' | 'cancelled'): void {
     const e = this.of(this.nameOf(job));
     e[0]++;
     if (status !== 'done') return;
@@ -80,7 +80,7 @@
     e[2] += job.spec.tasks;
   }
 
-  completed(job: Job, cpuS: number): void {
+  onTaskCompleted(job: Job, cpuS: number): void {
     this.of(this.nameOf(job))[3] += cpuS;
   }
 
@@ -102,26 +102,26 @@
   tick(open: Iterable<Job>): void {
     if (this.loaded !== true) return this.read();
     if (this.io.now >= this.nextWrite) {
-      this.nextWrite = later(this.io.now, WRITE_EVERY_MS);
+      this.nextWrite = addMs(this.io.now, WRITE_EVERY_MS);
       this.write();
     }
     if (this.io.now < this.nextTell) return;
-    this.nextTell = later(this.io.now, TELL_EVERY_MS);
-    this.tell(this.served(open));
+    this.nextTell = addMs(this.io.now, TELL_EVERY_MS);
+    this.tell(this.summarize(open));
   }
 
   private read(): void {
     if (this.loaded === false || this.io.now < this.nextTry) return;
     this.loaded = false;
-    this.io.state({ kind: 'list', prefix: ACCOUNT, after: null }, Rank.work, (r) => {
+    this.io.store({ kind: 'list', prefix: USAGE_PREFIX, after: null }, StorePriority.work, (r) => {
       this.loaded = r.kind === 'items' ? true : null;
-      this.nextTry = later(this.io.now, RETRY_MS);
+      this.nextTry = addMs(this.io.now, RETRY_MS);
       if (r.kind === 'items') for (const item of r.items) this.load(item);
     });
   }
 
-  private load(item: Item): void {
-    const p = new AccountPage(new Page(this.store, item.key, item.revision));
+  private load(item: StoreItem): void {
+    const p = new AccountPage(new SharedRecord(this.store, item.key, item.revision));
     this.pages.push(p);
     for (const [name, e] of Object.entries((item.value as { a?: Record<string, Ended> }).a ?? {})) {
       const here = this.of(name);
@@ -140,28 +140,28 @@
       if (this.home.has(name)) continue;
       let p = this.pages.find((x) => x.names.size < this.perPage);
       if (p === undefined) {
-        const key = `${ACCOUNT}${this.term}.${this.pages.length + 1}`;
-        p = new AccountPage(new Page(this.store, key, 0 as Revision));
+        const key = `${USAGE_PREFIX}${this.term}.${this.pages.length + 1}`;
+        p = new AccountPage(new SharedRecord(this.store, key, 0 as Revision));
         this.pages.push(p);
       }
       this.settle(name, p);
       p.dirty = true;
     }
     for (const p of this.pages) {
-      if (!p.dirty || p.page.writing) continue;
+      if (!p.dirty || p.page.isWriting) continue;
       p.dirty = false;
       const a: Record<string, Ended> = {};
       for (const name of p.names) if (this.home.get(name) === p) a[name] = [...this.ended.get(name)!];
-      p.page.write({ a }, Priorities.record, (ok) => {
+      p.page.write({ a }, WritePriority.sharedRecord, (ok) => {
         if (!ok) p.dirty = true;
       });
     }
   }
 
   /** Each team's work by class, as it stands. Work: the open jobs. */
-  served(open: Iterable<Job>): Served[] {
-    const out = new Map<string, Served>();
-    const at = (name: string): Served => {
+  summarize(open: Iterable<Job>): UsageSummary[] {
+    const out = new Map<string, UsageSummary>();
+    const at = (name: string): UsageSummary => {
       let s = out.get(name);
       if (s === undefined) {
         const [team, cls] = split(name);
@@ -188,20 +188,20 @@
       if (job.spec.kind === 'service') {
         s.services++;
         s.replicas += job.spec.tasks;
-        s.replicasUp += job.running;
+        s.replicasUp += job.runningTasks;
       } else {
         s.jobs++;
         s.tasks += job.spec.tasks;
       }
       s.tasksDone += job.doneCount;
-      if (job.doneCount > 0 || job.running > 0) s.started++;
-      s.waitingTasks += job.wanting;
-      if (job.wanting > 0) s.oldestWaitS = Math.max(s.oldestWaitS, waitS(job, this.io.wall));
+      if (job.doneCount > 0 || job.runningTasks > 0) s.started++;
+      s.waitingTasks += job.unplacedTasks;
+      if (job.unplacedTasks > 0) s.oldestWaitS = Math.max(s.oldestWaitS, waitS(job, this.io.wallTime));
     }
     return [...out.values()];
   }
 
-  private tell(all: Served[]): void {
+  private tell(all: UsageSummary[]): void {
     if (all.length === 0) return;
     const lines = all
       .sort((a, b) => servedPart(a) - servedPart(b) || b.oldestWaitS - a.oldestWaitS)
@@ -216,7 +216,7 @@
 }
 
 /** Jobs done and, of services, replicas up, as a part of those asked for; 1 for nothing. */
-function servedPart(s: Served): number {
+function servedPart(s: UsageSummary): number {
   const of = s.jobs + s.services;
   if (of === 0) return 1;
   return (s.done + (s.replicas === 0 ? 0 : (s.services * s.replicasUp) / s.replicas)) / of;
--- a/src/core/teams/usage.ts
+++ b/src/core/teams/usage.ts
@@ -7,19 +7,19 @@
 /** CPUs, accelerators, memory in GB: the order of resources in `maxmin.ts`. */
 export type Resources = [number, number, number];
 
-export const takes = (spec: JobSpec, tasks = 1): Resources => [
+export const resourcesOf = (spec: JobSpec, tasks = 1): Resources => [
   spec.cpus * tasks,
   spec.gpus * tasks,
   spec.memoryGb * tasks,
 ];
 
-export function addTo(sum: Resources, spec: JobSpec, tasks: number): void {
+export function addResources(sum: Resources, spec: JobSpec, tasks: number): void {
   sum[0] += spec.cpus * tasks;
   sum[1] += spec.gpus * tasks;
   sum[2] += spec.memoryGb * tasks;
 }
 
-export interface Use {
+export interface ClassUsage {
   tasks: number;
   sum: Resources;
   /** A job like the others. */
@@ -27,8 +27,8 @@
 }
 
 interface OfType {
-  teams: Map<string, Use>;
-  classes: Map<string, Use>;
+  teams: Map<string, ClassUsage>;
+  classes: Map<string, ClassUsage>;
 }
 
 export class Usage {
@@ -45,8 +45,8 @@
   }
 
   /** Sums over some types of machines. Work: the names in use there. */
-  on(types: Iterable<TypeName>, by: 'teams' | 'classes'): Map<string, Use> {
-    const out = new Map<string, Use>();
+  on(types: Iterable<TypeName>, by: 'teams' | 'classes'): Map<string, ClassUsage> {
+    const out = new Map<string, ClassUsage>();
     for (const type of types)
       for (const [name, u] of this.types.get(type)?.[by] ?? []) {
         const sum = out.get(name) ?? { tasks: 0, sum: [0, 0, 0] as Resources, spec: u.spec };
@@ -58,14 +58,14 @@
   }
 }
 
-function count(by: Map<string, Use>, name: string, spec: JobSpec, tasks: number): void {
+function count(by: Map<string, ClassUsage>, name: string, spec: JobSpec, tasks: number): void {
   let u = by.get(name);
   if (u === undefined) {
     u = { tasks: 0, sum: [0, 0, 0], spec };
     by.set(name, u);
   }
   u.tasks += tasks;
-  addTo(u.sum, spec, tasks);
+  addResources(u.sum, spec, tasks);
   // Sums of fractions drift; nothing in use is a chance to start from nothing, and to forget the name.
   if (u.tasks === 0) by.delete(name);
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -10,7 +10,7 @@
   keepAlive: boolean;
 }
 
-export class BadMessage extends Error {
+export class HttpParseError extends Error {
   readonly status: number;
   constructor(status: number, reason: string) {
     super(reason);
@@ -91,7 +91,7 @@
     if (start > 0) this.buffer = this.buffer.subarray(start);
     const end = this.buffer.indexOf('\r\n\r\n');
     if (end > MAX_HEAD || (end < 0 && this.buffer.length > MAX_HEAD))
-      throw new BadMessage(431, 'head too large');
+      throw new HttpParseError(431, 'head too large');
     if (end < 0) return false;
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + 4);
@@ -104,7 +104,7 @@
   private startLine(line: string): Message {
     const parts = line.split(' ');
     const version = this.role === 'request' ? parts[2] : parts[0];
-    if (version !== 'HTTP/1.1' && version !== 'HTTP/1.0') throw new BadMessage(400, 'bad start line');
+    if (version !== 'HTTP/1.1' && version !== 'HTTP/1.0') throw new HttpParseError(400, 'bad start line');
     const m: Message = {
       method: '',
       target: '',
@@ -117,11 +117,11 @@
       m.method = parts[0] ?? '';
       m.target = parts[1] ?? '';
       if (parts.length !== 3 || !TOKEN.test(m.method) || !m.target.startsWith('/'))
-        throw new BadMessage(400, 'bad request line');
+        throw new HttpParseError(400, 'bad request line');
     } else {
       m.status = Number(parts[1]);
       if (!Number.isInteger(m.status) || m.status < 100 || m.status > 599)
-        throw new BadMessage(400, 'bad status');
+        throw new HttpParseError(400, 'bad status');
     }
     return m;
   }
@@ -129,19 +129,19 @@
   private header(line: string): void {
     const colon = line.indexOf(':');
     const name = line.slice(0, colon).toLowerCase();
-    if (colon < 1 || !TOKEN.test(name)) throw new BadMessage(400, 'bad header');
+    if (colon < 1 || !TOKEN.test(name)) throw new HttpParseError(400, 'bad header');
     const value = line.slice(colon + 1).trim();
     const headers = this.head!.headers;
     // Two different lengths would let two readers see two different messages.
     if (name === 'content-length' && headers.has(name) && headers.get(name) !== value)
-      throw new BadMessage(400, 'two lengths');
+      throw new HttpParseError(400, 'two lengths');
     headers.set(name, value);
   }
 
   private frame(m: Message): void {
     const expect = m.headers.get('expect')?.toLowerCase();
     if (this.role === 'request' && expect !== undefined) {
-      if (expect !== '100-continue') throw new BadMessage(417, 'cannot do what is expected');
+      if (expect !== '100-continue') throw new HttpParseError(417, 'cannot do what is expected');
       this.waitsForContinue = true;
     }
     const connection = m.headers.get('connection')?.toLowerCase();
@@ -151,12 +151,12 @@
     const length = m.headers.get('content-length');
     if (coding !== undefined) {
       if (coding.toLowerCase() !== 'chunked' || length !== undefined)
-        throw new BadMessage(400, 'bad framing');
+        throw new HttpParseError(400, 'bad framing');
       this.need = -1;
     } else if (length !== undefined) {
-      if (!/^\d{1,15}$/.test(length)) throw new BadMessage(400, 'bad length');
+      if (!/^\d{1,15}$/.test(length)) throw new HttpParseError(400, 'bad length');
       this.need = Number(length);
-      if (this.need > this.maxBody) throw new BadMessage(413, 'body too large');
+      if (this.need > this.maxBody) throw new HttpParseError(413, 'body too large');
     } else {
       const bodyless = this.role === 'request' || m.status === 204 || m.status === 304;
       this.need = bodyless ? 0 : -2;
@@ -177,16 +177,16 @@
     for (;;) {
       const end = this.buffer.indexOf('\r\n');
       if (end < 0) {
-        if (this.buffer.length > 1024) throw new BadMessage(400, 'bad chunk');
+        if (this.buffer.length > 1024) throw new HttpParseError(400, 'bad chunk');
         return null;
       }
       const hex = this.buffer.toString('latin1', 0, end).split(';')[0]!.trim();
-      if (!/^[0-9a-fA-F]{1,8}$/.test(hex)) throw new BadMessage(400, 'bad chunk');
+      if (!/^[0-9a-fA-F]{1,8}$/.test(hex)) throw new HttpParseError(400, 'bad chunk');
       const size = Number.parseInt(hex, 16);
-      if (this.chunkBytes + size > this.maxBody) throw new BadMessage(413, 'body too large');
+      if (this.chunkBytes + size > this.maxBody) throw new HttpParseError(413, 'body too large');
       if (size === 0) return this.readTrailer(end + 2);
       if (this.buffer.length < end + 2 + size + 2) return null;
-      if (this.buffer[end + 2 + size] !== 13) throw new BadMessage(400, 'bad chunk');
+      if (this.buffer[end + 2 + size] !== 13) throw new HttpParseError(400, 'bad chunk');
       this.chunks.push(this.buffer.subarray(end + 2, end + 2 + size));
       this.chunkBytes += size;
       this.buffer = this.buffer.subarray(end + 2 + size + 2);
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,7 +1,7 @@
 // A small HTTP/1.1 server on net: one request at a time a connection, with time and size limits.
 import { createServer, type Server, type Socket } from 'node:net';
-import { BadMessage, HttpParser, type Message } from './parser.ts';
-import { Turns, type Urgency } from './turns.ts';
+import { HttpParseError, HttpParser, type Message } from './parser.ts';
+import { type Urgency, WorkQueue } from './work-queue.ts';
 
 export interface Reply {
   status: number;
@@ -11,7 +11,7 @@
 export type Handler = (request: Message, answer: (reply: Reply) => void) => void;
 
 /** What the first bytes of a request say of it, before it is parsed. */
-export interface Glance {
+export interface RequestClass {
   urgency: Urgency;
   /** After so long its sender no longer waits for the answer. */
   uselessAfterMs: number;
@@ -49,8 +49,8 @@
   return `HTTP/1.1 ${r.status} ${REASONS[r.status] ?? 'Status'}\r\nContent-Type: application/json\r\n${retry}${close}Content-Length: ${length}\r\n\r\n${r.body}`;
 }
 
-const REST: Glance = { urgency: 0, uselessAfterMs: Number.POSITIVE_INFINITY };
-const PLAIN: Glance = { urgency: 1, uselessAfterMs: Number.POSITIVE_INFINITY };
+const REST: RequestClass = { urgency: 0, uselessAfterMs: Number.POSITIVE_INFINITY };
+const PLAIN: RequestClass = { urgency: 1, uselessAfterMs: Number.POSITIVE_INFINITY };
 
 class Connection {
   private readonly parser: HttpParser;
@@ -65,8 +65,8 @@
     private readonly socket: Socket,
     private readonly handler: Handler,
     private readonly limits: ServerLimits,
-    private readonly turns: Turns,
-    private readonly glance: (bytes: Buffer) => Glance,
+    private readonly turns: WorkQueue,
+    private readonly glance: (bytes: Buffer) => RequestClass,
     now: number,
   ) {
     this.parser = new HttpParser('request', limits.maxBody);
@@ -102,7 +102,7 @@
       // A refusal by the head alone, as for a body too large, has been thrown by now: only what is read is asked for.
       if (this.parser.takeContinue() && !this.busy) this.socket.write('HTTP/1.1 100 Continue\r\n\r\n');
     } catch (e) {
-      const bad = e instanceof BadMessage ? e : new BadMessage(400, 'bad request');
+      const bad = e instanceof HttpParseError ? e : new HttpParseError(400, 'bad request');
       this.refuse(bad.status, bad.message);
       return;
     }
@@ -153,8 +153,8 @@
   limits: ServerLimits,
   handler: Handler,
   onListening: (port: number) => void,
-  turns = new Turns(),
-  glance: (bytes: Buffer) => Glance = () => PLAIN,
+  turns = new WorkQueue(),
+  glance: (bytes: Buffer) => RequestClass = () => PLAIN,
 ): { server: Server; close: () => void } {
   const connections = new Set<Connection>();
   const server = createServer({ noDelay: true }, (socket) => {
--- a/src/http/turns.ts
+++ b/src/http/work-queue.ts
@@ -5,7 +5,7 @@
 /** 0 goes first; `now` is not kept waiting at all. */
 export type Urgency = 'now' | 0 | 1 | 2;
 
-export interface Turn {
+export interface WorkItem {
   /** When it arrived, in milliseconds of the steady clock. */
   since: number;
   urgency: Urgency;
@@ -19,18 +19,18 @@
 const SLICE_MS = 8;
 
 class Queue {
-  private items: Turn[] = [];
+  private items: WorkItem[] = [];
   private head = 0;
   get length(): number {
     return this.items.length - this.head;
   }
-  get first(): Turn | undefined {
+  get first(): WorkItem | undefined {
     return this.items[this.head];
   }
-  push(t: Turn): void {
+  push(t: WorkItem): void {
     this.items.push(t);
   }
-  shift(): Turn | undefined {
+  shift(): WorkItem | undefined {
     const t = this.items[this.head];
     if (t === undefined) return undefined;
     this.head++;
@@ -42,7 +42,7 @@
   }
 }
 
-export class Turns {
+export class WorkQueue {
   private readonly queues = [new Queue(), new Queue(), new Queue()] as const;
   private spentMs = 0;
   private scheduled = false;
@@ -64,7 +64,7 @@
     return first === undefined ? 0 : this.clock() - first.since;
   }
 
-  add(t: Turn): void {
+  add(t: WorkItem): void {
     if (t.urgency === 'now') return t.run();
     this.queues[t.urgency].push(t);
     // With nothing else to do it is done at once; otherwise in its turn.
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,7 +1,7 @@
 // Requests to the cloud and its replies.
-import type { CloudOp, CloudReply, ListedMachine, MachineType } from '../core/base/model.ts';
+import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
-import { amount, asObject, flag, InvalidMessage, text } from './job.ts';
+import { amount, asObject, flag, InvalidMessageError, text } from './job.ts';
 
 const LIST_PAGE = 500;
 
@@ -11,7 +11,7 @@
   body: string | null;
 }
 
-export function encodeCloudOp(op: CloudOp): HttpCall {
+export function encodeCloudRequest(op: CloudRequest): HttpCall {
   switch (op.kind) {
     case 'types':
       return { method: 'GET', path: '/flavors', body: null };
@@ -36,7 +36,7 @@
 
 function list(json: unknown, name: string): unknown[] {
   const v = asObject(json, 'the reply')[name];
-  if (!Array.isArray(v)) throw new InvalidMessage(`${name} must be a list`);
+  if (!Array.isArray(v)) throw new InvalidMessageError(`${name} must be a list`);
   return v;
 }
 
@@ -69,7 +69,7 @@
   };
 }
 
-export function decodeCloudReply(op: CloudOp, status: number, json: unknown): CloudReply {
+export function decodeCloudReply(op: CloudRequest, status: number, json: unknown): CloudReply {
   if (status !== 200) {
     const reason =
       status === 503 && typeof json === 'object' && json !== null ? (json as { error?: unknown }).error : '';
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -1,5 +1,5 @@
 // Jobs between JSON on the wire and the domain.
-import type { JobKind, JobSpec, JobStatus, Priority, UserAnswer } from '../core/base/model.ts';
+import type { JobKind, JobSpec, JobStatus, Priority, UserResponse } from '../core/base/model.ts';
 import type { JobId, TeamName, TypeName, ZoneName } from '../types/index.ts';
 
 const MAX_TASKS = 100_000;
@@ -18,40 +18,40 @@
   Object.keys(known).find((k) => known[k] === value)!;
 
 /** Says which field is wrong; the message is shown to the user. */
-export class InvalidMessage extends Error {}
+export class InvalidMessageError extends Error {}
 
 type Fields = Record<string, unknown>;
 
 export function asObject(value: unknown, what: string): Fields {
   if (typeof value !== 'object' || value === null || Array.isArray(value))
-    throw new InvalidMessage(`${what} must be an object`);
+    throw new InvalidMessageError(`${what} must be an object`);
   return value as Fields;
 }
 
 export function text(f: Fields, name: string): string {
   const v = f[name];
   if (typeof v !== 'string' || v === '' || v.length > 200)
-    throw new InvalidMessage(`${name} must be a string`);
+    throw new InvalidMessageError(`${name} must be a string`);
   return v;
 }
 
 export function amount(f: Fields, name: string, min = 0, max = 1e9): number {
   const v = f[name];
   if (typeof v !== 'number' || !Number.isFinite(v) || v < min || v > max)
-    throw new InvalidMessage(`${name} must be a number from ${min}`);
+    throw new InvalidMessageError(`${name} must be a number from ${min}`);
   return v;
 }
 
 export function count(f: Fields, name: string, min = 0, max = Number.MAX_SAFE_INTEGER): number {
   const v = f[name];
   if (typeof v !== 'number' || !Number.isInteger(v) || v < min || v > max)
-    throw new InvalidMessage(`${name} must be a whole number from ${min} to ${max}`);
+    throw new InvalidMessageError(`${name} must be a whole number from ${min} to ${max}`);
   return v;
 }
 
 export function flag(f: Fields, name: string): boolean {
   const v = f[name];
-  if (typeof v !== 'boolean') throw new InvalidMessage(`${name} must be true or false`);
+  if (typeof v !== 'boolean') throw new InvalidMessageError(`${name} must be true or false`);
   return v;
 }
 
@@ -61,21 +61,21 @@
 function oneOf<T>(f: Fields, name: string, known: Record<string, T>): T {
   const v = f[name];
   if (typeof v !== 'string' || !Object.hasOwn(known, v))
-    throw new InvalidMessage(`${name} must be one of ${Object.keys(known).join(', ')}`);
+    throw new InvalidMessageError(`${name} must be one of ${Object.keys(known).join(', ')}`);
   return known[v] as T;
 }
 
 function typeNames(f: Fields, name: string): TypeName[] {
   const v = f[name];
   if (!Array.isArray(v) || v.some((x) => typeof x !== 'string'))
-    throw new InvalidMessage(`${name} must be a list of machine types`);
+    throw new InvalidMessageError(`${name} must be a list of machine types`);
   return v as TypeName[];
 }
 
 function jobIds(f: Fields, name: string): JobId[] {
   const v = f[name];
   if (!Array.isArray(v) || v.some((x) => typeof x !== 'string' || !isJobId(x)))
-    throw new InvalidMessage(`${name} must be a list of job ids like run-000412`);
+    throw new InvalidMessageError(`${name} must be a list of job ids like run-000412`);
   return [...new Set(v as JobId[])];
 }
 
@@ -86,8 +86,8 @@
 export function parseJob(json: unknown): JobSpec {
   const f = asObject(json, 'the job');
   const id = text(f, 'nameId');
-  const awaits = optional(f, 'awaits', jobIds) ?? [];
-  if (!isJobId(id)) throw new InvalidMessage('nameId must look like run-000412');
+  const dependsOn = optional(f, 'awaits', jobIds) ?? [];
+  if (!isJobId(id)) throw new InvalidMessageError('nameId must look like run-000412');
   return {
     id,
     class: text(f, 'jobclass'),
@@ -100,32 +100,32 @@
     memoryGb: amount(f, 'memoryGb'),
     image: text(f, 'bundle'),
     imageGb: amount(f, 'sizeGb'),
-    types: optional(f, 'berthkinds', typeNames),
+    machineTypes: optional(f, 'berthkinds', typeNames),
     zone: optional(f, 'yard', text) as ZoneName | null,
     oneZone: flag(f, 'samePlace'),
     spread: flag(f, 'scatter'),
     spot: flag(f, 'loaners'),
-    estimateS: amount(f, 'guessS'),
-    checkpointS: amount(f, 'snapshotS'),
-    saveS: amount(f, 'flushS'),
+    estimatedRunS: amount(f, 'guessS'),
+    checkpointIntervalS: amount(f, 'snapshotS'),
+    checkpointDurationS: amount(f, 'flushS'),
     deadlineS: optional(f, 'dueS', amount),
-    ...(awaits.length === 0 ? {} : { awaits }),
+    ...(dependsOn.length === 0 ? {} : { dependsOn }),
   };
 }
 
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   body: string;
   retryAfterS?: number;
 }
 
-export const refusal = (status: number, reason: string, retryAfterS?: number): HttpAnswer => ({
+export const errorResponse = (status: number, reason: string, retryAfterS?: number): HttpResponse => ({
   status,
   body: JSON.stringify({ error: reason }),
   ...(retryAfterS === undefined ? {} : { retryAfterS }),
 });
 
-export function encodeUserAnswer(a: UserAnswer): HttpAnswer {
+export function encodeUserResponse(a: UserResponse): HttpResponse {
   switch (a.kind) {
     case 'accepted':
       return { status: 201, body: JSON.stringify({ nameId: a.id, status: STATUS.queued }) };
@@ -140,17 +140,17 @@
           status: STATUS[a.status],
           done: a.done,
           running: a.running,
-          ...(a.awaits === undefined ? {} : { awaits: a.awaits }),
+          ...(a.dependsOn === undefined ? {} : { awaits: a.dependsOn }),
           ...(a.reason === undefined ? {} : { reason: a.reason }),
         }),
       };
     case 'too-large':
-      return refusal(400, a.reason);
+      return errorResponse(400, a.reason);
     case 'impossible':
-      return refusal(422, a.reason);
+      return errorResponse(422, a.reason);
     case 'not-found':
-      return refusal(404, 'no such job');
+      return errorResponse(404, 'no such job');
     case 'retry':
-      return refusal(a.overload ? 429 : 503, a.reason, a.afterS);
+      return errorResponse(a.overload ? 429 : 503, a.reason, a.afterS);
   }
 }
--- a/src/protocol/peer.ts
+++ b/src/protocol/peer.ts
@@ -2,29 +2,34 @@
 import type {
   Command,
   ExitReason,
-  ForwardedAnswer,
-  ForwardedReport,
+  ForwardedHeartbeat,
+  ForwardedHeartbeatResponse,
   JobStatus,
   PeerMessage,
-  TaskReport,
   TaskState,
-  UserAnswer,
+  TaskStatus,
   UserRequest,
+  UserResponse,
 } from '../core/base/model.ts';
-import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from '../core/record/record.ts';
+import { decodeJobSpec, encodeJobSpec, type StoredJobSpec } from '../core/storage/job-record.ts';
 import type {
   Attempt,
+  FencingToken,
   JobId,
   MachineId,
   NodeId,
   Revision,
   TaskId,
-  Token,
   TypeName,
   ZoneName,
 } from '../types/index.ts';
 import { swiftford } from './generated/peer.js';
-import { readRelayedAnswer, readRelayedReport, relayedAnswer, relayedReport } from './relay.ts';
+import {
+  decodeRelayedHeartbeat,
+  decodeRelayedResponse,
+  encodeRelayedHeartbeat,
+  encodeRelayedResponse,
+} from './relay.ts';
 
 const { Envelope, Ask, Reply, Fronted } = swiftford.peer;
 const MAX_FRAME = 256 * 1024;
@@ -35,7 +40,7 @@
   return { id, op: r.op === 'status' ? Ask.Op.STATUS : Ask.Op.CANCEL, job: r.id };
 }
 
-function replyFields(id: number, a: UserAnswer | null): swiftford.peer.IReply {
+function replyFields(id: number, a: UserResponse | null): swiftford.peer.IReply {
   const K = Reply.Kind;
   if (a === null) return { id, kind: K.NONE };
   switch (a.kind) {
@@ -53,7 +58,7 @@
         status: a.status,
         done: a.done,
         running: a.running,
-        awaits: a.awaits ?? [],
+        awaits: a.dependsOn ?? [],
         reason: a.reason ?? '',
       };
     case 'too-large':
@@ -82,37 +87,60 @@
 ];
 const OPS: Command['op'][] = ['start', 'stop', 'forget'];
 
-const pieceFields = (t: TaskReport): swiftford.peer.IPiece => ({
+const pieceFields = (t: TaskStatus): swiftford.peer.IPiece => ({
   task: t.task,
   attempt: t.attempt,
   state: STATES.indexOf(t.state),
-  why: REASONS.indexOf(t.why),
-  saved: t.saved,
+  why: REASONS.indexOf(t.exitReason),
+  saved: t.checkpointed,
 });
 
-function frontFields(id: number, f: ForwardedReport): swiftford.peer.IFront {
-  if (f.whole === null) {
-    const { machine, session, seq, token, noticeS, sameAs, dropped } = f;
+function frontFields(id: number, f: ForwardedHeartbeat): swiftford.peer.IFront {
+  if (f.kind === 'delta') {
+    const { machine, agentEpoch, seq, fencingToken, preemptionNoticeS, baseSeq, removed } = f;
     const pieces = f.changed.map((c) => ({ ...pieceFields(c.task), at: c.at }));
-    return { id, machine, session, seq, token, noticeS, sameAs, dropped, pieces };
+    return {
+      id,
+      machine,
+      session: agentEpoch,
+      seq,
+      token: fencingToken,
+      noticeS: preemptionNoticeS,
+      sameAs: baseSeq,
+      dropped: removed,
+      pieces,
+    };
   }
-  const { machine, session, seq, token, noticeS, addr, type, zone, spot, tasks } = f.whole;
+  const { machine, agentEpoch, seq, fencingToken, preemptionNoticeS, addr, type, zone, spot, tasks } =
+    f.heartbeat;
   const pieces = tasks.map(pieceFields);
-  return { id, machine, session, seq, token, noticeS, addr, type, zone, spot, pieces };
+  return {
+    id,
+    machine,
+    session: agentEpoch,
+    seq,
+    token: fencingToken,
+    noticeS: preemptionNoticeS,
+    addr,
+    type,
+    zone,
+    spot,
+    pieces,
+  };
 }
 
-function frontedFields(id: number, a: ForwardedAnswer): swiftford.peer.IFronted {
+function frontedFields(id: number, a: ForwardedHeartbeatResponse): swiftford.peer.IFronted {
   const K = Fronted.Kind;
   if (a === null) return { id, kind: K.NONE };
-  if (a.kind === 'whole') return { id, kind: K.WHOLE };
-  if (a.kind === 'elsewhere') return { id, kind: K.ELSEWHERE, node: a.node ?? '' };
+  if (a.kind === 'full-heartbeat-required') return { id, kind: K.WHOLE };
+  if (a.kind === 'redirect') return { id, kind: K.ELSEWHERE, node: a.node ?? '' };
   const orders = a.commands.map((c) => ({
     op: OPS.indexOf(c.op),
     task: c.task,
     attempt: c.attempt,
     graceS: c.op === 'stop' ? c.graceS : 0,
   }));
-  return { id, kind: K.ORDERS, token: a.token, orders };
+  return { id, kind: K.ORDERS, token: a.fencingToken, orders };
 }
 
 function envelopeOf(m: PeerMessage): swiftford.peer.IEnvelope {
@@ -121,18 +149,18 @@
       return {
         hello: {
           node: m.node,
-          owner: m.owner,
-          chains: m.chains,
-          fronts: m.fronts,
-          documents: m.documents,
+          owner: m.leaderTerm,
+          chains: m.supportsDependencies,
+          fronts: m.supportsForwarding,
+          documents: m.supportsConfigDocuments,
         },
       };
-    case 'ask':
+    case 'user-request':
       return { ask: askFields(m.id, m.request) };
-    case 'reply':
-      return { reply: replyFields(m.id, m.answer) };
-    case 'relay':
-      return { relay: { id: m.id, report: JSON.stringify(relayedReport(m.report)) } };
+    case 'user-response':
+      return { reply: replyFields(m.id, m.response) };
+    case 'relayed-heartbeat':
+      return { relay: { id: m.id, report: JSON.stringify(encodeRelayedHeartbeat(m.heartbeat)) } };
     case 'load':
       return {
         load: {
@@ -140,23 +168,26 @@
           afterS: m.afterS,
           workers: m.workers,
           backlogS: m.backlogS,
-          short: m.short,
-          config: m.config,
-          owner: m.owner,
+          short: m.memoryShort,
+          config: m.configRevision,
+          owner: m.leaderTerm,
         },
       };
-    case 'front':
-      return { front: frontFields(m.id, m.report) };
-    case 'fronted':
-      return { fronted: frontedFields(m.id, m.answer) };
-    case 'relayed':
+    case 'forwarded-heartbeat':
+      return { front: frontFields(m.id, m.heartbeat) };
+    case 'forwarded-heartbeat-response':
+      return { fronted: frontedFields(m.id, m.response) };
+    case 'relayed-heartbeat-response':
       return {
-        relayed: { id: m.id, answer: m.answer === null ? '' : JSON.stringify(relayedAnswer(m.answer)) },
+        relayed: {
+          id: m.id,
+          answer: m.response === null ? '' : JSON.stringify(encodeRelayedResponse(m.response)),
+        },
       };
   }
 }
 
-export function encodePeer(m: PeerMessage): Buffer {
+export function encodePeerMessage(m: PeerMessage): Buffer {
   const envelope = envelopeOf(m);
   const body = Envelope.encode(envelope).finish();
   const frame = Buffer.allocUnsafe(4 + body.length);
@@ -172,7 +203,7 @@
   return { op: 'submit', spec: decodeJobSpec(JSON.parse(a.spec ?? '') as StoredJobSpec) };
 }
 
-function decodeAnswer(r: swiftford.peer.IReply): UserAnswer | null {
+function decodeAnswer(r: swiftford.peer.IReply): UserResponse | null {
   const K = Reply.Kind;
   const id = (r.job ?? '') as JobId;
   const status = (r.status ?? 'queued') as JobStatus;
@@ -190,7 +221,7 @@
         status,
         done: r.done ?? 0,
         running: r.running ?? 0,
-        ...(r.awaits?.length ? { awaits: r.awaits as JobId[] } : {}),
+        ...(r.awaits?.length ? { dependsOn: r.awaits as JobId[] } : {}),
         ...(r.reason ? { reason: r.reason } : {}),
       };
     case K.TOO_LARGE:
@@ -206,7 +237,7 @@
   }
 }
 
-function decodePiece(p: swiftford.peer.IPiece): TaskReport {
+function decodePiece(p: swiftford.peer.IPiece): TaskStatus {
   const state = STATES[p.state ?? 0];
   if (state === undefined) throw new Error('a state that no peer of ours would send');
   const why = REASONS[p.why ?? 0] ?? null;
@@ -214,26 +245,27 @@
     task: (p.task ?? '') as TaskId,
     attempt: Number(p.attempt ?? 0) as Attempt,
     state,
-    why: state === 'exited' ? (why ?? 'error') : null,
-    saved: p.saved === true,
+    exitReason: state === 'exited' ? (why ?? 'error') : null,
+    checkpointed: p.saved === true,
   };
 }
 
-function decodeFront(f: swiftford.peer.IFront): ForwardedReport {
+function decodeFront(f: swiftford.peer.IFront): ForwardedHeartbeat {
   const head = {
     machine: (f.machine ?? '') as MachineId,
-    session: Number(f.session ?? 0),
+    agentEpoch: Number(f.session ?? 0),
     seq: Number(f.seq ?? 0),
-    token: Number(f.token ?? 0) as Token,
-    noticeS: f.noticeS ?? null,
+    fencingToken: Number(f.token ?? 0) as FencingToken,
+    preemptionNoticeS: f.noticeS ?? null,
   };
-  const sameAs = Number(f.sameAs ?? 0);
-  if (sameAs > 0) {
+  const baseSeq = Number(f.sameAs ?? 0);
+  if (baseSeq > 0) {
     const changed = (f.pieces ?? []).map((p) => ({ at: p.at ?? 0, task: decodePiece(p) }));
-    return { whole: null, ...head, sameAs, dropped: f.dropped ?? [], changed };
+    return { kind: 'delta', ...head, baseSeq, removed: f.dropped ?? [], changed };
   }
   return {
-    whole: {
+    kind: 'full',
+    heartbeat: {
       ...head,
       addr: f.addr ?? '',
       type: (f.type ?? '') as TypeName,
@@ -251,30 +283,30 @@
   return op === 'stop' ? { op, ...of, graceS: o.graceS ?? 0 } : { op, ...of };
 }
 
-function decodeFronted(f: swiftford.peer.IFronted): ForwardedAnswer {
+function decodeFronted(f: swiftford.peer.IFronted): ForwardedHeartbeatResponse {
   const K = Fronted.Kind;
   if (f.kind === K.ORDERS)
     return {
-      kind: 'orders',
-      token: Number(f.token ?? 0) as Token,
+      kind: 'commands',
+      fencingToken: Number(f.token ?? 0) as FencingToken,
       commands: (f.orders ?? []).map(decodeOrder),
     };
-  if (f.kind === K.WHOLE) return { kind: 'whole' };
-  if (f.kind === K.ELSEWHERE) return { kind: 'elsewhere', node: f.node ? (f.node as NodeId) : null };
+  if (f.kind === K.WHOLE) return { kind: 'full-heartbeat-required' };
+  if (f.kind === K.ELSEWHERE) return { kind: 'redirect', node: f.node ? (f.node as NodeId) : null };
   return null;
 }
 
 /** null: of a kind that this version does not know. */
-export function decodeFrame(body: Uint8Array): PeerMessage | null {
+export function decodePeerMessage(body: Uint8Array): PeerMessage | null {
   const e = Envelope.decode(body);
   if (e.hello)
     return {
       kind: 'hello',
       node: e.hello.node as NodeId,
-      owner: Number(e.hello.owner ?? 0) as Revision,
-      chains: e.hello.chains === true,
-      fronts: e.hello.fronts === true,
-      documents: e.hello.documents === true,
+      leaderTerm: Number(e.hello.owner ?? 0) as Revision,
+      supportsDependencies: e.hello.chains === true,
+      supportsForwarding: e.hello.fronts === true,
+      supportsConfigDocuments: e.hello.documents === true,
     };
   if (e.load) {
     const level = Math.min(2, e.load.level ?? 0) as 0 | 1 | 2;
@@ -285,24 +317,29 @@
       afterS: afterS ?? 1,
       workers: workers ?? 0,
       backlogS: backlogS ?? 0,
-      short: short ?? false,
-      config: Number(config ?? 0) as Revision,
-      owner: Number(owner ?? 0) as Revision,
+      memoryShort: short ?? false,
+      configRevision: Number(config ?? 0) as Revision,
+      leaderTerm: Number(owner ?? 0) as Revision,
     };
   }
-  if (e.front) return { kind: 'front', id: e.front.id ?? 0, report: decodeFront(e.front) };
-  if (e.fronted) return { kind: 'fronted', id: e.fronted.id ?? 0, answer: decodeFronted(e.fronted) };
-  if (e.ask) return { kind: 'ask', id: e.ask.id ?? 0, request: decodeAsk(e.ask) };
-  if (e.reply) return { kind: 'reply', id: e.reply.id ?? 0, answer: decodeAnswer(e.reply) };
+  if (e.front) return { kind: 'forwarded-heartbeat', id: e.front.id ?? 0, heartbeat: decodeFront(e.front) };
+  if (e.fronted)
+    return {
+      kind: 'forwarded-heartbeat-response',
+      id: e.fronted.id ?? 0,
+      response: decodeFronted(e.fronted),
+    };
+  if (e.ask) return { kind: 'user-request', id: e.ask.id ?? 0, request: decodeAsk(e.ask) };
+  if (e.reply) return { kind: 'user-response', id: e.reply.id ?? 0, response: decodeAnswer(e.reply) };
   if (e.relay)
     return {
-      kind: 'relay',
+      kind: 'relayed-heartbeat',
       id: e.relay.id ?? 0,
-      report: readRelayedReport(JSON.parse(e.relay.report ?? '')),
+      heartbeat: decodeRelayedHeartbeat(JSON.parse(e.relay.report ?? '')),
     };
   if (e.relayed) {
-    const answer = e.relayed.answer ? readRelayedAnswer(JSON.parse(e.relayed.answer)) : null;
-    return { kind: 'relayed', id: e.relayed.id ?? 0, answer };
+    const response = e.relayed.answer ? decodeRelayedResponse(JSON.parse(e.relayed.answer)) : null;
+    return { kind: 'relayed-heartbeat-response', id: e.relayed.id ?? 0, response };
   }
   return null;
 }
@@ -311,7 +348,7 @@
 const FRONT_TAG = (6 << 3) | 2;
 
 /** Whether a frame holds a worker's report, of which there may be thousands at once; told without decoding it. */
-export const isFront = (frame: Uint8Array): boolean => frame[0] === FRONT_TAG;
+export const isForwardedHeartbeat = (frame: Uint8Array): boolean => frame[0] === FRONT_TAG;
 
 /** Collects bytes into frames; throws on a frame no peer of ours would send. */
 export class PeerDecoder {
@@ -332,7 +369,7 @@
 
   feed(chunk: Buffer): PeerMessage[] {
     return this.frames(chunk)
-      .map(decodeFrame)
+      .map(decodePeerMessage)
       .filter((m) => m !== null);
   }
 }
--- a/src/protocol/relay.ts
+++ b/src/protocol/relay.ts
@@ -1,7 +1,14 @@
 // Workers' heartbeats and their responses as JSON, in the form in which controllers relay them to each other. The names of
 // this form are part of the peer protocol and stay as they are.
-import type { Command, ExitReason, Report, TaskReport, TaskState, WorkerAnswer } from '../core/base/model.ts';
-import type { Attempt, MachineId, NodeId, TaskId, Token, TypeName, ZoneName } from '../types/index.ts';
+import type {
+  Command,
+  ExitReason,
+  Heartbeat,
+  HeartbeatResponse,
+  TaskState,
+  TaskStatus,
+} from '../core/base/model.ts';
+import type { Attempt, FencingToken, MachineId, NodeId, TaskId, TypeName, ZoneName } from '../types/index.ts';
 
 interface RelayedTask {
   task: TaskId;
@@ -19,37 +26,37 @@
   spot: boolean;
   session: number;
   seq: number;
-  token: Token;
+  token: FencingToken;
   noticeS: number | null;
   tasks: RelayedTask[];
 }
 
 type RelayedAnswer =
-  | { kind: 'orders'; token: Token; commands: Command[] }
+  | { kind: 'orders'; token: FencingToken; commands: Command[] }
   | { kind: 'elsewhere'; node: NodeId | null };
 
-const relayedTask = (task: TaskReport): RelayedTask => ({
+const relayedTask = (task: TaskStatus): RelayedTask => ({
   task: task.task,
   attempt: task.attempt,
   state: task.state,
-  why: task.why,
-  saved: task.saved,
+  why: task.exitReason,
+  saved: task.checkpointed,
 });
 
-export const relayedReport = (report: Report): RelayedReport => ({
+export const encodeRelayedHeartbeat = (report: Heartbeat): RelayedReport => ({
   machine: report.machine,
   addr: report.addr,
   type: report.type,
   zone: report.zone,
   spot: report.spot,
-  session: report.session,
+  session: report.agentEpoch,
   seq: report.seq,
-  token: report.token,
-  noticeS: report.noticeS,
+  token: report.fencingToken,
+  noticeS: report.preemptionNoticeS,
   tasks: report.tasks.map(relayedTask),
 });
 
-export function readRelayedReport(json: unknown): Report {
+export function decodeRelayedHeartbeat(json: unknown): Heartbeat {
   const relayed = json as RelayedReport;
   return {
     machine: relayed.machine,
@@ -57,28 +64,28 @@
     type: relayed.type,
     zone: relayed.zone,
     spot: relayed.spot,
-    session: relayed.session,
+    agentEpoch: relayed.session,
     seq: relayed.seq,
-    token: relayed.token,
-    noticeS: relayed.noticeS,
+    fencingToken: relayed.token,
+    preemptionNoticeS: relayed.noticeS,
     tasks: relayed.tasks.map((task) => ({
       task: task.task,
       attempt: task.attempt,
       state: task.state,
-      why: task.why,
-      saved: task.saved,
+      exitReason: task.why,
+      checkpointed: task.saved,
     })),
   };
 }
 
-export const relayedAnswer = (answer: WorkerAnswer): RelayedAnswer =>
-  answer.kind === 'orders'
-    ? { kind: 'orders', token: answer.token, commands: answer.commands }
+export const encodeRelayedResponse = (answer: HeartbeatResponse): RelayedAnswer =>
+  answer.kind === 'commands'
+    ? { kind: 'orders', token: answer.fencingToken, commands: answer.commands }
     : { kind: 'elsewhere', node: answer.node };
 
-export function readRelayedAnswer(json: unknown): WorkerAnswer {
+export function decodeRelayedResponse(json: unknown): HeartbeatResponse {
   const relayed = json as RelayedAnswer;
   return relayed.kind === 'orders'
-    ? { kind: 'orders', token: relayed.token, commands: relayed.commands }
-    : { kind: 'elsewhere', node: relayed.node };
+    ? { kind: 'commands', fencingToken: relayed.token, commands: relayed.commands }
+    : { kind: 'redirect', node: relayed.node };
 }
--- a/src/protocol/far.ts
+++ b/src/protocol/server-side.ts
@@ -1,34 +1,34 @@
 // The far ends of the protocol: how the state service, the cloud and a worker read what controllers send and write what
 // they answer. state.ts, cloud.ts and worker.ts are the controllers' ends.
 import type {
-  CloudOp,
   CloudReply,
+  CloudRequest,
   Command,
-  Put,
-  Report,
-  StateOp,
-  StateReply,
-  WorkerAnswer,
+  Heartbeat,
+  HeartbeatResponse,
+  StorePut,
+  StoreReply,
+  StoreRequest,
 } from '../core/base/model.ts';
 import type {
   Attempt,
-  HoldId,
+  FencingToken,
   MachineId,
   Revision,
+  StoreLeaseId,
   TaskId,
-  Token,
   TypeName,
   ZoneName,
 } from '../types/index.ts';
-import { amount, asObject, count, flag, InvalidMessage, nameOf, text } from './job.ts';
+import { amount, asObject, count, flag, InvalidMessageError, nameOf, text } from './job.ts';
 import { REASONS, STATES } from './worker.ts';
 
-export interface FarReply {
+export interface EncodedReply {
   status: number;
   body: string;
 }
-const reply = (status: number, body: unknown): FarReply => ({ status, body: JSON.stringify(body) });
-const failure = (status: number, error: string): FarReply => reply(status, { error });
+const reply = (status: number, body: unknown): EncodedReply => ({ status, body: JSON.stringify(body) });
+const failure = (status: number, error: string): EncodedReply => reply(status, { error });
 
 function target(path: string): { parts: string[]; query: URLSearchParams } {
   const [name = '', query = ''] = path.split('?', 2);
@@ -36,12 +36,12 @@
 }
 const number = (q: URLSearchParams, name: string): number => {
   const n = Number(q.get(name) ?? 0);
-  if (!Number.isFinite(n) || n < 0) throw new InvalidMessage(`${name} must be a number`);
+  if (!Number.isFinite(n) || n < 0) throw new InvalidMessageError(`${name} must be a number`);
   return n;
 };
 function listOf(f: Record<string, unknown>, name: string): Record<string, unknown>[] {
   const v = f[name] ?? [];
-  if (!Array.isArray(v)) throw new InvalidMessage(`${name} must be a list`);
+  if (!Array.isArray(v)) throw new InvalidMessageError(`${name} must be a list`);
   return v.map((x) => asObject(x, name));
 }
 
@@ -50,26 +50,28 @@
 const MAX_PAGE = 1000;
 
 /** Null: there is no such path. */
-export function decodeStateCall(
+export function decodeStoreRequest(
   method: string,
   path: string,
   body: unknown,
-): { op: StateOp; page: number } | null {
+): { op: StoreRequest; page: number } | null {
   const { parts, query } = target(path);
   const what = `${method} ${parts[0]}${parts.length > 1 ? '/' : ''}`;
   const page = Math.min(MAX_PAGE, number(query, 'page') || MAX_PAGE);
-  const op = ((): StateOp | null => {
+  const op = ((): StoreRequest | null => {
     switch (what) {
       case 'GET store/':
         return { kind: 'get', key: parts.slice(1).join('/') };
       case 'GET store':
         return { kind: 'list', prefix: query.get('prefix') ?? '', after: query.get('from') };
       case 'POST holds':
-        return { kind: 'grant', ttlMs: amount(asObject(body, 'the hold'), 'lifeMs', 100, 600_000) };
+        return { kind: 'grant-lease', ttlMs: amount(asObject(body, 'the hold'), 'lifeMs', 100, 600_000) };
       case 'POST holds/':
-        return parts[2] === 'extend' ? { kind: 'extend', hold: Number(parts[1]) as HoldId } : null;
+        return parts[2] === 'extend'
+          ? { kind: 'renew-lease', lease: Number(parts[1]) as StoreLeaseId }
+          : null;
       case 'DELETE holds/':
-        return { kind: 'revoke', hold: Number(parts[1]) as HoldId };
+        return { kind: 'revoke-lease', lease: Number(parts[1]) as StoreLeaseId };
       case 'GET changes':
         return {
           kind: 'watch',
@@ -85,28 +87,33 @@
   return op === null ? null : { op, page };
 }
 
-function decodeCommit(body: unknown): StateOp {
+function decodeCommit(body: unknown): StoreRequest {
   const f = asObject(body, 'the transaction');
-  const puts: Put[] = [];
-  const drops: string[] = [];
+  const puts: StorePut[] = [];
+  const deletes: string[] = [];
   for (const c of listOf(f, 'apply')) {
-    if (c.drop !== undefined) drops.push(text(c, 'drop'));
+    if (c.drop !== undefined) deletes.push(text(c, 'drop'));
     else
       puts.push({
         key: text(c, 'set'),
         value: c.v,
-        ...(c.tenancy === undefined ? {} : { hold: count(c, 'tenancy') as HoldId }),
+        ...(c.tenancy === undefined ? {} : { lease: count(c, 'tenancy') as StoreLeaseId }),
       });
   }
   const conditions = listOf(f, 'if').map((c) => ({
     key: text(c, 'key'),
     revision: count(c, 'stamp') as Revision,
   }));
-  return { kind: 'commit', conditions, puts, drops };
+  return { kind: 'compare-and-swap', conditions, puts, deletes };
 }
 
 /** Null: no answer. */
-export function encodeStateReply(op: StateOp, r: StateReply, page: number, ledger: number): FarReply | null {
+export function encodeStoreReply(
+  op: StoreRequest,
+  r: StoreReply,
+  page: number,
+  ledger: number,
+): EncodedReply | null {
   const item = (i: { key: string; value: unknown; revision: number }) => ({
     key: i.key,
     v: i.value,
@@ -125,10 +132,10 @@
         ledger: r.revision,
       });
     }
-    case 'granted':
-      return reply(200, { tenancy: r.hold });
+    case 'lease-granted':
+      return reply(200, { tenancy: r.lease });
     case 'ok':
-      return reply(200, op.kind === 'extend' ? { tenancy: op.hold } : {});
+      return reply(200, op.kind === 'renew-lease' ? { tenancy: op.lease } : {});
     case 'committed':
       return reply(200, { ledger: r.revision });
     case 'conflict':
@@ -138,7 +145,7 @@
         ledger: r.revision,
         events: [
           ...r.puts.map((i) => ({ set: i.key, v: i.value, stamp: i.revision })),
-          ...r.drops.map((key) => ({ drop: key, stamp: r.revision })),
+          ...r.deletes.map((key) => ({ drop: key, stamp: r.revision })),
         ],
       });
     case 'too-old':
@@ -154,14 +161,14 @@
 
 // ---- cloud
 
-export function decodeCloudCall(
+export function decodeCloudRequest(
   method: string,
   path: string,
   body: unknown,
-): { op: CloudOp; page: number } | null {
+): { op: CloudRequest; page: number } | null {
   const { parts, query } = target(path);
   const page = Math.min(500, number(query, 'page') || 500);
-  const op = ((): CloudOp | null => {
+  const op = ((): CloudRequest | null => {
     switch (`${method} ${parts.join('/')}`) {
       case 'GET flavors':
         return { kind: 'types' };
@@ -186,7 +193,7 @@
   return op === null ? null : { op, page };
 }
 
-export function encodeCloudReply(op: CloudOp, r: CloudReply, page: number): FarReply | null {
+export function encodeCloudReply(op: CloudRequest, r: CloudReply, page: number): EncodedReply | null {
   switch (r.kind) {
     case 'types':
       return reply(200, {
@@ -235,23 +242,23 @@
 
 // ---- worker
 
-export function encodeReport(r: Report): string {
+export function encodeHeartbeat(r: Heartbeat): string {
   return JSON.stringify({
     berth: r.machine,
     endpoint: r.addr,
     berthkind: r.type,
     yard: r.zone,
     loaners: r.spot,
-    shift: r.session,
+    shift: r.agentEpoch,
     tally: r.seq,
-    baton: r.token,
-    recallS: r.noticeS,
+    baton: r.fencingToken,
+    recallS: r.preemptionNoticeS,
     pieces: r.tasks.map((t) => ({
       piece: t.task,
       try: t.attempt,
       status: nameOf(STATES, t.state),
-      ...(t.why === null ? {} : { cause: nameOf(REASONS, t.why) }),
-      ...(t.saved ? { stored: true } : {}),
+      ...(t.exitReason === null ? {} : { cause: nameOf(REASONS, t.exitReason) }),
+      ...(t.checkpointed ? { stored: true } : {}),
     })),
   });
 }
@@ -267,25 +274,29 @@
     case 'reap':
       return { op: 'forget', task, attempt };
   }
-  throw new InvalidMessage('verb is unknown');
+  throw new InvalidMessageError('verb is unknown');
 }
 
-export function decodeOrders(json: unknown): { token: Token; session: number | null; commands: Command[] } {
+export function decodeCommands(json: unknown): {
+  token: FencingToken;
+  session: number | null;
+  commands: Command[];
+} {
   const f = asObject(json, 'the orders');
   return {
-    token: count(f, 'baton') as Token,
+    token: count(f, 'baton') as FencingToken,
     session: f.shift === undefined ? null : count(f, 'shift', 1),
     commands: listOf(f, 'orders').map(decodeCommand),
   };
 }
 
 /** Null: an answer like none. */
-export function decodeWorkerAnswer(status: number, json: unknown): WorkerAnswer | null {
+export function decodeHeartbeatResponse(status: number, json: unknown): HeartbeatResponse | null {
   if (status === 421) {
     const { foreman } = asObject(json, 'the answer');
-    return { kind: 'elsewhere', node: (typeof foreman === 'string' ? foreman : null) as never };
+    return { kind: 'redirect', node: (typeof foreman === 'string' ? foreman : null) as never };
   }
   if (status !== 200) return null;
-  const { token, commands } = decodeOrders(json);
-  return { kind: 'orders', token, commands };
+  const { token, commands } = decodeCommands(json);
+  return { kind: 'commands', fencingToken: token, commands };
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,6 +1,6 @@
 // The platform's settings file (JSON), checked strictly in what is used; unknown fields are ignored.
 import * as v from 'valibot';
-import type { Settings, StateLimits } from '../core/base/model.ts';
+import type { Settings, StoreLimits } from '../core/base/model.ts';
 import type { NodeId, TeamName, ZoneName } from '../types/index.ts';
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
@@ -76,17 +76,17 @@
 type StateSettings = v.InferOutput<typeof schema>['params']['state'];
 
 /** Nobody is told when the limits to come begin, so all that is written fits both from the start. */
-function safeLimits(s: StateSettings): StateLimits {
+function safeLimits(s: StateSettings): StoreLimits {
   const least = (now: number, next: number | null | undefined) => Math.min(now, next ?? now);
   return {
-    rps: least(s.rps, s.next?.rps),
-    writeRps: least(s.write_rps, s.next?.write_rps),
-    valueKb: least(s.value_kb, s.next?.value_kb),
-    txnOps: least(s.txn_ops, s.next?.txn_ops),
+    requestsPerS: least(s.rps, s.next?.rps),
+    writesPerS: least(s.write_rps, s.next?.write_rps),
+    maxValueKb: least(s.value_kb, s.next?.value_kb),
+    maxTransactionOps: least(s.txn_ops, s.next?.txn_ops),
   };
 }
 
-export class BadSettings extends Error {}
+export class InvalidSettingsError extends Error {}
 
 function issueLine(file: string, issue: v.BaseIssue<unknown>): string {
   const path = issue.path?.map((p) => String(p.key)).join('.') ?? '(whole file)';
@@ -98,10 +98,10 @@
   try {
     json = JSON.parse(text);
   } catch (e) {
-    throw new BadSettings(`${file}: not JSON: ${(e as Error).message}`);
+    throw new InvalidSettingsError(`${file}: not JSON: ${(e as Error).message}`);
   }
   const checked = v.safeParse(schema, json);
-  if (!checked.success) throw new BadSettings(issueLine(file, checked.issues[0]));
+  if (!checked.success) throw new InvalidSettingsError(issueLine(file, checked.issues[0]));
   const s = checked.output;
   return {
     node: s.node as NodeId,
@@ -110,7 +110,7 @@
     peerListen: s.internal_addr,
     peers: s.others.map((o) => ({ node: o.node as NodeId, zone: o.location as ZoneName, addr: o.peer_addr })),
     cloudAddr: s.outside.cloud,
-    stateAddr: s.outside.state,
+    storeAddr: s.outside.state,
     zones: s.params.zones as ZoneName[],
     teams: s.params.teams.map((t) => ({
       name: t.name as TeamName,
@@ -127,15 +127,15 @@
       times: o.times ?? null,
     })),
     workers: {
-      reportS: s.params.workers.report_s,
+      heartbeatS: s.params.workers.report_s,
       leaseS: s.params.workers.lease_s,
       gangWaitS: s.params.workers.gang_wait_s,
       gangPeerS: s.params.workers.gang_peer_s,
       cancelS: s.params.workers.cancel_s,
     },
-    state: safeLimits(s.params.state),
-    writeRpsNow: s.params.state.write_rps,
-    cloud: { rps: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
+    store: safeLimits(s.params.state),
+    currentWritesPerS: s.params.state.write_rps,
+    cloud: { requestsPerS: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
     sockets: s.params.limits.sockets,
     ramMb: s.params.limits.ram_mb ?? null,
   };
--- a/src/protocol/state.ts
+++ b/src/protocol/store.ts
@@ -1,12 +1,12 @@
 // Requests to the state service and its replies.
-import type { Item, StateOp, StateReply } from '../core/base/model.ts';
-import type { HoldId, Revision } from '../types/index.ts';
+import type { StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
+import type { Revision, StoreLeaseId } from '../types/index.ts';
 import type { HttpCall } from './cloud.ts';
-import { asObject, count, InvalidMessage } from './job.ts';
+import { asObject, count, InvalidMessageError } from './job.ts';
 
 const LIST_PAGE = 500;
 
-export function encodeStateOp(op: StateOp): HttpCall {
+export function encodeStoreRequest(op: StoreRequest): HttpCall {
   switch (op.kind) {
     case 'get':
       return { method: 'GET', path: `/store/${op.key}`, body: null };
@@ -14,61 +14,61 @@
       const from = op.after === null ? '' : `&from=${op.after}`;
       return { method: 'GET', path: `/store?prefix=${op.prefix}${from}&page=${LIST_PAGE}`, body: null };
     }
-    case 'grant':
+    case 'grant-lease':
       return { method: 'POST', path: '/holds', body: JSON.stringify({ lifeMs: op.ttlMs }) };
-    case 'extend':
-      return { method: 'POST', path: `/holds/${op.hold}/extend`, body: '{}' };
-    case 'revoke':
-      return { method: 'DELETE', path: `/holds/${op.hold}`, body: null };
+    case 'renew-lease':
+      return { method: 'POST', path: `/holds/${op.lease}/extend`, body: '{}' };
+    case 'revoke-lease':
+      return { method: 'DELETE', path: `/holds/${op.lease}`, body: null };
     case 'watch':
       return {
         method: 'GET',
         path: `/changes?prefix=${op.prefix}&from=${op.after}&blockMs=${op.waitMs}`,
         body: null,
       };
-    case 'commit':
+    case 'compare-and-swap':
       return { method: 'POST', path: '/commit', body: encodeCommit(op) };
   }
 }
 
-function encodeCommit(op: Extract<StateOp, { kind: 'commit' }>): string {
+function encodeCommit(op: Extract<StoreRequest, { kind: 'compare-and-swap' }>): string {
   const changes: unknown[] = op.puts.map((p) => ({
     set: p.key,
     v: p.value,
-    ...(p.hold === undefined ? {} : { tenancy: p.hold }),
+    ...(p.lease === undefined ? {} : { tenancy: p.lease }),
   }));
-  for (const key of op.drops) changes.push({ drop: key });
+  for (const key of op.deletes) changes.push({ drop: key });
   return JSON.stringify({
     if: op.conditions.map((c) => ({ key: c.key, stamp: c.revision })),
     ...(changes.length === 0 ? {} : { apply: changes }),
   });
 }
 
-function item(json: unknown): Item {
+function item(json: unknown): StoreItem {
   const f = asObject(json, 'an item');
   return { key: String(f.key ?? f.set), value: f.v, revision: count(f, 'stamp') as Revision };
 }
 
 function items(json: unknown, name: string): unknown[] {
   const v = asObject(json, 'the reply')[name];
-  if (!Array.isArray(v)) throw new InvalidMessage(`${name} must be a list`);
+  if (!Array.isArray(v)) throw new InvalidMessageError(`${name} must be a list`);
   return v;
 }
 
 const ledger = (json: unknown): Revision => count(asObject(json, 'the reply'), 'ledger') as Revision;
 
-function decodeChanges(json: unknown): StateReply {
-  const puts: Item[] = [];
-  const drops: string[] = [];
+function decodeChanges(json: unknown): StoreReply {
+  const puts: StoreItem[] = [];
+  const deletes: string[] = [];
   for (const e of items(json, 'events')) {
     const f = asObject(e, 'an event');
-    if (f.drop !== undefined) drops.push(String(f.drop));
+    if (f.drop !== undefined) deletes.push(String(f.drop));
     else puts.push(item(e));
   }
-  return { kind: 'changes', revision: ledger(json), puts, drops };
+  return { kind: 'changes', revision: ledger(json), puts, deletes };
 }
 
-function decodeOk(op: StateOp, json: unknown): StateReply {
+function decodeOk(op: StoreRequest, json: unknown): StoreReply {
   switch (op.kind) {
     case 'get':
       return { kind: 'item', item: item(json) };
@@ -76,19 +76,19 @@
       const more = asObject(json, 'the reply').more === true;
       return { kind: 'items', items: items(json, 'items').map(item), more, revision: ledger(json) };
     }
-    case 'grant':
-      return { kind: 'granted', hold: count(asObject(json, 'the reply'), 'tenancy') as HoldId };
+    case 'grant-lease':
+      return { kind: 'lease-granted', lease: count(asObject(json, 'the reply'), 'tenancy') as StoreLeaseId };
     case 'watch':
       return decodeChanges(json);
-    case 'commit':
+    case 'compare-and-swap':
       return { kind: 'committed', revision: ledger(json) };
-    case 'extend':
-    case 'revoke':
+    case 'renew-lease':
+    case 'revoke-lease':
       return { kind: 'ok' };
   }
 }
 
-export function decodeStateReply(op: StateOp, status: number, json: unknown): StateReply {
+export function decodeStoreReply(op: StoreRequest, status: number, json: unknown): StoreReply {
   switch (status) {
     case 200:
     case 204:
--- a/src/protocol/user.ts
+++ b/src/protocol/user.ts
@@ -1,7 +1,7 @@
 // The users' interface seen from the user's side; job.ts is the other end of it.
 import type { JobSpec, JobStatus } from '../core/base/model.ts';
 import type { JobId } from '../types/index.ts';
-import { asObject, InvalidMessage, KINDS, nameOf, PRIORITIES, STATUS } from './job.ts';
+import { asObject, InvalidMessageError, KINDS, nameOf, PRIORITIES, STATUS } from './job.ts';
 
 export interface UserCall {
   method: 'GET' | 'POST';
@@ -10,7 +10,7 @@
 }
 
 /** What the service says of a job. */
-export interface Told {
+export interface JobStatusView {
   status: JobStatus;
   done: number;
   running: number;
@@ -29,16 +29,16 @@
     memoryGb: spec.memoryGb,
     bundle: spec.image,
     sizeGb: spec.imageGb,
-    berthkinds: spec.types,
+    berthkinds: spec.machineTypes,
     yard: spec.zone,
     samePlace: spec.oneZone,
     scatter: spec.spread,
     loaners: spec.spot,
-    guessS: spec.estimateS,
-    snapshotS: spec.checkpointS,
-    flushS: spec.saveS,
+    guessS: spec.estimatedRunS,
+    snapshotS: spec.checkpointIntervalS,
+    flushS: spec.checkpointDurationS,
     dueS: spec.deadlineS,
-    ...(spec.awaits === undefined ? {} : { awaits: spec.awaits }),
+    ...(spec.dependsOn === undefined ? {} : { awaits: spec.dependsOn }),
   });
 }
 
@@ -51,10 +51,10 @@
 });
 
 /** The body of an answer with status 200 or 201; throws InvalidMessage on any other. */
-export function decodeTold(body: string): Told {
+export function decodeJobStatus(body: string): JobStatusView {
   const f = asObject(parse(body), 'the answer');
   const status = (Object.keys(STATUS) as JobStatus[]).find((s) => STATUS[s] === f.status);
-  if (status === undefined) throw new InvalidMessage('the answer names no known status');
+  if (status === undefined) throw new InvalidMessageError('the answer names no known status');
   const amount = (v: unknown): number => (typeof v === 'number' && v >= 0 ? v : 0);
   return { status, done: amount(f.done), running: amount(f.running) };
 }
@@ -72,7 +72,7 @@
   try {
     return JSON.parse(body);
   } catch {
-    throw new InvalidMessage('the answer is not JSON');
+    throw new InvalidMessageError('the answer is not JSON');
   }
 }
 
@@ -97,4 +97,4 @@
   dueS: 'deadlineS',
 };
 /** A message that begins with the wire's name of a field, with ours in its place. */
-export const inOurWords = (message: string): string => message.replace(/^\w+/, (w) => WORDS[w] ?? w);
+export const withOurFieldName = (message: string): string => message.replace(/^\w+/, (w) => WORDS[w] ?? w);
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -1,7 +1,14 @@
 // Workers' reports and the commands they are given.
-import type { Command, ExitReason, Report, TaskReport, TaskState, WorkerAnswer } from '../core/base/model.ts';
-import type { Attempt, MachineId, TaskId, Token, TypeName, ZoneName } from '../types/index.ts';
-import { amount, asObject, count, flag, InvalidMessage, optional, text } from './job.ts';
+import type {
+  Command,
+  ExitReason,
+  Heartbeat,
+  HeartbeatResponse,
+  TaskState,
+  TaskStatus,
+} from '../core/base/model.ts';
+import type { Attempt, FencingToken, MachineId, TaskId, TypeName, ZoneName } from '../types/index.ts';
+import { amount, asObject, count, flag, InvalidMessageError, optional, text } from './job.ts';
 
 export const STATES: Record<string, TaskState> = {
   pulling: 'fetching',
@@ -21,35 +28,35 @@
   no_such: 'unknown',
 };
 
-function parseTask(json: unknown): TaskReport {
+function parseTask(json: unknown): TaskStatus {
   const f = asObject(json, 'a piece');
   const state = STATES[text(f, 'status')];
-  if (state === undefined) throw new InvalidMessage('status is unknown');
+  if (state === undefined) throw new InvalidMessageError('status is unknown');
   const why = optional(f, 'cause', text);
   return {
     task: text(f, 'piece') as TaskId,
     attempt: count(f, 'try') as Attempt,
     state,
     // A reason this version does not know is treated as a failure of the task.
-    why: state === 'exited' ? (REASONS[why ?? 'error'] ?? 'error') : null,
-    saved: f.stored === true,
+    exitReason: state === 'exited' ? (REASONS[why ?? 'error'] ?? 'error') : null,
+    checkpointed: f.stored === true,
   };
 }
 
-export function parseReport(json: unknown): Report {
+export function parseHeartbeat(json: unknown): Heartbeat {
   const f = asObject(json, 'the report');
   const tasks = f.pieces ?? [];
-  if (!Array.isArray(tasks)) throw new InvalidMessage('pieces must be a list');
+  if (!Array.isArray(tasks)) throw new InvalidMessageError('pieces must be a list');
   return {
     machine: text(f, 'berth') as MachineId,
     addr: text(f, 'endpoint'),
     type: text(f, 'berthkind') as TypeName,
     zone: text(f, 'yard') as ZoneName,
     spot: flag(f, 'loaners'),
-    session: count(f, 'shift', 1),
+    agentEpoch: count(f, 'shift', 1),
     seq: count(f, 'tally'),
-    token: count(f, 'baton') as Token,
-    noticeS: optional(f, 'recallS', amount),
+    fencingToken: count(f, 'baton') as FencingToken,
+    preemptionNoticeS: optional(f, 'recallS', amount),
     tasks: tasks.map(parseTask),
   };
 }
@@ -60,7 +67,7 @@
   return { verb: 'reap', piece: c.task, try: c.attempt };
 }
 
-export function encodeOrders(token: Token, commands: Command[], session?: number): string {
+export function encodeCommands(token: FencingToken, commands: Command[], session?: number): string {
   return JSON.stringify({
     baton: token,
     ...(session === undefined ? {} : { shift: session }),
@@ -68,7 +75,7 @@
   });
 }
 
-export function encodeWorkerAnswer(a: WorkerAnswer): { status: number; body: string } {
-  if (a.kind === 'orders') return { status: 200, body: encodeOrders(a.token, a.commands) };
+export function encodeHeartbeatResponse(a: HeartbeatResponse): { status: number; body: string } {
+  if (a.kind === 'commands') return { status: 200, body: encodeCommands(a.fencingToken, a.commands) };
   return { status: 421, body: JSON.stringify(a.node === null ? {} : { foreman: a.node }) };
 }
--- a/src/runtime/node.ts
+++ b/src/runtime/controller-process.ts
@@ -2,42 +2,48 @@
 import { build as buildHistogram } from 'hdr-histogram-js';
 import type { Effect, Input } from '../core/base/io.ts';
 import type {
-  CloudOp,
   CloudReply,
+  CloudRequest,
   Settings,
-  StateOp,
-  StateReply,
+  StoreReply,
+  StoreRequest,
   UserRequest,
   WorkerReply,
 } from '../core/base/model.ts';
 import { Controller } from '../core/controller.ts';
-import type { DispatchSettings } from '../core/placement/dispatch.ts';
+import type { SchedulerOptions } from '../core/scheduling/scheduler.ts';
 import { HttpClient } from '../http/client.ts';
 import type { Message } from '../http/parser.ts';
-import { type Glance, type Handler, type Reply, serveHttp } from '../http/server.ts';
-import { Turns } from '../http/turns.ts';
-import { decodeCloudReply, encodeCloudOp } from '../protocol/cloud.ts';
-import { encodeUserAnswer, InvalidMessage, isJobId, parseJob, refusal } from '../protocol/job.ts';
-import { decodeStateReply, encodeStateOp } from '../protocol/state.ts';
-import { encodeOrders, encodeWorkerAnswer, parseReport } from '../protocol/worker.ts';
+import { type Handler, type Reply, type RequestClass, serveHttp } from '../http/server.ts';
+import { WorkQueue } from '../http/work-queue.ts';
+import { decodeCloudReply, encodeCloudRequest } from '../protocol/cloud.ts';
+import {
+  encodeUserResponse,
+  errorResponse,
+  InvalidMessageError,
+  isJobId,
+  parseJob,
+} from '../protocol/job.ts';
+import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
+import { encodeCommands, encodeHeartbeatResponse, parseHeartbeat } from '../protocol/worker.ts';
 import type { Instant, JobId, NodeId, WallTime } from '../types/index.ts';
-import { splitAddr } from './addr.ts';
-import { Heap } from './heap.ts';
+import { splitAddress } from './address.ts';
+import { HeapGovernor } from './heap-governor.ts';
 import type { Log } from './log.ts';
-import { Peers } from './peers.ts';
-import { seeded } from './random.ts';
+import { PeerLinks } from './peer-links.ts';
+import { seededRandom } from './random.ts';
 
 const TICK_MS = 100;
 const MAX_BODY = 64 * 1024;
 const MAX_REPLY = 64 * 1024 * 1024;
 
 export interface RunOptions {
-  dispatch: DispatchSettings;
+  dispatch: SchedulerOptions;
   seed: number;
   log: Log;
 }
 
-export class Node {
+export class ControllerProcess {
   private readonly core: Controller;
   private readonly state: HttpClient;
   private readonly holds: HttpClient;
@@ -45,27 +51,27 @@
   private readonly watches: HttpClient;
   private readonly cloud: HttpClient;
   private readonly answers = new Map<number, (reply: Reply) => void>();
-  private readonly peers: Peers;
+  private readonly peers: PeerLinks;
   private readonly log: Log;
   /** How late timers fire, in milliseconds. */
   private readonly lag = buildHistogram({ bitBucketSize: 16, numberOfSignificantValueDigits: 1 });
   private nextReq = 1;
-  private readonly turns = new Turns();
-  private readonly heap: Heap;
+  private readonly turns = new WorkQueue();
+  private readonly heap: HeapGovernor;
 
   constructor(
     private readonly settings: Settings,
     options: RunOptions,
   ) {
     this.log = options.log;
-    this.heap = new Heap(settings.ramMb);
-    this.core = new Controller(settings, options.dispatch, seeded(options.seed));
-    this.state = new HttpClient(settings.stateAddr, 4, MAX_REPLY);
+    this.heap = new HeapGovernor(settings.ramMb);
+    this.core = new Controller(settings, options.dispatch, seededRandom(options.seed));
+    this.state = new HttpClient(settings.storeAddr, 4, MAX_REPLY);
     // Renewals that hang must not hold up what else is asked, nor the next renewal.
-    this.holds = new HttpClient(settings.stateAddr, 5, MAX_REPLY);
-    this.watches = new HttpClient(settings.stateAddr, 3, MAX_REPLY);
+    this.holds = new HttpClient(settings.storeAddr, 5, MAX_REPLY);
+    this.watches = new HttpClient(settings.storeAddr, 3, MAX_REPLY);
     this.cloud = new HttpClient(settings.cloudAddr, 3, MAX_REPLY);
-    this.peers = new Peers(
+    this.peers = new PeerLinks(
       settings,
       {
         up: (node) => this.step({ kind: 'peer-up', node }),
@@ -87,7 +93,7 @@
   }
 
   private listen(): void {
-    const { host, port } = splitAddr(this.settings.listen);
+    const { host, port } = splitAddress(this.settings.listen);
     // Some sockets are left for peers, the state service, the cloud and workers that are probed.
     const maxConnections = Math.max(16, Math.floor(this.settings.sockets * 0.85) - 40);
     const limits = { maxConnections, maxBody: MAX_BODY, requestMs: 10_000, idleMs: 60_000 };
@@ -106,14 +112,14 @@
 
   private carryOut(e: Effect): void {
     switch (e.kind) {
-      case 'answer-user':
-        return this.answer(e.req, encodeUserAnswer(e.answer));
-      case 'answer-worker':
-        return this.answer(e.req, encodeWorkerAnswer(e.answer));
-      case 'state':
-        return this.callState(e.tag, e.op, e.timeoutMs);
+      case 'user-response':
+        return this.answer(e.requestId, encodeUserResponse(e.response));
+      case 'heartbeat-response':
+        return this.answer(e.requestId, encodeHeartbeatResponse(e.response));
+      case 'store':
+        return this.callState(e.tag, e.request, e.timeoutMs);
       case 'cloud':
-        return this.callCloud(e.tag, e.op, e.timeoutMs);
+        return this.callCloud(e.tag, e.request, e.timeoutMs);
       case 'probe':
         return this.probe(e);
       case 'peer':
@@ -131,17 +137,17 @@
 
   // ---- outgoing
 
-  private callState(tag: number, op: StateOp, timeoutMs: number): void {
-    const forHold = op.kind === 'grant' || op.kind === 'extend' || op.kind === 'revoke';
+  private callState(tag: number, op: StoreRequest, timeoutMs: number): void {
+    const forHold = op.kind === 'grant-lease' || op.kind === 'renew-lease' || op.kind === 'revoke-lease';
     const client = op.kind === 'watch' ? this.watches : forHold ? this.holds : this.state;
-    client.call({ ...encodeStateOp(op), timeoutMs }, (r) => {
-      const reply = decode<StateReply>(r, (status, json) => decodeStateReply(op, status, json));
-      this.step({ kind: 'state', tag, reply });
+    client.call({ ...encodeStoreRequest(op), timeoutMs }, (r) => {
+      const reply = decode<StoreReply>(r, (status, json) => decodeStoreReply(op, status, json));
+      this.step({ kind: 'store', tag, reply });
     });
   }
 
-  private callCloud(tag: number, op: CloudOp, timeoutMs: number): void {
-    this.cloud.call({ ...encodeCloudOp(op), timeoutMs }, (r) => {
+  private callCloud(tag: number, op: CloudRequest, timeoutMs: number): void {
+    this.cloud.call({ ...encodeCloudRequest(op), timeoutMs }, (r) => {
       const reply = decode<CloudReply>(r, (status, json) => decodeCloudReply(op, status, json));
       this.step({ kind: 'cloud', tag, reply });
     });
@@ -150,11 +156,11 @@
   /** Raises a machine's token without commands; its report comes back with the answer. */
   private probe(e: Extract<Effect, { kind: 'probe' }>): void {
     const client = new HttpClient(e.addr, 1, MAX_REPLY);
-    const body = encodeOrders(e.token, [], e.session);
+    const body = encodeCommands(e.fencingToken, [], e.agentEpoch);
     client.call({ method: 'POST', path: '/orders', body, timeoutMs: e.timeoutMs }, (r) => {
       const reply = decode<WorkerReply>(r, (status, json) =>
         status === 200 || status === 409
-          ? { kind: 'report', report: parseReport(json), executed: status === 200 }
+          ? { kind: 'heartbeat', heartbeat: parseHeartbeat(json), executed: status === 200 }
           : { kind: 'no-answer' },
       );
       client.close();
@@ -168,10 +174,10 @@
     try {
       this.route(request, answer);
     } catch (e) {
-      if (e instanceof InvalidMessage) answer(refusal(400, e.message));
+      if (e instanceof InvalidMessageError) answer(errorResponse(400, e.message));
       else {
         this.log('error', 'request failed', { error: (e as Error).stack });
-        answer(refusal(503, 'internal failure', 1));
+        answer(errorResponse(503, 'internal failure', 1));
       }
     }
   };
@@ -183,22 +189,22 @@
     if (path === '/status') return this.only(request, 'GET', answer, () => this.onStatus(answer));
     if (path === '/work') return this.only(request, 'POST', answer, () => this.onSubmit(request, answer));
     const parts = path.split('/');
-    if (parts[1] !== 'work' || parts.length > 4) return answer(refusal(404, 'no such path'));
+    if (parts[1] !== 'work' || parts.length > 4) return answer(errorResponse(404, 'no such path'));
     const id = parts[2]!;
     if (parts.length === 3)
       return this.only(request, 'GET', answer, () => this.onJob({ op: 'status', id: id as JobId }, answer));
-    if (parts[3] !== 'abort') return answer(refusal(404, 'no such path'));
+    if (parts[3] !== 'abort') return answer(errorResponse(404, 'no such path'));
     this.only(request, 'POST', answer, () => this.onJob({ op: 'cancel', id: id as JobId }, answer));
   }
 
   private only(request: Message, method: string, answer: (r: Reply) => void, then: () => void): void {
     if (request.method === method) then();
-    else answer(refusal(405, `use ${method}`));
+    else answer(errorResponse(405, `use ${method}`));
   }
 
   private onReady(answer: (r: Reply) => void): void {
     if (this.core.ready) answer({ status: 200, body: '{"ready":true}' });
-    else answer(refusal(503, 'no controller owns the jobs yet', 1));
+    else answer(errorResponse(503, 'no controller owns the jobs yet', 1));
   }
 
   /** For operators, beside the users' interface: figures of this process and what its core knows. */
@@ -221,32 +227,32 @@
   }
 
   private onReport(request: Message, answer: (r: Reply) => void): void {
-    const report = parseReport(parseJson(request.body));
-    this.step({ kind: 'report', req: this.register(answer), report });
+    const heartbeat = parseHeartbeat(parseJson(request.body));
+    this.step({ kind: 'heartbeat', requestId: this.register(answer), heartbeat });
   }
 
   /** Sent back before the body is looked at, when there is too much to do. */
   private shed(op: UserRequest['op'], answer: (r: Reply) => void): boolean {
-    const refused = this.core.refusal(op);
-    if (refused !== null) answer(encodeUserAnswer(refused));
+    const refused = this.core.rejection(op);
+    if (refused !== null) answer(encodeUserResponse(refused));
     return refused !== null;
   }
 
   private onSubmit(request: Message, answer: (r: Reply) => void): void {
     if (this.shed('submit', answer)) return;
     const spec = parseJob(parseJson(request.body));
-    this.step({ kind: 'user', req: this.register(answer), request: { op: 'submit', spec } });
+    this.step({ kind: 'user', requestId: this.register(answer), request: { op: 'submit', spec } });
   }
 
   private onJob(request: UserRequest & { id: JobId }, answer: (r: Reply) => void): void {
-    if (!isJobId(request.id)) return answer(refusal(404, 'no such job'));
+    if (!isJobId(request.id)) return answer(errorResponse(404, 'no such job'));
     if (this.shed(request.op, answer)) return;
-    this.step({ kind: 'user', req: this.register(answer), request });
+    this.step({ kind: 'user', requestId: this.register(answer), request });
   }
 }
 
 /** Health checks, reports and cancellations go first, then submissions, then questions. */
-function glance(bytes: Buffer): Glance {
+function glance(bytes: Buffer): RequestClass {
   const line = bytes.toString('latin1', 0, 64);
   if (line.startsWith('POST /checkin')) return REPORT;
   if (line.startsWith('GET /ready')) return HEALTH;
@@ -254,18 +260,18 @@
   return line.startsWith('POST /work ') ? SUBMISSION : OTHER;
 }
 /** As long as the senders wait for an answer, less a little for its way. */
-const REPORT: Glance = { urgency: 0, uselessAfterMs: 3800 };
+const REPORT: RequestClass = { urgency: 0, uselessAfterMs: 3800 };
 /** Whoever asks this takes a node that is late for one that is gone, and asks seldom. */
-const HEALTH: Glance = { urgency: 'now', uselessAfterMs: 1000 };
-const OTHER: Glance = { urgency: 0, uselessAfterMs: 4800 };
-const SUBMISSION: Glance = { urgency: 1, uselessAfterMs: 4800 };
-const QUESTION: Glance = { urgency: 2, uselessAfterMs: 1900 };
+const HEALTH: RequestClass = { urgency: 'now', uselessAfterMs: 1000 };
+const OTHER: RequestClass = { urgency: 0, uselessAfterMs: 4800 };
+const SUBMISSION: RequestClass = { urgency: 1, uselessAfterMs: 4800 };
+const QUESTION: RequestClass = { urgency: 2, uselessAfterMs: 1900 };
 
 function parseJson(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
   } catch {
-    throw new InvalidMessage('the body is not JSON');
+    throw new InvalidMessageError('the body is not JSON');
   }
 }
 
--- a/src/runtime/heap.ts
+++ b/src/runtime/heap-governor.ts
@@ -24,7 +24,7 @@
   return Math.round(Math.min(MOST, Math.max(LEAST, percent)) / 5) * 5;
 }
 
-export class Heap {
+export class HeapGovernor {
   private growth = 0;
   private nextLook = 0;
   private part = 0;
--- a/src/runtime/log.ts
+++ b/src/runtime/log.ts
@@ -1,7 +1,7 @@
 import { destination, pino } from 'pino';
-import type { Fields, LogLevel } from '../core/base/io.ts';
+import type { LogFields, LogLevel } from '../core/base/io.ts';
 
-export type Log = (level: LogLevel, message: string, fields?: Fields) => void;
+export type Log = (level: LogLevel, message: string, fields?: LogFields) => void;
 
 /** Structured lines on standard error, written before the call returns. */
 export function openLog(node: string, level: string | undefined): Log {
--- a/src/runtime/peers.ts
+++ b/src/runtime/peer-links.ts
@@ -1,10 +1,10 @@
 // Links to the other controllers: each node dials every other and speaks on the link it dialled.
 import { connect, createServer, type Socket } from 'node:net';
 import type { PeerMessage, Settings } from '../core/base/model.ts';
-import type { Turns } from '../http/turns.ts';
-import { decodeFrame, encodePeer, isFront, PeerDecoder } from '../protocol/peer.ts';
+import type { WorkQueue } from '../http/work-queue.ts';
+import { decodePeerMessage, encodePeerMessage, isForwardedHeartbeat, PeerDecoder } from '../protocol/peer.ts';
 import type { NodeId } from '../types/index.ts';
-import { splitAddr } from './addr.ts';
+import { splitAddress } from './address.ts';
 
 const REDIAL_MS = 500;
 const DIAL_TIMEOUT_MS = 1500;
@@ -15,7 +15,7 @@
 /** Reports are passed on in company: each write and each read costs more than the frame in it. */
 const GATHER_MS = 10;
 
-export interface PeersHost {
+export interface PeerLinksListener {
   up(node: NodeId): void;
   down(node: NodeId): void;
   message(node: NodeId, m: PeerMessage): void;
@@ -30,13 +30,13 @@
   constructor(
     private readonly node: NodeId,
     private readonly addr: string,
-    private readonly host: PeersHost,
+    private readonly host: PeerLinksListener,
   ) {
     this.dial();
   }
 
   private dial(): void {
-    const { host, port } = splitAddr(this.addr);
+    const { host, port } = splitAddress(this.addr);
     const socket = connect({ host, port, noDelay: true });
     this.socket = socket;
     const timer = setTimeout(() => socket.destroy(), DIAL_TIMEOUT_MS);
@@ -57,9 +57,9 @@
 
   send(m: PeerMessage): void {
     if (!this.up || this.socket === null) return;
-    const first = this.pending.push(encodePeer(m)) === 1;
+    const first = this.pending.push(encodePeerMessage(m)) === 1;
     // Reports and their answers can wait for one another; what a user waits for takes them along at once.
-    if (m.kind === 'front' || m.kind === 'fronted') {
+    if (m.kind === 'forwarded-heartbeat' || m.kind === 'forwarded-heartbeat-response') {
       if (first) setTimeout(() => this.flush(), GATHER_MS);
     } else if (!this.hurried) {
       this.hurried = true;
@@ -78,13 +78,13 @@
   }
 }
 
-export class Peers {
+export class PeerLinks {
   private readonly links = new Map<NodeId, Link>();
 
-  constructor(settings: Settings, host: PeersHost, turns: Turns, onError: (e: Error) => void) {
-    const { host: bind, port } = splitAddr(settings.peerListen);
+  constructor(settings: Settings, host: PeerLinksListener, turns: WorkQueue, onError: (e: Error) => void) {
+    const { host: bind, port } = splitAddress(settings.peerListen);
     const names = new Set(settings.peers.map((p) => p.node));
-    const newest = new Newest<Socket>();
+    const newest = new NewestLinks<Socket>();
     createServer({ noDelay: true }, (socket) => listen(socket, names, host, turns, newest))
       .on('error', onError)
       .listen({ host: bind, port });
@@ -100,17 +100,17 @@
  * Of each node the link that was made last. A node may be back within a fraction of a second, while what its former self
  * said is still on its way: nothing of that is heard after the new one has spoken.
  */
-export class Newest<L> {
+export class NewestLinks<L> {
   private made = 0;
   private readonly byNode = new Map<NodeId, { link: L; at: number }>();
 
   /** Numbers links in the order in which they were made. */
-  number(): number {
+  nextNumber(): number {
     return ++this.made;
   }
 
   /** Link number `at` says that it is the node's; the one that is not heard from now on, or null. */
-  greeted(node: NodeId, link: L, at: number): L | null {
+  onHello(node: NodeId, link: L, at: number): L | null {
     const known = this.byNode.get(node);
     if (known !== undefined && known.at > at) return link;
     this.byNode.set(node, { link, at });
@@ -122,12 +122,12 @@
 function listen(
   socket: Socket,
   names: Set<NodeId>,
-  host: PeersHost,
-  turns: Turns,
-  newest: Newest<Socket>,
+  host: PeerLinksListener,
+  turns: WorkQueue,
+  newest: NewestLinks<Socket>,
 ): void {
   const decoder = new PeerDecoder();
-  const at = newest.number();
+  const at = newest.nextNumber();
   let node: NodeId | null = null;
   const guarded = (work: () => void): void => {
     try {
@@ -137,12 +137,12 @@
     }
   };
   const take = (frame: Buffer): void => {
-    const m = decodeFrame(frame);
+    const m = decodePeerMessage(frame);
     if (m === null) return;
     if (socket.destroyed) return;
     if (m.kind === 'hello' && names.has(m.node)) {
       node = m.node;
-      newest.greeted(node, socket, at)?.destroy();
+      newest.onHello(node, socket, at)?.destroy();
       if (socket.destroyed) return;
     }
     if (node === null) return void socket.destroy();
@@ -154,7 +154,7 @@
     guarded(() => {
       // Reports take their turn with those that come directly; after a take-over a whole fleet's come at once.
       for (const frame of decoder.frames(data))
-        if (!isFront(frame)) take(frame);
+        if (!isForwardedHeartbeat(frame)) take(frame);
         else
           turns.add({
             ...front,
--- /dev/null
+++ b/src/types/errors.ts
@@ -0,0 +1,19 @@
+// The common base of all errors that this program throws on purpose.
+
+export interface SwiftfordErrorOptions {
+  /** The error that led to this one. */
+  cause?: unknown;
+}
+
+/**
+ * An error whose text says what went wrong, where, and what to do about it. `code` is stable across versions and meant
+ * for programs, the text for people.
+ */
+export abstract class SwiftfordError extends Error {
+  abstract readonly code: string;
+
+  constructor(message: string, options: SwiftfordErrorOptions = {}) {
+    super(message, options);
+    this.name = new.target.name;
+  }
+}
--- a/src/types/index.ts
+++ b/src/types/index.ts
@@ -13,10 +13,10 @@
 /** Version of a key in the state service, and the service's change counter. */
 export type Revision = Brand<number, 'Revision'>;
 /** What entitles a controller to command a machine; larger wins. */
-export type Token = Brand<number, 'Token'>;
+export type FencingToken = Brand<number, 'Token'>;
 /** One start of a task; never used twice for the same task. */
 export type Attempt = Brand<number, 'Attempt'>;
-export type HoldId = Brand<number, 'HoldId'>;
+export type StoreLeaseId = Brand<number, 'HoldId'>;
 /** Milliseconds on this process's steady clock. */
 export type Instant = Brand<number, 'Instant'>;
 /** Milliseconds of the time of day; only for what outlives a process. */
@@ -25,12 +25,12 @@
 export type Millis = number;
 
 export const taskId = (job: JobId, index: number): TaskId => `${job}/${index}` as TaskId;
-export const later = (t: Instant, ms: Millis): Instant => (t + ms) as Instant;
-export const since = (now: Instant, then: Instant): Millis => now - then;
+export const addMs = (t: Instant, ms: Millis): Instant => (t + ms) as Instant;
+export const elapsedMs = (now: Instant, then: Instant): Millis => now - then;
 export const NEVER = Number.POSITIVE_INFINITY as Instant;
 export const LONG_AGO = Number.NEGATIVE_INFINITY as Instant;
 
-export function splitTask(id: TaskId): { job: JobId; index: number } {
+export function parseTaskId(id: TaskId): { job: JobId; index: number } {
   const cut = id.lastIndexOf('/');
   return { job: id.slice(0, cut) as JobId, index: Number(id.slice(cut + 1)) };
 }
--- a/test/behaviour.test.ts
+++ b/test/behaviour.test.ts
@@ -3,8 +3,8 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
-import { decodeFrame, encodePeer } from '../src/protocol/peer.ts';
-import type { seeded } from '../src/runtime/random.ts';
+import { decodePeerMessage, encodePeerMessage } from '../src/protocol/peer.ts';
+import type { seededRandom } from '../src/runtime/random.ts';
 import {
   BehaviourDigest,
   digestOfSeed,
@@ -13,7 +13,7 @@
   listenToHistory,
 } from './support/behaviour-digest.ts';
 import { digestAfterReading, PEER_MESSAGES, writeEveryKindOfRecord } from './support/golden-records.ts';
-import { job, World } from './support/world.ts';
+import { job, SimulatedWorld } from './support/simulated-world.ts';
 
 const fixture = (name: string): unknown =>
   JSON.parse(readFileSync(new URL(`./fixtures/${name}`, import.meta.url), 'utf8'));
@@ -69,14 +69,14 @@
   it('sees one more random draw in a controller', () => {
     const play = (drawsMore: boolean): string => {
       const digest = new BehaviourDigest();
-      const world = new World(
+      const world = new SimulatedWorld(
         {},
         undefined,
         encoding((nowMs, node, bytes) => digest.add(nowMs, node, bytes)),
       );
       world.run(4);
       const leader = world.nodes.get(world.owner!)! as unknown as {
-        io: { random: ReturnType<typeof seeded> };
+        io: { random: ReturnType<typeof seededRandom> };
       };
       if (drawsMore) leader.io.random.below(2);
       for (let i = 0; i < 30; i++) world.submit(job(`run-${i}`));
@@ -118,12 +118,12 @@
   });
 
   it('are what controllers send to each other, and are read and written again byte for byte', () => {
-    const frames = PEER_MESSAGES.map((m) => encodePeer(m).toString('hex'));
+    const frames = PEER_MESSAGES.map((m) => encodePeerMessage(m).toString('hex'));
     assert.deepEqual(frames, golden.peer);
     for (const frame of golden.peer) {
-      const message = decodeFrame(Buffer.from(frame, 'hex').subarray(4));
+      const message = decodePeerMessage(Buffer.from(frame, 'hex').subarray(4));
       assert.notEqual(message, null);
-      assert.equal(encodePeer(message!).toString('hex'), frame);
+      assert.equal(encodePeerMessage(message!).toString('hex'), frame);
     }
   });
 });
