--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -6,7 +6,7 @@
 import { ControllerIo, type Effect } from '../src/core/base/io.ts';
 import type { JobSpec, PeerMessage, StoreReply, StoreRequest } from '../src/core/base/model.ts';
 import { FencedWriter, type WriteResult } from '../src/core/storage/fenced-writer.ts';
-import type { StoredJobSpec } from '../src/core/storage/job-record.ts';
+import { encodeJobSpec, type StoredJobSpec } from '../src/core/storage/job-record.ts';
 import { encodePeerMessage, PeerDecoder } from '../src/protocol/peer.ts';
 import { seededRandom } from '../src/runtime/random.ts';
 import type { Instant, JobId, NodeId, Revision, WallTime } from '../src/types/index.ts';
@@ -125,7 +125,7 @@
     'box',
   ) as JobSpec['machineTypes'];
   const s = job('run-long', { machineTypes });
-  const w = upgraded({ 'o/run-long': { s, t: 1e9, w: 'x' } });
+  const w = upgraded({ 'o/run-long': { s: encodeJobSpec(s), t: 1e9, w: 'x' } });
   w.run(8);
   assert.equal(w.submit(s)?.kind, 'known');
   const a = w.submit(job('run-new', { machineTypes }), 'node-1');
