--- a/src/core/admission/fallback-admission.ts
+++ b/src/core/admission/fallback-admission.ts
@@ -22,6 +22,16 @@
 const WRITE_MS = 1500;
 /** Of a node's budget so much is left to teams that ask for no more than their part. */
 const KEPT = 0.3;
+/** What {@link FallbackAdmission} depends on. */
+export interface FallbackAdmissionDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  machineTypes: MachineTypeCatalog;
+  jobRecords: JobRecordReader;
+  configuration: Configuration;
+  /** A job was judged by a revision of the configuration that is no longer the newest. */
+  onStaleConfiguration: () => void;
+}
 
 export class FallbackAdmission {
   private readonly budget: TokenBucket;
@@ -29,16 +39,21 @@
   private made = 0;
   private readonly throttle: TeamThrottle;
   private readonly kept: number;
+  private readonly io: ControllerIo;
+  private readonly settings: Settings;
+  private readonly machineTypes: MachineTypeCatalog;
+  private readonly jobRecords: JobRecordReader;
+  private readonly configuration: Configuration;
+  private readonly onStaleConfiguration: () => void;
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly settings: Settings,
-    private readonly catalogue: MachineTypeCatalog,
-    private readonly lookup: JobRecordReader,
-    private readonly configuration: Configuration,
-    /** A job was judged by a revision of the configuration that is no longer the newest. */
-    private readonly onStale: () => void,
-  ) {
+  constructor(dependencies: FallbackAdmissionDependencies) {
+    this.io = dependencies.io;
+    this.settings = dependencies.settings;
+    this.machineTypes = dependencies.machineTypes;
+    this.jobRecords = dependencies.jobRecords;
+    this.configuration = dependencies.configuration;
+    this.onStaleConfiguration = dependencies.onStaleConfiguration;
+    const { io, settings } = dependencies;
     const rate = Math.max(1, settings.store.writesPerS * SHARE);
     const burst = Math.max(2, rate);
     this.budget = new TokenBucket(rate, burst);
@@ -49,10 +64,10 @@
 
   accept(spec: JobSpec, answer: (a: UserResponse) => void): void {
     // What can never run is told by the owner, who knows whether the job was accepted before.
-    const { catalogue } = this;
+    const { machineTypes } = this;
     if (
-      !catalogue.isLoaded ||
-      infeasibilityReason(spec, catalogue.types, this.configuration.effective.teams) !== null ||
+      !machineTypes.isLoaded ||
+      infeasibilityReason(spec, machineTypes.types, this.configuration.effective.teams) !== null ||
       this.record(spec) === null
     )
       return answer(retryLater('no controller can take this at the moment'));
@@ -72,7 +87,7 @@
       checkDependencies(
         spec,
         () => null,
-        this.lookup,
+        this.jobRecords,
         answer,
         () => this.write(spec, answer),
       );
@@ -108,9 +123,9 @@
     }
     if (r.kind !== 'conflict') return answer(retryLater('the state service does not answer'));
     if (r.failed.includes(CONFIG_NOTIFICATION_KEY)) {
-      this.onStale();
+      this.onStaleConfiguration();
       return answer(retryLater('the configuration has changed and is being read'));
     }
-    this.lookup.answerRepeatedSubmission(spec.id, answer);
+    this.jobRecords.answerRepeatedSubmission(spec.id, answer);
   }
 }
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -70,6 +70,18 @@
 const MIN_AGE_MS = 60_000;
 /** Part of the cloud's call budget used for renting and returning; the rest is for lists. */
 const CLOUD_SHARE = 0.7;
+/** What {@link Autoscaler} depends on. */
+export interface AutoscalerDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  jobs: JobTable;
+  machines: MachineTable;
+  quota: Quota;
+  estimates: RuntimeEstimates;
+  ordering: JobOrdering;
+  term: Revision;
+  types: Map<TypeName, MachineType>;
+}
 
 export class Autoscaler {
   readonly types: Map<TypeName, MachineType>;
@@ -98,25 +110,16 @@
   private readonly ordering: JobOrdering;
   private readonly term: Revision;
 
-  constructor(
-    io: ControllerIo,
-    settings: Settings,
-    jobs: JobTable,
-    machines: MachineTable,
-    quota: Quota,
-    estimates: RuntimeEstimates,
-    ordering: JobOrdering,
-    term: Revision,
-    types: Map<TypeName, MachineType>,
-  ) {
+  constructor(dependencies: AutoscalerDependencies) {
+    const { io, settings, machines, types } = dependencies;
     this.types = types;
     this.io = io;
-    this.jobs = jobs;
+    this.jobs = dependencies.jobs;
     this.machines = machines;
-    this.quota = quota;
-    this.estimates = estimates;
-    this.ordering = ordering;
-    this.term = term;
+    this.quota = dependencies.quota;
+    this.estimates = dependencies.estimates;
+    this.ordering = dependencies.ordering;
+    this.term = dependencies.term;
     this.spareCapacity = new SpareCapacity(io);
     this.machineList = new CloudInventory(io, machines, types, () => this.requests.some((r) => r.inFlight));
     const rate = settings.cloud.requestsPerS * CLOUD_SHARE;
--- a/src/core/base/model.ts
+++ b/src/core/base/model.ts
@@ -10,7 +10,6 @@
   TaskId,
   TeamName,
   TypeName,
-  WallTime,
   ZoneName,
 } from '../../types/index.ts';
 
@@ -288,7 +287,3 @@
 
 /** `whole`: what it repeats is not the report read last. null: the node asked does not own the machine. */
 export type ForwardedHeartbeatResponse = HeartbeatResponse | { kind: 'full-heartbeat-required' } | null;
-
-export interface TimedInput {
-  wall: WallTime;
-}
--- a/src/core/configuration/rollout.ts
+++ b/src/core/configuration/rollout.ts
@@ -35,6 +35,15 @@
   told: boolean;
 }
 
+/** What {@link Rollout} depends on. */
+export interface RolloutDependencies {
+  io: ControllerIo;
+  writer: FencedWriter;
+  term: Revision;
+  configuration: Configuration;
+  peerRevisions: () => readonly PeerConfigRevision[];
+}
+
 export class Rollout {
   /** The last revision that is on record as in force, under this term. */
   inForce = 0 as Revision;
@@ -42,14 +51,19 @@
   private writing = false;
   private readonly lags = new Map<NodeId, Lag>();
   private nextLook = 0 as Instant;
+  private readonly io: ControllerIo;
+  private readonly writer: FencedWriter;
+  private readonly term: Revision;
+  private readonly configuration: Configuration;
+  private readonly peerRevisions: () => readonly PeerConfigRevision[];
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly store: FencedWriter,
-    private readonly term: Revision,
-    private readonly configuration: Configuration,
-    private readonly nodes: () => readonly PeerConfigRevision[],
-  ) {}
+  constructor(dependencies: RolloutDependencies) {
+    this.io = dependencies.io;
+    this.writer = dependencies.writer;
+    this.term = dependencies.term;
+    this.configuration = dependencies.configuration;
+    this.peerRevisions = dependencies.peerRevisions;
+  }
 
   /** The owner begins: what an owner before it has started may still be on its way. */
   begin(): void {
@@ -73,7 +87,7 @@
     if (current) this.record();
     if (this.io.now < this.nextLook) return;
     this.nextLook = addMs(this.io.now, LOOK_MS);
-    for (const n of this.nodes()) this.look(n);
+    for (const n of this.peerRevisions()) this.look(n);
   }
 
   private record(): void {
@@ -87,12 +101,12 @@
   private write(revision: Revision): void {
     this.writing = true;
     const lagging: Record<string, Revision> = {};
-    for (const { node, revision: r } of this.nodes())
+    for (const { node, revision: r } of this.peerRevisions())
       if (r === null || r < revision) lagging[node] = r ?? (0 as Revision);
     const value: InForceRecord = { revision, term: this.term, at: this.io.wallTime, lagging };
-    const writeId = this.store.nextWriteId();
+    const writeId = this.writer.nextWriteId();
     // The same value whichever copy is carried out, under this term only.
-    this.store.write({
+    this.writer.write({
       conditions: [],
       puts: [{ key: CONFIG_IN_FORCE_KEY, value: { ...value, w: writeId } }],
       deletes: [],
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -57,69 +57,75 @@
   readonly election: LeaderElection;
   leaderTerm: LeaderTerm | null = null;
   readonly jobRecords: JobRecordReader;
-  private readonly catalogue: MachineTypeCatalog;
-  private readonly relay: HeartbeatRelay;
-  private readonly forwarding: HeartbeatForwarder;
-  private readonly overload: LoadShedder;
-  private readonly balance: ConnectionBalancer;
-  private readonly intake: FallbackAdmission;
+  private readonly machineTypes: MachineTypeCatalog;
+  private readonly heartbeatRelay: HeartbeatRelay;
+  private readonly heartbeatForwarder: HeartbeatForwarder;
+  private readonly loadShedder: LoadShedder;
+  private readonly connectionBalancer: ConnectionBalancer;
+  private readonly fallbackAdmission: FallbackAdmission;
   readonly configuration: Configuration;
-  private readonly nodes: PeerRegistry;
+  private readonly peers: PeerRegistry;
   private readonly forwarded = new Map<number, Forwarded>();
   private readonly timed = new Set<Timed>();
 
   constructor(settings: Settings, options: SchedulerOptions, random: Random) {
     this.settings = settings;
-    this.nodes = new PeerRegistry(settings.peers);
+    this.peers = new PeerRegistry(settings.peers);
     const budget = new StoreRequestBudget(settings.store.requestsPerS, settings.peers.length + 1);
     this.io = new ControllerIo(random, budget, { state: settings.storeAddr, cloud: settings.cloudAddr });
     this.jobRecords = new JobRecordReader(this.io, settings);
-    this.catalogue = new MachineTypeCatalog(this.io);
-    this.relay = new HeartbeatRelay(this.io);
-    this.forwarding = new HeartbeatForwarder(this.io);
-    this.overload = new LoadShedder(this.io);
-    this.balance = new ConnectionBalancer(this.io, settings.workers.heartbeatS);
+    this.machineTypes = new MachineTypeCatalog(this.io);
+    this.heartbeatRelay = new HeartbeatRelay(this.io);
+    this.heartbeatForwarder = new HeartbeatForwarder(this.io);
+    this.loadShedder = new LoadShedder(this.io);
+    this.connectionBalancer = new ConnectionBalancer(this.io, settings.workers.heartbeatS);
     this.configuration = new Configuration(this.io, settings);
     this.configuration.onApplied = (change) => this.leaderTerm?.onConfigurationApplied(change);
-    this.intake = new FallbackAdmission(
-      this.io,
+    this.fallbackAdmission = new FallbackAdmission({
+      io: this.io,
       settings,
-      this.catalogue,
-      this.jobRecords,
-      this.configuration,
-      () => this.election.refresh(),
-    );
+      machineTypes: this.machineTypes,
+      jobRecords: this.jobRecords,
+      configuration: this.configuration,
+      onStaleConfiguration: () => this.election.refresh(),
+    });
     const rank = settings.peers.filter((p) => p.node < settings.node).length;
-    this.election = new LeaderElection(this.io, settings.node, rank, settings.peers.length + 1, {
-      onElected: (term) => {
-        this.io.storeBudget?.setLeader(true);
-        this.balance.setLeader(true);
-        this.leaderTerm = new LeaderTerm(
-          this.io,
-          settings,
-          options,
-          { key: this.election.leaderKey, revision: term },
-          this.configuration,
-          () => this.nodes.configRevisions(),
-          this.catalogue,
-          this.jobRecords,
-          this.election.lastRecovery,
-          () => this.mayAdopt(term),
-          () => this.mayStart(),
-          () => this.overtaken(term),
-        );
-        this.announce();
+    this.election = new LeaderElection({
+      io: this.io,
+      self: settings.node,
+      rank,
+      nodes: settings.peers.length + 1,
+      listener: {
+        onElected: (term) => {
+          this.io.storeBudget?.setLeader(true);
+          this.connectionBalancer.setLeader(true);
+          this.leaderTerm = new LeaderTerm({
+            io: this.io,
+            settings,
+            options,
+            fencingCondition: { key: this.election.leaderKey, revision: term },
+            configuration: this.configuration,
+            peerRevisions: () => this.peers.configRevisions(),
+            machineTypes: this.machineTypes,
+            jobRecords: this.jobRecords,
+            lastRecovery: this.election.lastRecovery,
+            holdsLease: () => this.mayAdopt(term),
+            mayStart: () => this.mayStart(),
+            onSuperseded: () => this.overtaken(term),
+          });
+          this.announce();
+        },
+        onLeadershipLost: () => {
+          this.io.storeBudget?.setLeader(false);
+          this.connectionBalancer.setLeader(false);
+          this.leaderTerm?.close();
+          this.leaderTerm = null;
+          this.announce();
+        },
+        migrateLeaderKey: (conditions, puts, done) =>
+          this.leaderTerm?.migrateLeaderKey(conditions, puts, done),
+        onConfigurationChanged: (revision) => this.configuration.onRevisionSeen(revision),
       },
-      onLeadershipLost: () => {
-        this.io.storeBudget?.setLeader(false);
-        this.balance.setLeader(false);
-        this.leaderTerm?.close();
-        this.leaderTerm = null;
-        this.announce();
-      },
-      onLeaderKnown: () => {},
-      migrateLeaderKey: (conditions, puts, done) => this.leaderTerm?.migrateLeaderKey(conditions, puts, done),
-      onConfigurationChanged: (revision) => this.configuration.onRevisionSeen(revision),
     });
   }
 
@@ -143,17 +149,17 @@
     if (this.alone && this.io.isStoreUnavailable) return false;
     if (this.configuration.lagMs > MAX_LAG_MS) return false;
     if (leader?.node === this.settings.node && this.leaderTerm?.failover.isLoaded) return true;
-    if (leader !== null && leader.node !== this.settings.node && this.nodes.connectedPeers.has(leader.node))
+    if (leader !== null && leader.node !== this.settings.node && this.peers.connectedPeers.has(leader.node))
       return true;
     // Without an owner in reach, submissions and questions go by the record.
-    return this.election.isStoreReadable && this.catalogue.isLoaded;
+    return this.election.isStoreReadable && this.machineTypes.isLoaded;
   }
 
   /** Cut off from every other controller: with the state service out of reach too, users are better served by any other. */
   private get alone(): boolean {
     if (this.settings.peers.length === 0) return false;
-    for (const node of this.nodes.connectedPeers)
-      if (!this.nodes.forwardingPeers.has(node) || !this.forwarding.isSilent(node)) return false;
+    for (const node of this.peers.connectedPeers)
+      if (!this.peers.forwardingPeers.has(node) || !this.heartbeatForwarder.isSilent(node)) return false;
     return true;
   }
 
@@ -166,24 +172,24 @@
       owner: l.leader?.node ?? null,
       term: l.term,
       current: l.holdsLease,
-      peers: [...this.nodes.connectedPeers],
+      peers: [...this.peers.connectedPeers],
       recovered: leaderTerm?.failover.isComplete ?? null,
       stateDown: leaderTerm !== null && leaderTerm.writer.unavailableSince !== null,
       writesWaiting: leaderTerm?.writer.backlog ?? 0,
       jobs: leaderTerm?.jobs.openJobs.size ?? 0,
-      workers: this.balance.workers,
-      loadLevel: this.overload.level,
-      loopDelayMs: Math.round(this.overload.delayMs),
-      requestsShed: this.overload.requestsShed,
-      memoryShort: this.overload.isMemoryShort,
+      workers: this.connectionBalancer.workers,
+      loadLevel: this.loadShedder.level,
+      loopDelayMs: Math.round(this.loadShedder.delayMs),
+      requestsShed: this.loadShedder.requestsShed,
+      memoryShort: this.loadShedder.isMemoryShort,
       stateRequests: { sent: this.io.storeBudget?.sent, refused: this.io.storeBudget?.refused },
-      olderPeers: this.nodes.peersWithoutDependencies(),
+      olderPeers: this.peers.peersWithoutDependencies(),
       configuration: {
         ...this.configuration.describe(),
         ...leaderTerm?.rollout.describe(),
-        nodes: this.nodes.configRevisions().map((n) => ({
+        nodes: this.peers.configRevisions().map((n) => ({
           ...n,
-          knowsDocuments: this.nodes.supportsConfigDocuments(n.node),
+          knowsDocuments: this.peers.supportsConfigDocuments(n.node),
         })),
       },
       finalStatesToRead: leaderTerm?.dependencies.unresolvedCount ?? 0,
@@ -211,20 +217,20 @@
       case 'peer':
         return this.peer(input.node, input.message);
       case 'peer-up':
-        this.nodes.onConnected(input.node);
+        this.peers.onConnected(input.node);
         return this.greet(input.node);
       case 'peer-down':
-        this.nodes.onDisconnected(input.node);
-        this.forwarding.onPeerDisconnected(input.node);
+        this.peers.onDisconnected(input.node);
+        this.heartbeatForwarder.onPeerDisconnected(input.node);
         return this.dropForwarded(input.node);
     }
   }
 
   private tick(queuedMs: number, memory: number): void {
     const backlogS = this.leaderTerm?.userRequests.backlogS ?? 0;
-    const news = this.overload.tick(queuedMs, backlogS, memory);
+    const news = this.loadShedder.tick(queuedMs, backlogS, memory);
     if (news !== null)
-      for (const node of this.nodes.forwardingPeers)
+      for (const node of this.peers.forwardingPeers)
         this.io.emit({
           kind: 'peer',
           node,
@@ -233,20 +239,22 @@
             level: news.level,
             afterS: news.afterS,
             memoryShort: news.memoryShort,
-            workers: this.balance.weight,
+            workers: this.connectionBalancer.weight,
             backlogS,
             configRevision: this.configuration.applied,
             leaderTerm: this.election.term ?? (0 as Revision),
           },
         });
-    this.balance.tick((node) => this.nodes.connectedPeers.has(node) && this.nodes.forwardingPeers.has(node));
+    this.connectionBalancer.tick(
+      (node) => this.peers.connectedPeers.has(node) && this.peers.forwardingPeers.has(node),
+    );
     this.election.tick();
     this.configuration.tick();
-    this.catalogue.tick(this.leaderTerm !== null);
+    this.machineTypes.tick(this.leaderTerm !== null);
     this.leaderTerm?.tick(this.mayCommand());
     this.jobRecords.tick();
-    this.relay.tick();
-    this.forwarding.tick(this.otherOwner?.node ?? null);
+    this.heartbeatRelay.tick();
+    this.heartbeatForwarder.tick(this.otherOwner?.node ?? null);
     this.expire();
   }
 
@@ -275,7 +283,8 @@
     if (this.configuration.isOverdue) return false;
     if (this.election.holdsLease) return true;
     return (
-      !this.configuration.hasDocuments && this.settings.peers.every((p) => this.forwarding.isAlive(p.node))
+      !this.configuration.hasDocuments &&
+      this.settings.peers.every((p) => this.heartbeatForwarder.isAlive(p.node))
     );
   }
 
@@ -294,7 +303,7 @@
 
   /** A worker speaks to this node; with too many here, it is sent to another before anything is read. */
   private checkIn(r: Heartbeat, answer: (a: HeartbeatResponse) => void): void {
-    const to = this.balance.onHeartbeat(r.machine);
+    const to = this.connectionBalancer.onHeartbeat(r.machine);
     if (to !== null) answer({ kind: 'redirect', node: to });
     else this.report(r, answer);
   }
@@ -312,34 +321,35 @@
     const { leaderTerm } = this;
     if (leaderTerm !== null && this.mayCommand()) return leaderTerm.onHeartbeat(r, answer, by);
     const owner = this.otherOwner;
-    const linked = owner !== null && this.nodes.connectedPeers.has(owner.node);
+    const linked = owner !== null && this.peers.connectedPeers.has(owner.node);
     // The next owner is chosen within seconds: a worker sent round meanwhile would only come back.
     if (
-      this.nodes.connectedPeers.size > 0 &&
-      (owner === null || (!linked && this.forwarding.disconnectedRecently(owner.node)))
+      this.peers.connectedPeers.size > 0 &&
+      (owner === null || (!linked && this.heartbeatForwarder.disconnectedRecently(owner.node)))
     )
-      return this.forwarding.defer(r, answer, by);
-    if (linked && this.forwarding.leaderMayHaveEnded(owner.node)) return this.forwarding.defer(r, answer, by);
-    if (linked && this.nodes.forwardingPeers.has(owner.node) && this.forwarding.isUsable)
-      return this.forwarding.forward(r, owner.node, answer, by);
-    this.relay.relay(r, owner, linked, answer);
+      return this.heartbeatForwarder.defer(r, answer, by);
+    if (linked && this.heartbeatForwarder.leaderMayHaveEnded(owner.node))
+      return this.heartbeatForwarder.defer(r, answer, by);
+    if (linked && this.peers.forwardingPeers.has(owner.node) && this.heartbeatForwarder.isUsable)
+      return this.heartbeatForwarder.forward(r, owner.node, answer, by);
+    this.heartbeatRelay.relay(r, owner, linked, answer);
   }
 
   /** Reports that waited for an owner go to it as soon as there is one. */
   private resume(): void {
     const owner = this.election.leader;
     if (owner === null) return;
-    this.forwarding.onLeader(owner);
+    this.heartbeatForwarder.onLeader(owner);
     const here = owner.node === this.settings.node;
-    if (here ? this.leaderTerm !== null && this.mayCommand() : this.nodes.connectedPeers.has(owner.node))
-      this.forwarding.resumeDeferred((r, answer, by) => this.report(r, answer, by));
+    if (here ? this.leaderTerm !== null && this.mayCommand() : this.peers.connectedPeers.has(owner.node))
+      this.heartbeatForwarder.resumeDeferred((r, answer, by) => this.report(r, answer, by));
   }
 
   // ---- users
 
   /** What to answer without looking at the request any further, when there is too much to do; null if it is served. */
   rejection(op: UserRequest['op']): UserResponse | null {
-    return this.overload.rejection(
+    return this.loadShedder.rejection(
       op,
       this.election.leader?.node ?? null,
       this.leaderTerm?.userRequests.backlogS ?? 0,
@@ -374,7 +384,7 @@
   /** An owner of an earlier version would start the job at once: while there may be one, none is accepted. */
   private tooEarlyForChains(request: UserRequest, answer: (a: UserResponse) => void): boolean {
     if (request.op !== 'submit' || request.spec.dependsOn === undefined) return false;
-    if (this.nodes.peersWithoutDependencies().length === 0) return false;
+    if (this.peers.peersWithoutDependencies().length === 0) return false;
     const { id } = request.spec;
     const open = this.leaderTerm?.jobs.openJobs.has(id) ?? false;
     if (open) return false;
@@ -413,8 +423,8 @@
     if (share.failover.isUnreadable) return answer(retryLater('a record on file cannot be read'));
     if (!share.failover.isLoaded) return this.withoutOwner(request, answer);
     if (request.op === 'submit') {
-      if (this.overload.isMemoryShort && share.userRequests.status(request.spec.id) === null)
-        return answer(this.overload.outOfMemoryResponse());
+      if (this.loadShedder.isMemoryShort && share.userRequests.status(request.spec.id) === null)
+        return answer(this.loadShedder.outOfMemoryResponse());
       return share.userRequests.submit(request.spec, answer);
     }
     const ending = share.jobs.openJobs.get(request.id);
@@ -440,7 +450,7 @@
 
   private forward(request: UserRequest, answer: (a: UserResponse) => void): void {
     const owner = this.otherOwner;
-    if (owner === null || !this.nodes.connectedPeers.has(owner.node))
+    if (owner === null || !this.peers.connectedPeers.has(owner.node))
       return this.withoutOwner(request, answer);
     const id = this.io.nextRequestId();
     this.forwarded.set(id, {
@@ -457,13 +467,13 @@
    */
   private forwardMs(op: UserRequest['op'], owner: NodeId): number {
     if (op !== 'submit') return FORWARD_MS[op];
-    return Math.min(FORWARD_MS.submit + this.overload.slownessMs(owner), SERVE_MS.submit);
+    return Math.min(FORWARD_MS.submit + this.loadShedder.slownessMs(owner), SERVE_MS.submit);
   }
 
   /** With no owner in reach, the record still tells a job's state, and new jobs can be put on it; only the owner changes them. */
   private withoutOwner(request: UserRequest, answer: (a: UserResponse) => void): void {
     if (request.op === 'status') this.jobRecords.readStatus(request.id, answer);
-    else if (request.op === 'submit') this.intake.accept(request.spec, answer);
+    else if (request.op === 'submit') this.fallbackAdmission.accept(request.spec, answer);
     else
       this.jobRecords.readStatus(request.id, (a) =>
         answer(a.kind === 'status' ? retryLater('no controller can take this at the moment') : a),
@@ -497,29 +507,29 @@
   }
 
   private announce(): void {
-    for (const node of this.nodes.connectedPeers) this.greet(node);
+    for (const node of this.peers.connectedPeers) this.greet(node);
   }
 
   private peer(node: NodeId, m: PeerMessage): void {
-    this.forwarding.recordPeerActivity(node);
+    this.heartbeatForwarder.recordPeerActivity(node);
     if (m.kind === 'hello') this.hello(m);
     else if (m.kind === 'load') {
-      this.overload.onPeerLoad(node, m);
-      this.balance.recordPeerWeight(node, m.workers);
-      this.nodes.onLoad(node, m.configRevision);
+      this.loadShedder.onPeerLoad(node, m);
+      this.connectionBalancer.recordPeerWeight(node, m.workers);
+      this.peers.onLoad(node, m.configRevision);
       this.election.observeLeader(node, m.leaderTerm);
       this.configuration.onRevisionSeen(m.configRevision);
     } else if (m.kind === 'forwarded-heartbeat') this.fronted(node, m.id, m.heartbeat);
-    else if (m.kind === 'forwarded-heartbeat-response') this.forwarding.onResponse(m.id, m.response);
+    else if (m.kind === 'forwarded-heartbeat-response') this.heartbeatForwarder.onResponse(m.id, m.response);
     else if (m.kind === 'user-request') this.asked(node, m.id, m.request);
     else if (m.kind === 'user-response') this.replied(m.id, m.response);
     else if (m.kind === 'relayed-heartbeat') this.passedOn(node, m.id, m.heartbeat);
-    else this.relay.onResponse(m.id, m.response);
+    else this.heartbeatRelay.onResponse(m.id, m.response);
   }
 
   private hello(hello: Extract<PeerMessage, { kind: 'hello' }>): void {
     const { node, leaderTerm } = hello;
-    if (this.nodes.onHello(hello))
+    if (this.peers.onHello(hello))
       this.io.log('info', 'peer of an earlier version: jobs that await others are refused for now', { node });
     this.election.observeLeader(node, leaderTerm);
   }
--- a/src/core/jobs/array-progress.ts
+++ b/src/core/jobs/array-progress.ts
@@ -39,7 +39,7 @@
   private readonly home = new Map<string, ProgressPage>();
   private made = 0;
   private readonly io: ControllerIo;
-  private readonly store: FencedWriter;
+  private readonly writer: FencedWriter;
   private readonly limits: Settings['store'];
   private readonly term: Revision;
 
@@ -49,7 +49,7 @@
 
   constructor(io: ControllerIo, store: FencedWriter, limits: Settings['store'], term: Revision) {
     this.io = io;
-    this.store = store;
+    this.writer = store;
     this.limits = limits;
     this.term = term;
     this.room = store.maxValueBytes - OVERHEAD;
@@ -60,7 +60,7 @@
 
   /** A page written in an earlier term, perhaps by an earlier version and larger than one may be now. */
   restore(item: StoreItem, open: Map<JobId, Job>): void {
-    const p = new ProgressPage(new SharedRecord(this.store, item.key, item.revision));
+    const p = new ProgressPage(new SharedRecord(this.writer, item.key, item.revision));
     this.pages.push(p);
     const { b } = item.value as { b: Record<string, string> };
     for (const [name, bits] of Object.entries(b)) {
@@ -111,7 +111,7 @@
 
   private newPage(): ProgressPage {
     const key = `${DONE_BITMAP_PREFIX}${this.term}.${++this.made}`;
-    const p = new ProgressPage(new SharedRecord(this.store, key, 0 as Revision));
+    const p = new ProgressPage(new SharedRecord(this.writer, key, 0 as Revision));
     this.pages.push(p);
     return p;
   }
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -54,7 +54,7 @@
   /** Acceptances of each team that are being written. */
   private readonly beingAccepted = new Map<TeamName, number>();
   private readonly io: ControllerIo;
-  private readonly store: FencedWriter;
+  private readonly writer: FencedWriter;
   private readonly progress: ArrayProgress;
   listener: JobListener | null = null;
   onAccepted: (job: Job) => void = () => {};
@@ -67,7 +67,7 @@
 
   constructor(io: ControllerIo, store: FencedWriter, progress: ArrayProgress) {
     this.io = io;
-    this.store = store;
+    this.writer = store;
     this.progress = progress;
   }
 
@@ -155,15 +155,15 @@
       waiters.push(answer);
       return;
     }
-    const writeId = this.store.nextWriteId();
+    const writeId = this.writer.nextWriteId();
     const acceptedAt = this.io.wallTime;
     const record = { spec, acceptedAt, cancelled: false, writeId, dependencyParts: 0 };
-    const puts = jobRecordPuts(record, this.store.limits);
+    const puts = jobRecordPuts(record, this.writer.limits);
     if (puts === null) return answer({ kind: 'too-large', reason: 'the job is too large for a record' });
     this.accepting.set(spec.id, [answer]);
     const turn = this.beingAccepted.get(spec.team) ?? 0;
     this.beingAccepted.set(spec.team, turn + 1);
-    this.store.write({
+    this.writer.write({
       conditions: [
         { key: OPEN_JOB_PREFIX + spec.id, revision: 0 as Revision },
         { key: FINAL_STATE_PREFIX + spec.id, revision: 0 as Revision },
@@ -239,7 +239,7 @@
     job.cancelRequested = true;
     this.cancelRequested.add(job);
     this.onEnded(job);
-    const writeId = this.store.nextWriteId();
+    const writeId = this.writer.nextWriteId();
     const value = encodeJobRecord(this.cancelledRecord(job, writeId));
     const write: FencedWrite = {
       conditions: [{ key: OPEN_JOB_PREFIX + job.id, revision: job.revision }],
@@ -257,7 +257,7 @@
       },
     };
     job.terminalWrite = write;
-    this.store.write(write);
+    this.writer.write(write);
   }
 
   private onCancelWritten(job: Job, r: WriteResult, answer: (a: UserResponse) => void): void {
@@ -282,7 +282,7 @@
   private cancelledRecord(job: Job, writeId: string): JobRecord {
     const { spec, acceptedAt, dependencyParts } = job;
     const record = { spec, acceptedAt, cancelled: true, writeId, dependencyParts };
-    if (dependencyParts === 0 && jsonBytes(encodeJobRecord(record)) <= this.store.maxValueBytes)
+    if (dependencyParts === 0 && jsonBytes(encodeJobRecord(record)) <= this.writer.maxValueBytes)
       return record;
     const { dependsOn: _, ...rest } = spec;
     return { ...record, spec: { ...rest, machineTypes: null } };
@@ -329,7 +329,7 @@
     job.isWritingRecord = true;
     job.isWritingFinalState = true;
     const status = job.cancelled ? 'cancelled' : 'done';
-    const writeId = this.store.nextWriteId();
+    const writeId = this.writer.nextWriteId();
     const conditions: StoreCondition[] = [{ key: OPEN_JOB_PREFIX + job.id, revision: job.revision }];
     const deletes = [OPEN_JOB_PREFIX + job.id, ...dependencyPartKeys(job.id, job.dependencyParts)];
     const endedAt = this.io.wallTime;
@@ -357,7 +357,7 @@
       },
     };
     job.terminalWrite = write;
-    this.store.write(write);
+    this.writer.write(write);
   }
 
   /** The job's record is not what it was taken to be: compared with the old one, no end would ever be written. */
--- a/src/core/leader/failover.ts
+++ b/src/core/leader/failover.ts
@@ -34,6 +34,16 @@
 const FEW = 0.01;
 /** A worker whose node has gone waits for 4 s, and 1 s more before it tries the next. */
 const WORKER_TURN_MS = 5500;
+/** What {@link Failover} depends on. */
+export interface FailoverDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  jobs: JobTable;
+  machines: MachineTable;
+  machineTypes: MachineTypeCatalog;
+  progress: ArrayProgress;
+  registry: MachineRegistry;
+}
 
 export class Failover {
   /** Jobs and machines of the earlier terms are known. */
@@ -59,29 +69,22 @@
   private readonly settings: Settings;
   private readonly jobs: JobTable;
   private readonly machines: MachineTable;
-  private readonly catalogue: MachineTypeCatalog;
+  private readonly machineTypes: MachineTypeCatalog;
   private readonly progress: ArrayProgress;
-  private readonly roster: MachineRegistry;
+  private readonly registry: MachineRegistry;
   private probing = 0;
   /** A record of a version that this program does not know: nothing is served on a guess. */
   isUnreadable = false;
 
-  constructor(
-    io: ControllerIo,
-    settings: Settings,
-    jobs: JobTable,
-    machines: MachineTable,
-    catalogue: MachineTypeCatalog,
-    progress: ArrayProgress,
-    roster: MachineRegistry,
-  ) {
-    this.progress = progress;
-    this.roster = roster;
+  constructor(dependencies: FailoverDependencies) {
+    const { io } = dependencies;
+    this.progress = dependencies.progress;
+    this.registry = dependencies.registry;
     this.io = io;
-    this.settings = settings;
-    this.jobs = jobs;
-    this.machines = machines;
-    this.catalogue = catalogue;
+    this.settings = dependencies.settings;
+    this.jobs = dependencies.jobs;
+    this.machines = dependencies.machines;
+    this.machineTypes = dependencies.machineTypes;
     this.takenAt = io.now;
   }
 
@@ -136,13 +139,13 @@
 
   /** Without any type, from the record or the cloud, nothing can be judged: asked again until there is one. */
   private afterTypes(): void {
-    if (this.catalogue.isLoaded) this.next('jobs');
+    if (this.machineTypes.isLoaded) this.next('jobs');
     else this.again();
   }
 
   private take(item: StoreItem): void {
     if (this.step === 'types')
-      return this.catalogue.restore(
+      return this.machineTypes.restore(
         item.key.slice(MACHINE_TYPE_PREFIX.length) as TypeName,
         (item.value as { v: MachineType }).v,
       );
@@ -151,7 +154,7 @@
     if ((item.value as { v?: unknown } | null)?.v !== SHARED_RECORD_VERSION) return this.refuse(item.key);
     if (this.step === 'bits') this.progress.restore(item, this.jobs.openJobs);
     else
-      this.roster.load(
+      this.registry.load(
         item,
         (id) => this.machines.byId.has(id),
         (m, page) => this.takeMachine(m, page),
@@ -166,7 +169,7 @@
 
   private takeMachine(r: RegisteredMachine, page: RegistryPage): Machine {
     // A type no longer offered still counts, as if it held everything, until the machine is settled.
-    const type = this.catalogue.types.get(r.type) ?? vanishedType(r.type);
+    const type = this.machineTypes.types.get(r.type) ?? vanishedType(r.type);
     // Whoever owned the share before stops answering in time for this (see docs/safety.md).
     const leaseEnds = addMs(this.takenAt, this.settings.workers.cancelS * 1000);
     const m = this.machines.addMachine(r.id, type, r.zone, r.spot, leaseEnds);
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -22,21 +22,35 @@
   lasting: boolean;
 }
 
+/** What {@link HeldResponses} depends on. */
+export interface HeldResponsesDependencies {
+  io: ControllerIo;
+  machines: MachineTable;
+  heartbeatS: number;
+  isCyclePending: () => boolean;
+  mayStart: () => boolean;
+  holdsLease: () => boolean;
+}
+
 export class HeldResponses {
   private readonly held = new Map<MachineId, Held>();
   private readonly holdMs: number;
+  private readonly io: ControllerIo;
+  private readonly machines: MachineTable;
+  private readonly isCyclePending: () => boolean;
+  private readonly mayStart: () => boolean;
+  private readonly holdsLease: () => boolean;
 
   /** `passPending`: whether a pass is due that may bind work; `current`: no other owner can exist. */
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly machines: MachineTable,
-    reportS: number,
-    private readonly passPending: () => boolean,
-    private readonly mayStart: () => boolean,
-    private readonly current: () => boolean,
-  ) {
+  constructor(dependencies: HeldResponsesDependencies) {
+    this.io = dependencies.io;
+    this.machines = dependencies.machines;
+    this.isCyclePending = dependencies.isCyclePending;
+    this.mayStart = dependencies.mayStart;
+    this.holdsLease = dependencies.holdsLease;
+    const { heartbeatS } = dependencies;
     // Workers give up after 4 s; and a change on the machine is told only once the last report is answered.
-    this.holdMs = Math.min(HOLD_MAX_MS, reportS * 1000);
+    this.holdMs = Math.min(HOLD_MAX_MS, heartbeatS * 1000);
   }
 
   has(m: Machine): boolean {
@@ -84,7 +98,7 @@
     if (this.io.now < h.until && (this.awaitsPass(h) || this.awaitsWork(h))) return;
     this.held.delete(m.id);
     this.machines.renewLease(m);
-    if (!this.current()) this.tellBeyond(m);
+    if (!this.holdsLease()) this.tellBeyond(m);
     h.answer({ kind: 'commands', fencingToken: this.machines.fencingToken, commands: h.commands });
   }
 
@@ -98,7 +112,7 @@
   private awaitsPass(h: Held): boolean {
     const waited = this.holdMs - (h.until - this.io.now);
     const hasRoom = h.m.indexPosition !== null && h.m.freeCpus > 0;
-    return h.fresh && this.passPending() && hasRoom && waited < WAIT_FOR_PASS_MS;
+    return h.fresh && this.isCyclePending() && hasRoom && waited < WAIT_FOR_PASS_MS;
   }
 
   /**
--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -70,6 +70,22 @@
 /** Read so many a tick and, as other inputs come, so many with each: the fleet's reports must not hold up the timer. */
 const EARLY_A_TICK = 30;
 const EARLY_A_STEP = 2;
+/** What {@link LeaderTerm} depends on. */
+export interface LeaderTermDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  options: SchedulerOptions;
+  fencingCondition: FencingCondition;
+  configuration: Configuration;
+  peerRevisions: () => readonly PeerConfigRevision[];
+  machineTypes: MachineTypeCatalog;
+  jobRecords: JobRecordReader;
+  /** The last owner before this one that had read all records. */
+  lastRecovery: RecoveryRecord | null;
+  holdsLease: () => boolean;
+  mayStart: () => boolean;
+  onSuperseded: () => void;
+}
 
 export class LeaderTerm {
   readonly jobs: JobTable;
@@ -86,140 +102,169 @@
   readonly userRequests: UserRequestHandler;
   readonly rollout: Rollout;
   private readonly aboveLimits: OverQuotaEviction;
-  private readonly shares: FairShare;
+  private readonly fairShare: FairShare;
   private readonly ordering: JobOrdering;
-  private readonly roster: MachineRegistry;
+  private readonly machineRegistry: MachineRegistry;
   private readonly progress: ArrayProgress;
-  private readonly fit: BinPackingScorer;
+  private readonly binPacking: BinPackingScorer;
   private nextFit: Instant = LONG_AGO;
-  private readonly held: HeldResponses;
-  private readonly early: PendingHeartbeats;
+  private readonly heldResponses: HeldResponses;
+  private readonly pendingHeartbeats: PendingHeartbeats;
   /** When machines were first answered, while the records are being read. */
   private readonly raised = new Map<MachineId, Instant>();
   private readonly unreadMs: number;
   private readonly estimates = new RuntimeEstimates();
   private readonly io: ControllerIo;
-  private readonly catalogue: MachineTypeCatalog;
+  private readonly machineTypes: MachineTypeCatalog;
   private readonly settings: Settings;
   private acceptedJobs: AcceptedJobsWatch | null = null;
-  private readonly current: () => boolean;
+  private readonly holdsLease: () => boolean;
   /** The revision of the configuration that was on record when the term began. */
   private readonly configuredAt: Revision;
+  private readonly options: SchedulerOptions;
+  private readonly configuration: Configuration;
+  private readonly lastRecovery: RecoveryRecord | null;
+  private readonly mayStart: () => boolean;
 
-  constructor(
-    io: ControllerIo,
-    settings: Settings,
-    private readonly options: SchedulerOptions,
-    termRecord: FencingCondition,
-    private readonly configuration: Configuration,
-    nodes: () => readonly PeerConfigRevision[],
-    catalogue: MachineTypeCatalog,
-    lookup: JobRecordReader,
-    /** The last owner before this one that had read all records. */
-    private readonly lastRead: RecoveryRecord | null,
-    current: () => boolean,
-    private readonly mayStart: () => boolean,
-    onLost: () => void,
-  ) {
-    this.current = current;
-    const term = termRecord.revision;
+  constructor(dependencies: LeaderTermDependencies) {
+    this.options = dependencies.options;
+    this.configuration = dependencies.configuration;
+    this.lastRecovery = dependencies.lastRecovery;
+    this.mayStart = dependencies.mayStart;
+    const {
+      io,
+      settings,
+      options,
+      fencingCondition,
+      configuration,
+      peerRevisions,
+      machineTypes,
+      jobRecords,
+      holdsLease,
+      mayStart,
+      onSuperseded,
+    } = dependencies;
+    this.holdsLease = holdsLease;
+    const term = fencingCondition.revision;
     this.configuredAt = configuration.newest;
-    this.early = new PendingHeartbeats(io, EARLY_MS);
+    this.pendingHeartbeats = new PendingHeartbeats(io, EARLY_MS);
     const { cancelS, leaseS } = settings.workers;
     this.unreadMs = (cancelS - 2 * leaseS * DRIFT) * 1000;
     this.io = io;
     this.settings = settings;
-    this.catalogue = catalogue;
-    this.writer = new FencedWriter(io, settings, termRecord, onLost);
+    this.machineTypes = machineTypes;
+    this.writer = new FencedWriter(io, settings, fencingCondition, onSuperseded);
     this.progress = new ArrayProgress(io, this.writer, settings.store, term);
-    this.roster = new MachineRegistry(io, this.writer, term);
+    this.machineRegistry = new MachineRegistry(io, this.writer, term);
     this.jobs = new JobTable(io, this.writer, this.progress);
-    const host = {
+    const listener = {
       requestCycle: () => this.scheduler.requestCycle(),
       onTaskStarted: () => {},
       onTaskCompleted: (e: TaskAssignment) => this.learn(e),
     };
     this.quota = new Quota(configuration.effective.teams);
-    const { jobs, quota, capacityIndex, roster } = this;
-    this.machines = new MachineTable(io, settings, jobs, roster, quota, capacityIndex, host, term);
-    this.held = new HeldResponses(
+    const { jobs, quota, capacityIndex, machineRegistry } = this;
+    this.machines = new MachineTable({
       io,
-      this.machines,
-      settings.workers.heartbeatS,
-      () => this.scheduler.hasPendingCycle,
+      settings,
+      jobs,
+      registry: machineRegistry,
+      quota,
+      capacityIndex,
+      listener,
+      term,
+    });
+    this.heldResponses = new HeldResponses({
+      io,
+      machines: this.machines,
+      heartbeatS: settings.workers.heartbeatS,
+      isCyclePending: () => this.scheduler.hasPendingCycle,
       mayStart,
-      current,
-    );
+      holdsLease,
+    });
     const ordering = new JobOrdering(configuration.effective.objectives, this.estimates);
     this.ordering = ordering;
-    this.autoscaler = new Autoscaler(
+    this.autoscaler = new Autoscaler({
       io,
       settings,
       jobs,
-      this.machines,
+      machines: this.machines,
       quota,
-      this.estimates,
+      estimates: this.estimates,
       ordering,
       term,
-      catalogue.types,
-    );
-    this.fit = new BinPackingScorer(
-      catalogue.types,
+      types: machineTypes.types,
+    });
+    this.binPacking = new BinPackingScorer(
+      machineTypes.types,
       (cls) => ordering.shortestWaitS(cls),
       (m) => this.answerInS(m),
     );
-    const shares = new FairShare(quota.usage);
-    this.shares = shares;
-    const ranking = new JobRanking(
+    const fairShare = new FairShare(quota.usage);
+    this.fairShare = fairShare;
+    const ranking = new JobRanking({
       io,
       jobs,
       quota,
       ordering,
-      this.estimates,
-      shares,
-      new MachineSets(capacityIndex, quota.usage, this.estimates, () => this.autoscaler.pendingCapacity),
-    );
+      estimates: this.estimates,
+      fairShare,
+      machineSets: new MachineSets(
+        capacityIndex,
+        quota.usage,
+        this.estimates,
+        () => this.autoscaler.pendingCapacity,
+      ),
+    });
     const preemption = new Preemption(
       io,
       settings.workers.heartbeatS,
-      () => this.failover.isComplete && this.current(),
+      () => this.failover.isComplete && this.holdsLease(),
     );
-    const reservations = new Reservations(
+    const reservations = new Reservations({
       io,
-      this.machines,
+      machines: this.machines,
       capacityIndex,
-      this.fit,
-      this.estimates,
+      binPacking: this.binPacking,
+      estimates: this.estimates,
       preemption,
-    );
-    this.scheduler = new Scheduler(
+    });
+    this.scheduler = new Scheduler({
       io,
       jobs,
-      this.machines,
+      machines: this.machines,
       capacityIndex,
       quota,
       ranking,
-      shares,
+      fairShare,
       options,
       term,
-      this.fit,
+      binPacking: this.binPacking,
       reservations,
       preemption,
-    );
-    this.failover = new Failover(io, settings, jobs, this.machines, catalogue, this.progress, roster);
+    });
+    this.failover = new Failover({
+      io,
+      settings,
+      jobs,
+      machines: this.machines,
+      machineTypes,
+      progress: this.progress,
+      registry: machineRegistry,
+    });
     this.dependencies = new Dependencies(io, settings, this.jobs, this.estimates);
-    this.userRequests = new UserRequestHandler(
+    this.userRequests = new UserRequestHandler({
       io,
       settings,
       jobs,
       quota,
-      this.writer,
-      catalogue,
-      lookup,
+      writer: this.writer,
+      machineTypes,
+      jobRecords,
       configuration,
-      this.dependencies,
-      () => this.failover.isLoaded,
-    );
+      dependencies: this.dependencies,
+      isLoaded: () => this.failover.isLoaded,
+    });
     this.jobs.listener = this.dependencies;
     this.failover.onJobsLoaded = () => this.dependencies.onJobsRestored();
     this.failover.onLoaded = () => {
@@ -239,8 +284,8 @@
     this.jobs.onEnded = (job) => this.unqueue(job);
     this.jobs.onCancellationFailed = () => this.scheduler.requestCycle();
     this.usageAccounting = new UsageAccounting(io, this.writer, term);
-    this.rollout = new Rollout(io, this.writer, term, configuration, nodes);
-    this.aboveLimits = new OverQuotaEviction(io, jobs, this.machines, quota, configuration);
+    this.rollout = new Rollout({ io, writer: this.writer, term, configuration, peerRevisions });
+    this.aboveLimits = new OverQuotaEviction({ io, jobs, machines: this.machines, quota, configuration });
     this.configure();
     this.jobs.onClosed = (job, status) => this.usageAccounting.onJobClosed(job, status);
   }
@@ -251,7 +296,7 @@
     const options = overlaid(this.options, dispatch, this.settings.workers.heartbeatS);
     this.quota.configure(teams);
     this.ordering.configure(objectives);
-    this.shares.configure(teams.values(), { team: options.teamFloor, class: options.classFloor });
+    this.fairShare.configure(teams.values(), { team: options.teamFloor, class: options.classFloor });
     this.autoscaler.spareCapacity.configure(objectives, teams.values());
     this.scheduler.configure(options);
   }
@@ -288,27 +333,32 @@
   }
 
   tick(mayCommand: boolean): void {
-    if (this.configured) this.failover.tick(this.current());
+    if (this.configured) this.failover.tick(this.holdsLease());
     this.writer.tick();
     this.dependencies.tick();
     // Any answer under the token renews a lease: past the bound these must not be answered either.
     if (!mayCommand) this.closeEarly();
     else this.readEarly(EARLY_A_TICK);
     if (!this.failover.isLoaded) return;
-    this.catalogue.persist(this.writer);
-    this.acceptedJobs ??= new AcceptedJobsWatch(this.io, this.jobs, this.failover.jobsReadAt, this.current);
+    this.machineTypes.persist(this.writer);
+    this.acceptedJobs ??= new AcceptedJobsWatch(
+      this.io,
+      this.jobs,
+      this.failover.jobsReadAt,
+      this.holdsLease,
+    );
     this.acceptedJobs.tick();
     this.jobs.tick();
     this.usageAccounting.tick(this.jobs.openJobs.values());
-    this.roster.tick();
-    this.machines.tick(this.current(), mayCommand);
-    this.autoscaler.tick(this.failover.isComplete && mayCommand, this.current());
-    this.rollout.tick(this.current());
+    this.machineRegistry.tick();
+    this.machines.tick(this.holdsLease(), mayCommand);
+    this.autoscaler.tick(this.failover.isComplete && mayCommand, this.holdsLease());
+    this.rollout.tick(this.holdsLease());
     this.aboveLimits.tick(this.failover.isComplete && mayCommand);
     if (!mayCommand) return this.close();
     if (this.io.now >= this.nextFit) {
       this.nextFit = addMs(this.io.now, FIT_MS);
-      this.fit.refresh(
+      this.binPacking.refresh(
         this.jobs.openJobs.values(),
         this.capacityIndex,
         (cls) => this.autoscaler.spareCapacity.expectedArrivals(cls, KEEP_FOR_MS),
@@ -318,14 +368,14 @@
       this.scheduler.requestCycle();
     }
     this.afterInput();
-    this.held.respondDue();
+    this.heldResponses.respondDue();
   }
 
   /** After any input: work that has come may start at once on a machine whose report is held. */
   afterInput(): void {
     if (!this.failover.isLoaded) return;
     this.readEarly(EARLY_A_STEP);
-    if (this.scheduler.runCycle()) this.held.onCycle();
+    if (this.scheduler.runCycle()) this.heldResponses.onCycle();
   }
 
   private learn(e: TaskAssignment): void {
@@ -355,7 +405,7 @@
       // them: answered unread, its machine would be heard a whole report period later.
       if (r.fencingToken !== fencingToken && this.mayRaise(r.machine, r.fencingToken))
         answer({ kind: 'commands', fencingToken, commands: [] });
-      else this.early.add(r, answer, by);
+      else this.pendingHeartbeats.add(r, answer, by);
       return;
     }
     const m = this.machines.byId.get(r.machine) ?? this.adopt(r);
@@ -369,9 +419,9 @@
       return answer({ kind: 'commands', fencingToken, commands: this.machines.commandsFor(m) });
     }
     // Only a newer report shows it: a late copy sent the worker away from the answer that was held for it.
-    this.held.release(m);
+    this.heldResponses.release(m);
     if (m.isReconciled) this.machines.register(m);
-    this.held.add(m, commands, answer, by);
+    this.heldResponses.add(m, commands, answer, by);
   }
 
   /**
@@ -416,11 +466,11 @@
   private readEarly(most: number): void {
     if (this.failover.isLoaded) {
       this.raised.clear();
-      for (const e of this.early.take(most))
+      for (const e of this.pendingHeartbeats.take(most))
         this.onHeartbeat(e.heartbeat, e.respond, addMs(e.until, LATE_MS));
     }
     const { fencingToken } = this.machines;
-    for (const e of this.early.takeOverdue())
+    for (const e of this.pendingHeartbeats.takeOverdue())
       e.respond(
         this.mayRaise(e.heartbeat.machine, e.heartbeat.fencingToken)
           ? { kind: 'commands', fencingToken, commands: [] }
@@ -454,27 +504,28 @@
   private mayRaise(id: MachineId, seen: FencingToken): boolean {
     const first = this.raised.get(id);
     if (first !== undefined) return this.io.now <= first + this.unreadMs - LATE_REPORT_MS;
-    if (this.unreadMs < 0 || this.lastRead === null || seen !== (this.lastRead.term as number)) return false;
+    if (this.unreadMs < 0 || this.lastRecovery === null || seen !== (this.lastRecovery.term as number))
+      return false;
     const leaseMs = this.settings.workers.leaseS * 1000 * DRIFT;
-    if (this.io.wallTime - this.lastRead.at <= leaseMs + WALLS_APART_MS) return false;
+    if (this.io.wallTime - this.lastRecovery.at <= leaseMs + WALLS_APART_MS) return false;
     this.raised.set(id, this.io.now);
     return true;
   }
 
   /** How long a start sent to the machine waits for its next report; none if one is held. */
   private answerInS(m: Machine): number {
-    if (this.held.has(m)) return 0;
+    if (this.heldResponses.has(m)) return 0;
     return Math.max(0, this.settings.workers.heartbeatS - (this.io.now - m.lastHeartbeat) / 1000);
   }
 
   /** The term is over: workers are sent on. */
   close(): void {
     this.closeEarly();
-    this.held.close();
+    this.heldResponses.close();
   }
 
   private closeEarly(): void {
-    for (const e of this.early.take()) e.respond({ kind: 'redirect', node: null });
+    for (const e of this.pendingHeartbeats.take()) e.respond({ kind: 'redirect', node: null });
   }
 
   /** A machine nobody expected: rented by an unanswered request, or by an earlier owner. */
--- a/src/core/leader/over-quota-eviction.ts
+++ b/src/core/leader/over-quota-eviction.ts
@@ -11,19 +11,32 @@
 
 const LOOK_MS = 500;
 const EPS = 1e-6;
+/** What {@link OverQuotaEviction} depends on. */
+export interface OverQuotaEvictionDependencies {
+  io: ControllerIo;
+  jobs: JobTable;
+  machines: MachineTable;
+  quota: Quota;
+  configuration: Configuration;
+}
 
 export class OverQuotaEviction {
   private nextLook = 0 as Instant;
   /** When tasks of a team that are above its limit, and were told to stop, are ended without saving. */
   private readonly endBy = new Map<TeamName, Instant>();
+  private readonly io: ControllerIo;
+  private readonly jobs: JobTable;
+  private readonly machines: MachineTable;
+  private readonly quota: Quota;
+  private readonly configuration: Configuration;
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly jobs: JobTable,
-    private readonly machines: MachineTable,
-    private readonly quota: Quota,
-    private readonly configuration: Configuration,
-  ) {}
+  constructor(dependencies: OverQuotaEvictionDependencies) {
+    this.io = dependencies.io;
+    this.jobs = dependencies.jobs;
+    this.machines = dependencies.machines;
+    this.quota = dependencies.quota;
+    this.configuration = dependencies.configuration;
+  }
 
   /** Another revision is applied: what is bound beyond a limit waits again. Work: the machines' queues, if any team is above. */
   onQuotaChanged(): void {
--- a/src/core/leader/user-request-handler.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -22,31 +22,54 @@
 const BACKLOG_SPARE = 1.5;
 /** Of the jobs that a waiting one awaits, so many are told. */
 const DEPENDENCIES_SHOWN = 20;
+/** What {@link UserRequestHandler} depends on. */
+export interface UserRequestHandlerDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  jobs: JobTable;
+  quota: Quota;
+  writer: FencedWriter;
+  machineTypes: MachineTypeCatalog;
+  jobRecords: JobRecordReader;
+  configuration: Configuration;
+  dependencies: Dependencies;
+  /** Whether all records have been read. */
+  isLoaded: () => boolean;
+}
 
 export class UserRequestHandler {
   private readonly throttle: TeamThrottle;
   private readonly maxBacklog: number;
+  private readonly io: ControllerIo;
+  private readonly settings: Settings;
+  private readonly jobs: JobTable;
+  private readonly quota: Quota;
+  private readonly writer: FencedWriter;
+  private readonly machineTypes: MachineTypeCatalog;
+  private readonly jobRecords: JobRecordReader;
+  private readonly configuration: Configuration;
+  private readonly dependencies: Dependencies;
+  private readonly isLoaded: () => boolean;
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly settings: Settings,
-    private readonly jobs: JobTable,
-    private readonly quota: Quota,
-    private readonly store: FencedWriter,
-    private readonly catalogue: MachineTypeCatalog,
-    private readonly lookup: JobRecordReader,
-    private readonly configuration: Configuration,
-    private readonly dependencies: Dependencies,
-    /** Whether all records have been read. */
-    private readonly loaded: () => boolean,
-  ) {
+  constructor(dependencies: UserRequestHandlerDependencies) {
+    this.io = dependencies.io;
+    this.settings = dependencies.settings;
+    this.jobs = dependencies.jobs;
+    this.quota = dependencies.quota;
+    this.writer = dependencies.writer;
+    this.machineTypes = dependencies.machineTypes;
+    this.jobRecords = dependencies.jobRecords;
+    this.configuration = dependencies.configuration;
+    this.dependencies = dependencies.dependencies;
+    this.isLoaded = dependencies.isLoaded;
+    const { io, settings } = dependencies;
     this.throttle = new TeamThrottle(io);
     this.maxBacklog = Math.ceil(settings.store.writesPerS * MAX_BACKLOG_S);
   }
 
   /** Seconds that it takes to write what waits to be written. */
   get backlogS(): number {
-    return this.store.backlog / this.settings.store.writesPerS;
+    return this.writer.backlog / this.settings.store.writesPerS;
   }
 
   submit(spec: JobSpec, answer: (a: UserResponse) => void): void {
@@ -57,13 +80,13 @@
     }
     const final = this.jobs.finalState(spec.id);
     if (final !== null) return answer({ kind: 'known', id: spec.id, status: final.status });
-    if (!this.loaded()) return answer(retryLater('the jobs on record are being read'));
-    if (this.store.unavailableSince !== null)
+    if (!this.isLoaded()) return answer(retryLater('the jobs on record are being read'));
+    if (this.writer.unavailableSince !== null)
       return answer(retryLater('the state service does not answer', 2));
     // A team that the settings do not name is refused below, and must not count among those that submissions are shared among.
     if (this.quota.team(spec.team) !== undefined) this.throttle.recordSubmission(spec.team);
     // Beyond the first bound those who ask for more than their part are sent back, beyond the second everybody.
-    const { backlog } = this.store;
+    const { backlog } = this.writer;
     if (
       backlog > this.maxBacklog * BACKLOG_SPARE ||
       (backlog > this.maxBacklog && this.throttle.isThrottled(spec.team))
@@ -72,14 +95,14 @@
       return answer(retryLater('too many submissions at once', jitteredRetryS(this.io, afterS), true));
     }
     if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, answer);
-    const reason = infeasibilityReason(spec, this.catalogue.types, this.configuration.effective.teams);
+    const reason = infeasibilityReason(spec, this.machineTypes.types, this.configuration.effective.teams);
     if (reason !== null) return this.refuse(spec, { kind: 'impossible', reason }, answer);
     const large = oversizeReason(spec, this.settings.store);
     if (large !== null) return this.refuse(spec, { kind: 'too-large', reason: large }, answer);
     if (spec.dependsOn === undefined) return this.jobs.accept(spec, answer);
     const known = (id: JobSpec['id']) =>
       this.jobs.openJobs.get(id)?.spec.kind ?? (this.jobs.finalState(id) === null ? null : 'over');
-    checkDependencies(spec, known, this.lookup, answer, () => this.acceptStill(spec, answer));
+    checkDependencies(spec, known, this.jobRecords, answer, () => this.acceptStill(spec, answer));
   }
 
   /** What the job awaits has been checked; another copy of the submission may have been faster. */
@@ -98,7 +121,7 @@
     refusal: Extract<UserResponse, { kind: 'impossible' | 'too-large' }>,
     answer: (a: UserResponse) => void,
   ): void {
-    this.lookup.readStatus(spec.id, (a) => {
+    this.jobRecords.readStatus(spec.id, (a) => {
       if (a.kind !== 'not-found') return answer(asSubmissionResponse(a));
       this.io.log('info', 'job refused', { job: spec.id, reason: refusal.reason });
       answer(refusal);
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -56,13 +56,13 @@
   private made = 0;
   private readonly room: number;
   private readonly io: ControllerIo;
-  private readonly store: FencedWriter;
+  private readonly writer: FencedWriter;
   private readonly term: Revision;
   onRegistered: (m: Machine) => void = () => {};
 
   constructor(io: ControllerIo, store: FencedWriter, term: Revision) {
     this.io = io;
-    this.store = store;
+    this.writer = store;
     this.term = term;
     this.room = store.maxValueBytes - OVERHEAD;
   }
@@ -73,7 +73,7 @@
     known: (id: MachineId) => boolean,
     found: (m: RegisteredMachine, page: RegistryPage) => Machine,
   ): void {
-    const p = new RegistryPage(new SharedRecord(this.store, item.key, item.revision));
+    const p = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
     this.pages.add(p);
     for (const line of (item.value as { m: Line[] }).m) {
       const [id, type, zone, spot] = line;
@@ -109,7 +109,7 @@
   }
 
   private begin(): void {
-    const gap = Math.min(GATHER_MAX_MS, GATHER_MS + this.store.backlog * GATHER_MS_PER_WRITE);
+    const gap = Math.min(GATHER_MAX_MS, GATHER_MS + this.writer.backlog * GATHER_MS_PER_WRITE);
     if (this.gathering.length === 0 || this.io.now - this.begunAt < gap) return;
     this.begunAt = this.io.now;
     const all = this.gathering.map((machine) => ({ line: lineOf(machine), machine }));
@@ -137,7 +137,7 @@
 
   private make(batch: Member[], priority: number, done: (ok: boolean, p: RegistryPage) => void): void {
     const p = new RegistryPage(
-      new SharedRecord(this.store, `${MACHINE_PREFIX}${this.term}.${++this.made}`, 0 as Revision),
+      new SharedRecord(this.writer, `${MACHINE_PREFIX}${this.term}.${++this.made}`, 0 as Revision),
     );
     for (const m of batch) p.members.set(m.machine.id, m);
     this.pages.add(p);
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -36,6 +36,18 @@
   requestCycle(): void;
 }
 
+/** What {@link MachineTable} depends on. */
+export interface MachineTableDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  jobs: JobTable;
+  registry: MachineRegistry;
+  quota: Quota;
+  capacityIndex: CapacityIndex;
+  listener: MachineTableListener;
+  term: Revision;
+}
+
 export class MachineTable {
   readonly byId = new Map<MachineId, Machine>();
   /** Machines given up for good; lists may still show them. */
@@ -43,11 +55,11 @@
   private readonly io: ControllerIo;
   private readonly settings: Settings;
   private readonly jobs: JobTable;
-  private readonly roster: MachineRegistry;
+  private readonly registry: MachineRegistry;
   private readonly quota: Quota;
-  private readonly rooms: CapacityIndex;
-  private readonly host: MachineTableListener;
-  private readonly lists: TaskReconciler;
+  private readonly capacityIndex: CapacityIndex;
+  private readonly listener: MachineTableListener;
+  private readonly reconciler: TaskReconciler;
   readonly fencingToken: FencingToken;
   /** No machine may be commanded at present; and when that was last over. */
   private stoodStill = false;
@@ -55,27 +67,19 @@
   /** So long after that all machines that are there have reported. */
   private readonly backMs: number;
 
-  constructor(
-    io: ControllerIo,
-    settings: Settings,
-    jobs: JobTable,
-    roster: MachineRegistry,
-    quota: Quota,
-    rooms: CapacityIndex,
-    host: MachineTableListener,
-    term: Revision,
-  ) {
+  constructor(dependencies: MachineTableDependencies) {
+    const { io, settings, jobs, registry, capacityIndex, listener, term } = dependencies;
     this.io = io;
     this.settings = settings;
     this.jobs = jobs;
-    this.roster = roster;
-    this.quota = quota;
-    this.rooms = rooms;
-    this.host = host;
-    this.lists = new TaskReconciler(io, jobs, rooms, this, host);
+    this.registry = registry;
+    this.quota = dependencies.quota;
+    this.capacityIndex = capacityIndex;
+    this.listener = listener;
+    this.reconciler = new TaskReconciler({ io, jobs, capacityIndex, assignments: this, listener });
     this.fencingToken = term as number as FencingToken;
     this.backMs = BACK_PERIODS * settings.workers.heartbeatS * 1000 + BACK_MORE_MS;
-    roster.onRegistered = (m) => this.onRecorded(m);
+    registry.onRegistered = (m) => this.onRecorded(m);
   }
 
   add(m: Machine): void {
@@ -89,18 +93,18 @@
       m.countsAsUncertain = doubt;
       this.quota.addUncertain(m.type, doubt ? 1 : -1);
     }
-    this.rooms.update(m);
+    this.capacityIndex.update(m);
   }
 
   /** Records a machine so that the next owner knows that it may hold tasks. */
   register(m: Machine): void {
-    this.roster.register(m);
+    this.registry.register(m);
   }
 
   private onRecorded(m: Machine): void {
-    if (this.byId.get(m.id) !== m) this.roster.unregister(m);
+    if (this.byId.get(m.id) !== m) this.registry.unregister(m);
     this.updateIndexes(m);
-    this.host.requestCycle();
+    this.listener.requestCycle();
   }
 
   /** The machine is on its way back to the cloud. */
@@ -128,14 +132,14 @@
     m.isOverdue = false;
     m.expectedBackBy = null;
     this.setNotice(m, r.preemptionNoticeS);
-    if (!m.isTaskListSettled || tasks !== m.lastTaskList) this.lists.reconcile(m, tasks, r.seq);
+    if (!m.isTaskListSettled || tasks !== m.lastTaskList) this.reconciler.reconcile(m, tasks, r.seq);
     if (!m.isEmpty) m.idleSince = this.io.now;
     m.lastTaskList = tasks;
     m.answeredProbe = probed;
     if (r.fencingToken === this.fencingToken && !m.isReconciled) {
       m.isReconciled = true;
       this.io.log('debug', 'machine heard', { machine: m.id, tasks: m.assignments.size });
-      this.host.requestCycle();
+      this.listener.requestCycle();
     }
     this.updateIndexes(m);
     return this.commandsFor(m);
@@ -168,7 +172,7 @@
     for (const x of m.exitedTasks.values()) x.isGone = true;
     m.exitedTasks.clear();
     this.dequeueAll(m);
-    this.host.requestCycle();
+    this.listener.requestCycle();
   }
 
   /** Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served. */
@@ -178,7 +182,7 @@
     m.queue.splice(at, 0, q);
     q.job.setPhase(q.index, TaskPhase.Queued);
     this.countQueued(m, q.job, 1);
-    this.rooms.update(m);
+    this.capacityIndex.update(m);
   }
 
   private countQueued(m: Machine, job: Job, by: 1 | -1): void {
@@ -211,7 +215,7 @@
   private unqueue(m: Machine, q: QueuedTask): void {
     this.countQueued(m, q.job, -1);
     q.job.setPhase(q.index, TaskPhase.Waiting);
-    this.rooms.update(m);
+    this.capacityIndex.update(m);
   }
 
   dequeue(m: Machine, q: QueuedTask): void {
@@ -240,7 +244,7 @@
     this.dequeueAll(m);
     this.updateIndexes(m);
     this.io.log('info', 'machine draining', { machine: m.id, why });
-    this.host.requestCycle();
+    this.listener.requestCycle();
   }
 
   assign(m: Machine, job: Job, index: number, attempt: Attempt, sentSeq: number): TaskAssignment {
@@ -265,7 +269,7 @@
     m.isTaskListSettled = false;
     m.assignments.set(assignmentKey(`${job.id}/${index}`, attempt), e);
     this.countUsed(m, job, 1);
-    this.rooms.update(m);
+    this.capacityIndex.update(m);
     return e;
   }
 
@@ -280,12 +284,12 @@
     job.removeAssignment(e, m.isReconciled);
     if (e.runningAt !== null) job.runningTasks--;
     this.countUsed(m, job, -1);
-    this.rooms.update(m);
+    this.capacityIndex.update(m);
     if (job.assignedTasks === 0) {
       job.gangAttempt = null;
       job.gangHasRun = false;
     }
-    this.host.requestCycle();
+    this.listener.requestCycle();
   }
 
   /** What the machine is to be told, as far as it follows from what is known of it; every one may be told again. */
@@ -344,8 +348,8 @@
     this.removeAllTasks(m);
     this.byId.delete(m.id);
     this.tombstones.set(m.id, this.io.now);
-    this.roster.unregister(m);
-    this.rooms.removeAllImages(m);
+    this.registry.unregister(m);
+    this.capacityIndex.removeAllImages(m);
     m.drainReason ??= why;
     this.updateIndexes(m);
   }
@@ -371,7 +375,7 @@
       m.expiredEpoch = m.agentEpoch;
       this.removeAllTasks(m);
       // Empty for certain: a later owner need not wait for it, and it is recorded anew if it comes back.
-      this.roster.unregister(m);
+      this.registry.unregister(m);
       if (elapsedMs(this.io.now, this.resumedAt) < this.backMs) this.awaitBack(m);
       else this.giveUp(m);
     }
@@ -400,7 +404,7 @@
   /** What is queued there could start only with its next report, which may never come: it goes where it can start now. */
   private quieten(m: Machine): void {
     m.isOverdue = true;
-    if (m.queue.length > 0) this.host.requestCycle();
+    if (m.queue.length > 0) this.listener.requestCycle();
     this.dequeueAll(m);
     this.updateIndexes(m);
   }
--- a/src/core/machines/task-reconciler.ts
+++ b/src/core/machines/task-reconciler.ts
@@ -33,14 +33,29 @@
   onTaskCompleted(e: TaskAssignment): void;
 }
 
+/** What {@link TaskReconciler} depends on. */
+export interface TaskReconcilerDependencies {
+  io: ControllerIo;
+  jobs: JobTable;
+  capacityIndex: CapacityIndex;
+  assignments: AssignmentTable;
+  listener: TaskListener;
+}
+
 export class TaskReconciler {
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly jobs: JobTable,
-    private readonly rooms: CapacityIndex,
-    private readonly machines: AssignmentTable,
-    private readonly host: TaskListener,
-  ) {}
+  private readonly io: ControllerIo;
+  private readonly jobs: JobTable;
+  private readonly capacityIndex: CapacityIndex;
+  private readonly assignments: AssignmentTable;
+  private readonly listener: TaskListener;
+
+  constructor(dependencies: TaskReconcilerDependencies) {
+    this.io = dependencies.io;
+    this.jobs = dependencies.jobs;
+    this.capacityIndex = dependencies.capacityIndex;
+    this.assignments = dependencies.assignments;
+    this.listener = dependencies.listener;
+  }
 
   /** Reads the list of the report with this number. */
   reconcile(m: Machine, tasks: readonly ListedTask[], seq: number): void {
@@ -56,7 +71,7 @@
       // Commands answer one report at a time, so a later report without the task shows it was not started, or is gone.
       if (e.seenSeq !== seq && e.sentSeq < seq) {
         this.io.log('info', 'task not on its machine', { machine: m.id, task: key, state: e.state });
-        this.machines.unassign(m, e);
+        this.assignments.unassign(m, e);
       }
     }
     for (const [key, x] of m.exitedTasks) {
@@ -78,7 +93,7 @@
         m.orphans.push({ task: t.task, attempt: t.attempt });
         return;
       }
-      e = this.machines.assign(m, job, index, t.attempt, -1);
+      e = this.assignments.assign(m, job, index, t.attempt, -1);
       if (job.spec.kind === 'gang') job.gangAttempt ??= t.attempt;
     }
     t.readBy = this;
@@ -90,7 +105,7 @@
       e.runningAt = this.io.now;
       e.job.runningTasks++;
       if (e.job.spec.kind === 'gang') e.job.gangHasRun = true;
-      this.host.onTaskStarted(e);
+      this.listener.onTaskStarted(e);
     }
     e.state = state;
   }
@@ -101,14 +116,14 @@
     m.lastImage = image;
     m.images.delete(image);
     m.images.set(image, imageGb);
-    this.rooms.addImage(m, image);
+    this.capacityIndex.addImage(m, image);
     let total = 0;
     for (const gb of m.images.values()) total += gb;
     for (const [name, gb] of m.images) {
       if (total <= m.type.cacheGb) break;
       total -= gb;
       m.images.delete(name);
-      this.rooms.removeImage(m, name);
+      this.capacityIndex.removeImage(m, name);
     }
   }
 
@@ -136,7 +151,7 @@
     m.exitedTasks.set(key, exit);
     if (job === undefined || index >= job.spec.tasks) return;
     this.judge(m, job, index, t, e);
-    if (e !== undefined) this.machines.unassign(m, e);
+    if (e !== undefined) this.assignments.unassign(m, e);
   }
 
   /** What an exit says about the task, its job and its machine. */
@@ -147,7 +162,7 @@
       job.failedOn.clear();
       m.consecutiveFailures = 0;
       m.failedJobs.clear();
-      if (e !== undefined) this.host.onTaskCompleted(e);
+      if (e !== undefined) this.listener.onTaskCompleted(e);
     } else if (t.exitReason === 'error') this.failed(m, job, index);
     else if (t.exitReason === 'no_room' || t.exitReason === 'busy' || t.exitReason === 'unknown')
       this.io.log('info', 'start refused', { machine: m.id, task: t.task, why: t.exitReason });
@@ -168,6 +183,6 @@
       failures: job.failures,
       waitMs: wait,
     });
-    if (!badJob && m.consecutiveFailures >= SICK_AFTER) this.machines.cordon(m, 'fails what it starts');
+    if (!badJob && m.consecutiveFailures >= SICK_AFTER) this.assignments.cordon(m, 'fails what it starts');
   }
 }
--- a/src/core/membership/leader-election.ts
+++ b/src/core/membership/leader-election.ts
@@ -50,7 +50,6 @@
 export interface LeaderElectionListener {
   onElected(term: Revision): void;
   onLeadershipLost(why: string): void;
-  onLeaderKnown(): void;
   /** Among the owner's writes, so conditional on its term; the revision, or null if it was not made as asked. */
   migrateLeaderKey(
     conditions: StoreCondition[],
@@ -61,6 +60,15 @@
   onConfigurationChanged(revision: Revision): void;
 }
 
+/** What {@link LeaderElection} depends on. */
+export interface LeaderElectionDependencies {
+  io: ControllerIo;
+  self: NodeId;
+  rank: number;
+  nodes: number;
+  listener: LeaderElectionListener;
+}
+
 export class LeaderElection {
   term: Revision | null = null;
   leader: LeaderRecord | null = null;
@@ -70,7 +78,7 @@
   confirmedAt: Instant = LONG_AGO;
   /** The last owner known to have read all records. */
   lastRecovery: RecoveryRecord | null = null;
-  private hold: StoreLeaseId | null = null;
+  private lease: StoreLeaseId | null = null;
   private busy = false;
   private nextExtend: Instant = LONG_AGO;
   private nextTry: Instant = LONG_AGO;
@@ -91,18 +99,18 @@
   private moving = false;
   private nextMove: Instant = LONG_AGO;
   private readonly io: ControllerIo;
-  private readonly me: NodeId;
+  private readonly self: NodeId;
   private readonly rank: number;
   private readonly nodes: number;
-  private readonly host: LeaderElectionListener;
+  private readonly listener: LeaderElectionListener;
 
   /** `rank`: how many of the `nodes` stand before this one in the list. */
-  constructor(io: ControllerIo, me: NodeId, rank: number, nodes: number, host: LeaderElectionListener) {
-    this.io = io;
-    this.me = me;
-    this.rank = rank;
-    this.nodes = nodes;
-    this.host = host;
+  constructor(dependencies: LeaderElectionDependencies) {
+    this.io = dependencies.io;
+    this.self = dependencies.self;
+    this.rank = dependencies.rank;
+    this.nodes = dependencies.nodes;
+    this.listener = dependencies.listener;
   }
 
   /** The key under which the share is owned. */
@@ -135,9 +143,8 @@
     if (this.leader !== null && revision <= this.leader.revision) return;
     this.leader = { node, revision };
     this.unownedSince = null;
-    if (this.term !== null && revision > this.term && node !== this.me)
+    if (this.term !== null && revision > this.term && node !== this.self)
       this.stepDown('another controller took over');
-    this.host.onLeaderKnown();
   }
 
   /** A machine has seen a token above this node's: somebody took over. */
@@ -224,14 +231,14 @@
     const news = items.find((i) => i.key === CONFIG_NOTIFICATION_KEY);
     if (news === undefined || news.revision <= this.configuration) return;
     this.configuration = news.revision;
-    this.host.onConfigurationChanged(news.revision);
+    this.listener.onConfigurationChanged(news.revision);
   }
 
   private see(item: StoreItem): void {
     const node = (item.value as { node?: NodeId }).node;
     if (node === undefined) return;
     this.unownedSince = null;
-    if (node !== this.me) this.observeLeader(node, item.revision);
+    if (node !== this.self) this.observeLeader(node, item.revision);
     // A key of this node's under another revision is an earlier process of it, or a request of that process that came
     // late: its hold runs out by itself.
     else if (item.revision !== this.term) this.endedAsOwner = true;
@@ -275,9 +282,9 @@
     const conditions = [{ key: CONFIG_NOTIFICATION_KEY, revision: this.configuration }];
     if (!this.moved) conditions.push({ key: LEADER_KEY, revision: none });
     if (this.configuration === 0)
-      return { conditions, puts: [{ key: LEADER_KEY, value: { node: this.me }, lease }] };
+      return { conditions, puts: [{ key: LEADER_KEY, value: { node: this.self }, lease }] };
     conditions.push({ key: CONFIGURED_LEADER_KEY, revision: none });
-    const puts: StorePut[] = [{ key: CONFIGURED_LEADER_KEY, value: { node: this.me }, lease }];
+    const puts: StorePut[] = [{ key: CONFIGURED_LEADER_KEY, value: { node: this.self }, lease }];
     if (!this.moved) puts.push({ key: LEADER_KEY, value: MOVED });
     return { conditions, puts };
   }
@@ -303,14 +310,14 @@
   private own(term: Revision, hold: StoreLeaseId, sentAt: Instant): void {
     this.busy = false;
     this.term = term;
-    this.hold = hold;
-    this.leader = { node: this.me, revision: term };
+    this.lease = hold;
+    this.leader = { node: this.self, revision: term };
     this.unownedSince = null;
     this.endedAsOwner = false;
     this.confirm(sentAt);
     this.nextExtend = LONG_AGO;
     this.io.log('info', 'term taken', { term });
-    this.host.onElected(term);
+    this.listener.onElected(term);
   }
 
   /**
@@ -319,23 +326,23 @@
    * for it: one under way at the same time would find its term over.
    */
   private moveIfNeeded(): void {
-    const { term, hold, io } = this;
-    if (this.moved || this.configuration === 0 || term === null || hold === null) return;
+    const { term, lease, io } = this;
+    if (this.moved || this.configuration === 0 || term === null || lease === null) return;
     if (this.moving || io.now < this.nextMove) return;
     this.moving = true;
     this.nextMove = addMs(io.now, RETRY_MS);
     const conditions = [{ key: CONFIGURED_LEADER_KEY, revision: 0 as Revision }];
     const puts: StorePut[] = [
-      { key: CONFIGURED_LEADER_KEY, value: { node: this.me }, lease: hold },
+      { key: CONFIGURED_LEADER_KEY, value: { node: this.self }, lease },
       { key: LEADER_KEY, value: MOVED },
     ];
-    this.host.migrateLeaderKey(conditions, puts, (revision) => {
+    this.listener.migrateLeaderKey(conditions, puts, (revision) => {
       if (this.term !== term) return;
       const { confirmedAt } = this;
       this.stepDown('the share has moved to the key for configured shares');
       if (revision === null) return;
       this.moved = true;
-      this.own(revision, hold, confirmedAt);
+      this.own(revision, lease, confirmedAt);
     });
   }
 
@@ -346,12 +353,12 @@
 
   private extend(): void {
     const { io } = this;
-    if (io.now < this.nextExtend || this.hold === null) return;
+    if (io.now < this.nextExtend || this.lease === null) return;
     const sentAt = io.now;
     this.nextExtend = addMs(sentAt, EXTEND_EVERY_MS);
     const term = this.term;
     io.store(
-      { kind: 'renew-lease', lease: this.hold },
+      { kind: 'renew-lease', lease: this.lease },
       StorePriority.lease,
       (r) => {
         if (this.term !== term) return;
@@ -367,12 +374,12 @@
     if (this.term === null) return;
     this.io.log('info', 'term lost', { term: this.term, why });
     this.term = null;
-    this.hold = null;
+    this.lease = null;
     this.leaseExpiresAt = LONG_AGO;
     this.moving = false;
-    if (this.leader?.node === this.me) this.leader = null;
+    if (this.leader?.node === this.self) this.leader = null;
     this.refresh();
-    this.host.onLeadershipLost(why);
+    this.listener.onLeadershipLost(why);
   }
 }
 
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -44,20 +44,39 @@
   slack: number;
 }
 
+/** What {@link JobRanking} depends on. */
+export interface JobRankingDependencies {
+  io: ControllerIo;
+  jobs: JobTable;
+  quota: Quota;
+  ordering: JobOrdering;
+  estimates: RuntimeEstimates;
+  fairShare: FairShare;
+  machineSets: MachineSets;
+}
+
 export class JobRanking {
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly jobs: JobTable,
-    private readonly quota: Quota,
-    private readonly ordering: JobOrdering,
-    private readonly estimates: RuntimeEstimates,
-    private readonly shares: FairShare,
-    private readonly machineSets: MachineSets,
-  ) {}
+  private readonly io: ControllerIo;
+  private readonly jobs: JobTable;
+  private readonly quota: Quota;
+  private readonly ordering: JobOrdering;
+  private readonly estimates: RuntimeEstimates;
+  private readonly fairShare: FairShare;
+  private readonly machineSets: MachineSets;
+
+  constructor(dependencies: JobRankingDependencies) {
+    this.io = dependencies.io;
+    this.jobs = dependencies.jobs;
+    this.quota = dependencies.quota;
+    this.ordering = dependencies.ordering;
+    this.estimates = dependencies.estimates;
+    this.fairShare = dependencies.fairShare;
+    this.machineSets = dependencies.machineSets;
+  }
 
   rank(): RankedJobs {
     this.machineSets.beginCycle();
-    this.shares.beginCycle();
+    this.fairShare.beginCycle();
     const { now, wallTime } = this.io;
     const rows: Row[] = [];
     for (const job of this.jobs.waitingJobs) {
@@ -86,7 +105,7 @@
     for (const [machineSet, here] of bySet) {
       if (here.reduce((n, r) => n + takesOf(r), 0) <= this.machineSets.free(machineSet)) continue;
       triages.set(machineSet, { supply: this.machineSets.supply(machineSet), taken: 0 });
-      this.shares.isShort(machineSet, here);
+      this.fairShare.isShort(machineSet, here);
       for (const r of here) out.machineSets.set(r.job, machineSet);
     }
     for (let from = 0; from < rows.length; ) {
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -32,6 +32,16 @@
   until: Instant;
 }
 
+/** What {@link Reservations} depends on. */
+export interface ReservationsDependencies {
+  io: ControllerIo;
+  machines: MachineTable;
+  capacityIndex: CapacityIndex;
+  binPacking: BinPackingScorer;
+  estimates: RuntimeEstimates;
+  preemption: Preemption;
+}
+
 export class Reservations {
   private readonly holds = new Map<Machine, Hold>();
   private readonly ofJob = new Map<Job, Set<Machine>>();
@@ -39,15 +49,21 @@
   private left = 0;
   /** How many machines were looked at, for the tests that bound the work. */
   machinesExamined = 0;
+  private readonly io: ControllerIo;
+  private readonly machines: MachineTable;
+  private readonly capacityIndex: CapacityIndex;
+  private readonly binPacking: BinPackingScorer;
+  private readonly estimates: RuntimeEstimates;
+  private readonly preemption: Preemption;
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly machines: MachineTable,
-    private readonly rooms: CapacityIndex,
-    private readonly fit: BinPackingScorer,
-    private readonly estimates: RuntimeEstimates,
-    private readonly preemption: Preemption,
-  ) {}
+  constructor(dependencies: ReservationsDependencies) {
+    this.io = dependencies.io;
+    this.machines = dependencies.machines;
+    this.capacityIndex = dependencies.capacityIndex;
+    this.binPacking = dependencies.binPacking;
+    this.estimates = dependencies.estimates;
+    this.preemption = dependencies.preemption;
+  }
 
   /** Whether the machine gathers room for another job. */
   isReservedAgainst(m: Machine, job: Job): boolean {
@@ -84,15 +100,16 @@
   reserve(job: Job, tasks: number, zone: ZoneName | null): void {
     if (this.io.now - job.readyAt < AFTER_MS || this.left <= 0) return;
     // Where room for smaller work comes and goes by itself, only a task that gives way helps.
-    const large = this.fit.valueOfClass(job.spec.class) >= LARGER * this.fit.leastValue;
-    if (!large && (this.preemption.remainingStops <= 0 || job.priority <= this.fit.leastPriority)) return;
+    const large = this.binPacking.valueOfClass(job.spec.class) >= LARGER * this.binPacking.leastValue;
+    if (!large && (this.preemption.remainingStops <= 0 || job.priority <= this.binPacking.leastPriority))
+      return;
     const missing = Math.min(tasks - (this.ofJob.get(job)?.size ?? 0), this.left);
     if (missing <= 0) return;
     const found: { m: Machine; pool: MachinePool; eta: number; stops: TaskAssignment[] }[] = [];
-    for (const pool of this.rooms.pools.values()) {
+    for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec) || (zone !== null && pool.zone !== zone)) continue;
       if (!isZoneAllowed(job, pool.zone, job.zones)) continue;
-      if (this.fit.wasteful(job, pool)) continue;
+      if (this.binPacking.wasteful(job, pool)) continue;
       sampleFrom(pool.usable, LOOK * missing, this.io.random, (m) => {
         this.machinesExamined++;
         if (this.holds.has(m) || job.failedOn.has(m.id)) return;
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -57,6 +57,22 @@
   job: Job;
 }
 
+/** What {@link Scheduler} depends on. */
+export interface SchedulerDependencies {
+  io: ControllerIo;
+  jobs: JobTable;
+  machines: MachineTable;
+  capacityIndex: CapacityIndex;
+  quota: Quota;
+  ranking: JobRanking;
+  fairShare: FairShare;
+  options: SchedulerOptions;
+  term: Revision;
+  binPacking: BinPackingScorer;
+  reservations: Reservations;
+  preemption: Preemption;
+}
+
 export class Scheduler {
   private attempts = 0;
   private dirty = true;
@@ -67,22 +83,34 @@
   /** How many machines were looked at, for the tests that bound the work. */
   machinesExamined = 0;
   private readonly gangs: GangScheduler;
+  private readonly io: ControllerIo;
+  private readonly jobs: JobTable;
+  private readonly machines: MachineTable;
+  private readonly capacityIndex: CapacityIndex;
+  private readonly quota: Quota;
+  private readonly ranking: JobRanking;
+  private readonly fairShare: FairShare;
+  private options: SchedulerOptions;
+  private readonly term: Revision;
+  private readonly binPacking: BinPackingScorer;
+  private readonly reservations: Reservations;
+  private readonly preemption: Preemption;
 
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly jobs: JobTable,
-    private readonly machines: MachineTable,
-    private readonly rooms: CapacityIndex,
-    private readonly quota: Quota,
-    private readonly ranking: JobRanking,
-    private readonly shares: FairShare,
-    private options: SchedulerOptions,
-    private readonly term: Revision,
-    private readonly fit: BinPackingScorer,
-    private readonly reservations: Reservations,
-    private readonly preemption: Preemption,
-  ) {
-    this.gangs = new GangScheduler(io, rooms, fit, reservations);
+  constructor(dependencies: SchedulerDependencies) {
+    this.io = dependencies.io;
+    this.jobs = dependencies.jobs;
+    this.machines = dependencies.machines;
+    this.capacityIndex = dependencies.capacityIndex;
+    this.quota = dependencies.quota;
+    this.ranking = dependencies.ranking;
+    this.fairShare = dependencies.fairShare;
+    this.options = dependencies.options;
+    this.term = dependencies.term;
+    this.binPacking = dependencies.binPacking;
+    this.reservations = dependencies.reservations;
+    this.preemption = dependencies.preemption;
+    const { io, capacityIndex, binPacking, reservations } = dependencies;
+    this.gangs = new GangScheduler(io, capacityIndex, binPacking, reservations);
   }
 
   /** Settings from now on. */
@@ -122,10 +150,10 @@
     for (const jobs of groups) {
       for (const job of jobs) {
         const machineSet = machineSets.get(job);
-        const owed = machineSet === undefined ? 0 : this.shares.owedTasks(job, machineSet);
+        const owed = machineSet === undefined ? 0 : this.fairShare.owedTasks(job, machineSet);
         if (left <= 0 || owed <= 0) continue;
         const n = this.place(job, Math.min(left, owed), hopeless, true);
-        this.shares.onPlaced(job, machineSet!, n);
+        this.fairShare.onPlaced(job, machineSet!, n);
         left -= n;
       }
       for (const job of jobs) {
@@ -184,7 +212,7 @@
     return (
       hasCapacityAhead(m, job) &&
       !this.reservations.isReservedAgainst(m, job) &&
-      Number.isFinite(this.fit.score(job, m))
+      Number.isFinite(this.binPacking.score(job, m))
     );
   }
 
@@ -197,10 +225,10 @@
       this.machinesExamined++;
       if (avoid?.has(m.id) || this.reservations.isReservedAgainst(m, job) || !hasCapacityAhead(m, job))
         return;
-      best.offer(m, this.fit.score(job, m));
+      best.offer(m, this.binPacking.score(job, m));
     };
     const pools: MachinePool[] = [];
-    for (const pool of this.rooms.pools.values()) {
+    for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec) || (rules && !isZoneAllowed(job, pool.zone, job.zones))) continue;
       pools.push(pool);
       for (const b of pool.buckets.values())
@@ -216,7 +244,7 @@
 
   /** Machines that need not fetch the image first are few among many and would seldom be sampled. */
   private lookAtImageHolders(job: Job, pools: MachinePool[], look: (m: Machine) => void): void {
-    const holders = this.rooms.machinesWithImage(job.spec.image);
+    const holders = this.capacityIndex.machinesWithImage(job.spec.image);
     if (holders === undefined) return;
     let left = LOOK_IMAGE;
     for (const m of holders) {
@@ -238,9 +266,9 @@
   private belowThreshold(job: Job, pools: MachinePool[], avoid: ReadonlySet<string> | null): Machine | null {
     const best = new Lowest();
     for (const pool of pools) {
-      if (this.fit.wasteful(job, pool)) continue;
-      const score = this.fit.typeScore(job, pool);
-      const urgent = job.priority > this.fit.leastPriority;
+      if (this.binPacking.wasteful(job, pool)) continue;
+      const score = this.binPacking.typeScore(job, pool);
+      const urgent = job.priority > this.binPacking.leastPriority;
       sampleFrom(pool.usable, urgent ? LOOK_URGENT : LOOK, this.io.random, (m) => {
         this.machinesExamined++;
         if (
@@ -292,7 +320,7 @@
     const kind = kindOf(job.spec);
     if (hopeless.some((h) => h.kind === kind && asksAsMuch(job, h.job))) return false;
     let found = false;
-    for (const pool of this.rooms.pools.values()) {
+    for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec)) continue;
       for (const b of pool.buckets.values())
         if (!found && b.cpusBelow > job.spec.cpus && b.gpusBelow > job.spec.gpus)
--- a/src/core/storage/shared-record.ts
+++ b/src/core/storage/shared-record.ts
@@ -8,21 +8,21 @@
 
 export class SharedRecord {
   isWriting = false;
-  private readonly store: FencedWriter;
+  private readonly writer: FencedWriter;
   constructor(
     store: FencedWriter,
     readonly key: string,
     public revision: Revision,
   ) {
-    this.store = store;
+    this.writer = store;
   }
 
   /** Writes the value, or drops the key for null; `done` tells whether this very value is on record. */
   write(value: Record<string, unknown> | null, priority: number, done: (ok: boolean) => void): void {
     const { key } = this;
     this.isWriting = true;
-    const writeId = value === null ? null : this.store.nextWriteId();
-    this.store.write({
+    const writeId = value === null ? null : this.writer.nextWriteId();
+    this.writer.write({
       conditions: [{ key, revision: this.revision }],
       puts: value === null ? [] : [{ key, value: { v: SHARED_RECORD_VERSION, ...value, w: writeId } }],
       deletes: value === null ? [key] : [],
--- a/src/core/teams/usage-accounting.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -65,10 +65,10 @@
 
   constructor(
     private readonly io: ControllerIo,
-    private readonly store: FencedWriter,
+    private readonly writer: FencedWriter,
     private readonly term: Revision,
   ) {
-    this.perPage = Math.max(1, Math.floor(store.maxValueBytes / LINE_MAX));
+    this.perPage = Math.max(1, Math.floor(writer.maxValueBytes / LINE_MAX));
     this.nextTell = addMs(io.now, TELL_EVERY_MS);
   }
 
@@ -121,7 +121,7 @@
   }
 
   private load(item: StoreItem): void {
-    const p = new AccountPage(new SharedRecord(this.store, item.key, item.revision));
+    const p = new AccountPage(new SharedRecord(this.writer, item.key, item.revision));
     this.pages.push(p);
     for (const [name, e] of Object.entries((item.value as { a?: Record<string, Ended> }).a ?? {})) {
       const here = this.of(name);
@@ -141,7 +141,7 @@
       let p = this.pages.find((x) => x.names.size < this.perPage);
       if (p === undefined) {
         const key = `${USAGE_PREFIX}${this.term}.${this.pages.length + 1}`;
-        p = new AccountPage(new SharedRecord(this.store, key, 0 as Revision));
+        p = new AccountPage(new SharedRecord(this.writer, key, 0 as Revision));
         this.pages.push(p);
       }
       this.settle(name, p);
