--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -45,7 +45,8 @@
 import { Scheduler, type SchedulerOptions } from '../scheduling/scheduler.ts';
 import { FencedWriter, type FencingCondition, WritePriority } from '../storage/fenced-writer.ts';
 import type { JobRecordReader } from '../storage/job-record-reader.ts';
-import { CONFIGURED_LEADER_KEY, LAST_RECOVERY_KEY, type RecoveryRecord } from '../storage/keys.ts';
+import { CONFIGURED_LEADER_KEY, LAST_RECOVERY_KEY } from '../storage/keys.ts';
+import { encodeRecoveryRecord, type RecoveryRecord } from '../storage/shard-records.ts';
 import { Quota } from '../teams/quota.ts';
 import { UsageAccounting } from '../teams/usage-accounting.ts';
 import { Failover } from './failover.ts';
@@ -484,7 +485,9 @@
     // The same value whichever copy is carried out, under this term only.
     this.writer.write({
       conditions: [],
-      puts: [{ key: LAST_RECOVERY_KEY, value: { term, at: this.io.wallTime, w: writeId } }],
+      puts: [
+        { key: LAST_RECOVERY_KEY, value: encodeRecoveryRecord({ term, at: this.io.wallTime }, writeId) },
+      ],
       deletes: [],
       verifyKey: LAST_RECOVERY_KEY,
       writeId,
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -414,7 +414,7 @@
     w.until(() => w.nodes.get(owner)!.leaderTerm?.failover.isComplete === true, 5),
     true,
   );
-  assert.equal(w.logs.filter((l) => l.includes('term taken')).length, 2);
+  assert.equal(w.logs.filter((l) => l.includes('leadership acquired')).length, 2);
 });
 
 test('an owner that loses its term while the share is to move can own it again', () => {
