--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -2,7 +2,7 @@
 // place in a bounded history, and how it is undone. Pure; src/cli carries the transactions out.
 import type { Revision } from '../../types/index.ts';
 import type { StoreCondition, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
-import { jsonBytes } from '../storage/fenced-writer.ts';
+import { jsonBytes } from '../storage/json-size.ts';
 import {
   CONFIG_HEAD_KEY,
   CONFIG_HISTORY_PREFIX,
--- a/src/core/storage/job-record.ts
+++ b/src/core/storage/job-record.ts
@@ -3,7 +3,7 @@
 // The short field names belong to the stored form alone; everything else works with the types of this module.
 import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
 import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
-import { jsonBytes } from './fenced-writer.ts';
+import { jsonBytes } from './json-size.ts';
 import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
 /** A job's specification as it is stored, and as controllers pass it to each other. */
