--- a/src/core/storage/job-record-reader.ts
+++ b/src/core/storage/job-record-reader.ts
@@ -1,245 +1,203 @@
-// Jobs this node does not hold: read from the state service, many names in one compare-only transaction.
+// Answers questions about jobs that this controller does not have in memory, from the store. Many questions at once are sorted
+// by one transaction that only compares; the records of those that exist are then read one by one.
 import type { JobId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreCondition, StoreReply, UserResponse } from '../base/model.ts';
 import { asSubmissionResponse, retryLater } from '../base/responses.ts';
 import { StorePriority } from '../base/store-request-budget.ts';
 import { TokenBucket } from '../base/token-bucket.ts';
-import {
-  decodeFinalState,
-  decodeJobRecord,
-  dependenciesInPart,
-  dependencyPartKeys,
-  type JobRecord,
-} from './job-record.ts';
+import { type DependencyStatus, readDependencyStatus } from './dependency-status.ts';
+import { JobReads } from './job-reads.ts';
 import { FINAL_STATE_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
-interface Waiting {
+interface StatusQuery {
   id: JobId;
-  answer: (a: UserResponse) => void;
+  respond: (response: UserResponse) => void;
 }
+
 const MAX_WAITING = 300;
-/** Part of the region's state requests that one node may use for look-ups. */
-const SHARE = 0.15;
-/** Jobs read for one question about a job that awaits others. */
-const MAX_DERIVED = 50;
+const MAX_CACHED_FINAL_STATES = 20_000;
+const MAX_BATCH = 40;
+const COMPARE_TIMEOUT_MS = 1200;
+/** Part of the store's request budget that one node may use for these reads. */
+const BUDGET_FRACTION = 0.15;
 
+/** Reads the status of jobs from the store, and remembers final states. */
 export class JobRecordReader {
-  private waiting: Waiting[] = [];
-  private busy = false;
-  private readonly ended = new Map<JobId, 'done' | 'cancelled'>();
+  private waiting: StatusQuery[] = [];
+  private isComparing = false;
+  private readonly finalStates = new Map<JobId, 'done' | 'cancelled'>();
   private readonly budget: TokenBucket;
-  private readonly io: ControllerIo;
-  private readonly perBatch: number;
-
-  constructor(io: ControllerIo, settings: Settings) {
-    this.io = io;
-    this.perBatch = Math.max(1, Math.min(40, settings.store.maxTransactionOps * 2 - 2));
-    const rate = Math.max(1, settings.store.requestsPerS * SHARE);
+  private readonly batchSize: number;
+  private readonly reads: JobReads;
+
+  constructor(
+    private readonly io: ControllerIo,
+    settings: Settings,
+  ) {
+    const { maxTransactionOps, requestsPerS } = settings.store;
+    this.batchSize = Math.max(1, Math.min(MAX_BATCH, maxTransactionOps * 2 - 2));
+    const rate = Math.max(1, requestsPerS * BUDGET_FRACTION);
     this.budget = new TokenBucket(rate, rate);
+    this.reads = new JobReads(io);
   }
 
-  /** Questions that wait to be read. */
+  /** Number of questions that wait to be read. */
   get backlog(): number {
     return this.waiting.length;
   }
 
-  /** A final state is final: any node may answer it from memory. */
+  /** The remembered final state of a job; null if it has none or is not remembered. It never changes. */
   cachedFinalState(id: JobId): UserResponse | null {
-    const status = this.ended.get(id);
+    const status = this.finalStates.get(id);
     return status === undefined ? null : { kind: 'ended', id, status };
   }
 
-  cacheFinalState(a: UserResponse): void {
-    if (a.kind !== 'ended') return;
-    this.ended.set(a.id, a.status);
-    if (this.ended.size > 20_000) this.ended.delete(this.ended.keys().next().value as JobId);
+  /** Remembers the final state that a response tells, if any. */
+  cacheFinalState(response: UserResponse): void {
+    if (response.kind !== 'ended') return;
+    this.finalStates.set(response.id, response.status);
+    if (this.finalStates.size <= MAX_CACHED_FINAL_STATES) return;
+    const oldest = this.finalStates.keys().next().value as JobId;
+    this.finalStates.delete(oldest);
   }
 
-  readStatus(id: JobId, answer: (a: UserResponse) => void): void {
+  /** Answers what the status of a job is: `status`, `ended`, `not-found`, or `retry` when it cannot be read now. */
+  readStatus(id: JobId, respond: (response: UserResponse) => void): void {
     const known = this.cachedFinalState(id);
-    if (known !== null) return answer(known);
-    if (this.waiting.length >= MAX_WAITING) return answer(retryLater('too many questions at once', 2, true));
-    this.waiting.push({ id, answer });
-    this.pump();
+    if (known !== null) return respond(known);
+    if (this.waiting.length >= MAX_WAITING) return respond(retryLater('too many questions at once', 2, true));
+    this.waiting.push({ id, respond });
+    this.sendNext();
   }
 
+  /** Sends what waits for the budget. */
   tick(): void {
-    this.pump();
+    this.sendNext();
   }
 
-  private pump(): void {
-    if (this.busy || this.waiting.length === 0 || !this.budget.take(this.io.now)) return;
-    this.busy = true;
-    const batch = this.waiting.splice(0, this.perBatch);
-    const conditions = batch.flatMap((w) => neither(w.id));
-    this.io.store(
-      { kind: 'compare-and-swap', conditions, puts: [], deletes: [] },
-      StorePriority.query,
-      (r) => this.onCompared(batch, r),
-      1200,
-    );
+  /** Which of the jobs were ever accepted, as the store says; null when that cannot be known now. */
+  findExisting(ids: JobId[], onResult: (found: Map<JobId, 'open' | 'over'> | null) => void): void {
+    const found = new Map<JobId, 'open' | 'over'>();
+    const compareFrom = (start: number): void => {
+      const batch = ids.slice(start, start + this.batchSize);
+      if (batch.length === 0) return onResult(found);
+      if (!this.budget.take(this.io.now)) return onResult(null);
+      this.io.store(compareRequest(batch), StorePriority.query, (reply) => {
+        if (reply.kind !== 'committed' && reply.kind !== 'conflict') return onResult(null);
+        const existing = existingKeys(reply);
+        for (const id of batch) {
+          if (existing.has(FINAL_STATE_PREFIX + id)) found.set(id, 'over');
+          else if (existing.has(OPEN_JOB_PREFIX + id)) found.set(id, 'open');
+        }
+        compareFrom(start + batch.length);
+      });
+    };
+    compareFrom(0);
   }
 
-  private onCompared(batch: Waiting[], r: StoreReply): void {
-    this.busy = false;
-    const found = new Set(r.kind === 'conflict' ? r.failed : []);
-    for (const w of batch) {
-      if (r.kind === 'committed') w.answer({ kind: 'not-found' });
-      else if (r.kind !== 'conflict') w.answer(retryLater('the state service does not answer'));
-      else if (found.has(FINAL_STATE_PREFIX + w.id)) this.readFinal(w);
-      else if (found.has(OPEN_JOB_PREFIX + w.id)) this.readOpen(w);
-      else w.answer({ kind: 'not-found' });
-    }
-    this.pump();
+  /** The first service among open jobs, null if there is none, `unclear` when that cannot be known now. */
+  findFirstService(ids: JobId[], onResult: (id: JobId | 'unclear' | null) => void): void {
+    const [id, ...rest] = ids;
+    if (id === undefined) return onResult(null);
+    if (!this.budget.take(this.io.now)) return onResult('unclear');
+    this.reads.readOpenJob(id, (open) => {
+      if (open.kind === 'unavailable') return onResult('unclear');
+      if (open.kind === 'found' && open.record.spec.kind === 'service') return onResult(id);
+      // What is no longer open was no service, or was cancelled.
+      this.findFirstService(rest, onResult);
+    });
   }
 
-  private get(key: string, then: (r: StoreReply) => void): void {
-    this.io.store({ kind: 'get', key }, StorePriority.query, then);
+  /** Answers a submission of a job that is on record already. */
+  answerRepeatedSubmission(id: JobId, respond: (response: UserResponse) => void): void {
+    this.readStatus(id, (response) => {
+      const isGone = response.kind === 'not-found';
+      respond(isGone ? retryLater('the job is changing') : asSubmissionResponse(response));
+    });
   }
 
-  private readFinal(w: Waiting): void {
-    this.get(FINAL_STATE_PREFIX + w.id, (r) => {
-      if (r.kind !== 'item') return w.answer(retryLater('the state service does not answer'));
-      const a: UserResponse = {
-        kind: 'ended',
-        id: w.id,
-        status: decodeFinalState(r.item).status,
-      };
-      this.cacheFinalState(a);
-      w.answer(a);
-    });
+  private sendNext(): void {
+    if (this.isComparing || this.waiting.length === 0 || !this.budget.take(this.io.now)) return;
+    this.isComparing = true;
+    const batch = this.waiting.splice(0, this.batchSize);
+    this.io.store(
+      compareRequest(batch.map((query) => query.id)),
+      StorePriority.query,
+      (reply) => this.onCompared(batch, reply),
+      COMPARE_TIMEOUT_MS,
+    );
   }
 
-  private readOpen(w: Waiting): void {
-    this.get(OPEN_JOB_PREFIX + w.id, (r) => {
-      if (r.kind === 'item') {
-        const record = decodeJobRecord(r.item);
-        if (record.cancelled) w.answer({ kind: 'ended', id: w.id, status: 'cancelled' });
-        else this.awaitsOf(record, (awaits) => this.derive(w, awaits));
-      } else if (r.kind === 'missing') this.readFinal(w);
-      else w.answer(retryLater('the state service does not answer'));
-    });
+  private onCompared(batch: StatusQuery[], reply: StoreReply): void {
+    this.isComparing = false;
+    const existing = existingKeys(reply);
+    for (const query of batch) {
+      if (reply.kind !== 'committed' && reply.kind !== 'conflict') query.respond(storeUnavailable());
+      else if (existing.has(FINAL_STATE_PREFIX + query.id)) this.answerFromFinalState(query);
+      else if (existing.has(OPEN_JOB_PREFIX + query.id)) this.answerFromOpenJob(query);
+      else query.respond({ kind: 'not-found' });
+    }
+    this.sendNext();
   }
 
-  /**
-   * A job that awaits others is cancelled when any of them is, through any number of others, though its own record
-   * does not say so. That none was cancelled when looked at, later than the job's own record, makes `queued` true.
-   */
-  private derive(w: Waiting, awaits: JobId[] | null): void {
-    if (awaits === null) return w.answer(retryLater('the state service does not answer'));
-    const seen = new Set(awaits);
-    const todo = [...seen];
-    let reads = 0;
-    const next = (): void => {
-      const id = todo.pop();
-      if (id === undefined)
-        return w.answer({ kind: 'status', id: w.id, status: 'queued', done: 0, running: 0 });
-      if (++reads > MAX_DERIVED || !this.budget.take(this.io.now))
-        return w.answer(retryLater('the jobs that it awaits are being read', 2));
-      this.readDependency(id, (n) => {
-        if (n === null) return w.answer(retryLater('the state service does not answer'));
-        if (n === 'cancelled') return this.cancelled(w);
-        for (const a of n === 'done' ? [] : n)
-          if (!seen.has(a)) {
-            seen.add(a);
-            todo.push(a);
-          }
-        next();
-      });
-    };
-    next();
-  }
-
-  /** All that a job awaits, with the further values of its record; null when they cannot be read. */
-  private awaitsOf(record: JobRecord, then: (awaits: JobId[] | null) => void): void {
-    const all = [...(record.spec.dependsOn ?? [])];
-    const keys = dependencyPartKeys(record.spec.id, record.dependencyParts);
-    const next = (): void => {
-      const key = keys.shift();
-      if (key === undefined) return then(all);
-      this.get(key, (r) => {
-        if (r.kind !== 'item') return then(null);
-        all.push(...dependenciesInPart(r.item));
-        next();
-      });
-    };
-    next();
-  }
-
-  private cancelled(w: Waiting): void {
-    const a: UserResponse = { kind: 'ended', id: w.id, status: 'cancelled' };
-    this.cacheFinalState(a);
-    w.answer(a);
-  }
-
-  /** Done, cancelled, or what it awaits in turn; the final record first, so that none is missed between the two. */
-  private readDependency(
-    id: JobId,
-    then: (n: 'done' | 'cancelled' | JobId[] | null) => void,
-    again = true,
-  ): void {
-    this.get(FINAL_STATE_PREFIX + id, (f) => {
-      if (f.kind === 'item') return then(decodeFinalState(f.item).status);
-      if (f.kind !== 'missing') return then(null);
-      this.get(OPEN_JOB_PREFIX + id, (o) => {
-        if (o.kind === 'item') {
-          const record = decodeJobRecord(o.item);
-          if (record.cancelled) then('cancelled');
-          else this.awaitsOf(record, then);
-        } else if (o.kind === 'missing' && again) this.readDependency(id, then, false);
-        else then(null);
-      });
+  private answerFromFinalState(query: StatusQuery): void {
+    this.reads.readFinalState(query.id, (final) => {
+      if (final.kind === 'found') this.respondEnded(query, final.record.status);
+      else query.respond(storeUnavailable());
     });
   }
 
-  /** Which of the jobs were ever accepted, as the state service says; null when that cannot be known now. */
-  findExisting(ids: JobId[], then: (found: Map<JobId, 'open' | 'over'> | null) => void): void {
-    const found = new Map<JobId, 'open' | 'over'>();
-    const compare = (from: number): void => {
-      const batch = ids.slice(from, from + this.perBatch);
-      if (batch.length === 0) return then(found);
-      if (!this.budget.take(this.io.now)) return then(null);
-      const op = {
-        kind: 'compare-and-swap' as const,
-        conditions: batch.flatMap(neither),
-        puts: [],
-        deletes: [],
-      };
-      this.io.store(op, StorePriority.query, (r) => {
-        if (r.kind !== 'committed' && r.kind !== 'conflict') return then(null);
-        const there = new Set(r.kind === 'conflict' ? r.failed : []);
-        for (const id of batch) {
-          if (there.has(FINAL_STATE_PREFIX + id)) found.set(id, 'over');
-          else if (there.has(OPEN_JOB_PREFIX + id)) found.set(id, 'open');
-        }
-        compare(from + batch.length);
-      });
-    };
-    compare(0);
+  private respondEnded(query: StatusQuery, status: 'done' | 'cancelled'): void {
+    const response: UserResponse = { kind: 'ended', id: query.id, status };
+    this.cacheFinalState(response);
+    query.respond(response);
   }
 
-  /** The first service among open jobs, null if there is none. */
-  findFirstService(ids: JobId[], then: (id: JobId | 'unclear' | null) => void): void {
-    const [id, ...rest] = ids;
-    if (id === undefined) return then(null);
-    if (!this.budget.take(this.io.now)) return then('unclear');
-    this.get(OPEN_JOB_PREFIX + id, (r) => {
-      // What is no longer open was no service, or was cancelled.
-      if (r.kind === 'item' && decodeJobRecord(r.item).spec.kind === 'service') then(id);
-      else if (r.kind === 'item' || r.kind === 'missing') this.findFirstService(rest, then);
-      else then('unclear');
+  private answerFromOpenJob(query: StatusQuery): void {
+    this.reads.readOpenJob(query.id, (open) => {
+      if (open.kind === 'missing') return this.answerFromFinalState(query);
+      if (open.kind === 'unavailable') return query.respond(storeUnavailable());
+      if (open.record.cancelled) return query.respond({ kind: 'ended', id: query.id, status: 'cancelled' });
+      this.reads.readDependencies(open.record, (dependsOn) => this.answerFromDependencies(query, dependsOn));
     });
   }
 
-  /** Answers a submission of a job that is on record already. */
-  answerRepeatedSubmission(id: JobId, answer: (a: UserResponse) => void): void {
-    this.readStatus(id, (a) => {
-      answer(a.kind === 'not-found' ? retryLater('the job is changing') : asSubmissionResponse(a));
-    });
+  private answerFromDependencies(query: StatusQuery, dependsOn: JobId[] | null): void {
+    if (dependsOn === null) return query.respond(storeUnavailable());
+    const takeRead = (): boolean => this.budget.take(this.io.now);
+    readDependencyStatus(this.reads, dependsOn, takeRead, (status) =>
+      this.respondByDependencies(query, status),
+    );
+  }
+
+  private respondByDependencies(query: StatusQuery, status: DependencyStatus): void {
+    switch (status) {
+      case 'queued':
+        return query.respond({ kind: 'status', id: query.id, status, done: 0, running: 0 });
+      case 'cancelled':
+        return this.respondEnded(query, status);
+      case 'unavailable':
+        return query.respond(storeUnavailable());
+      case 'limited':
+        return query.respond(retryLater('the jobs that it awaits are being read', 2));
+    }
   }
 }
 
+const storeUnavailable = (): UserResponse => retryLater('the state service does not answer');
+
+/** A transaction that changes nothing: it fails with the keys of those jobs that were ever accepted. */
+const compareRequest = (ids: JobId[]) => ({
+  kind: 'compare-and-swap' as const,
+  conditions: ids.flatMap(neverAccepted),
+  puts: [],
+  deletes: [],
+});
+
 /** True of a job that was never accepted. */
-const neither = (id: JobId): StoreCondition[] =>
+const neverAccepted = (id: JobId): StoreCondition[] =>
   [OPEN_JOB_PREFIX, FINAL_STATE_PREFIX].map((prefix) => ({ key: prefix + id, revision: 0 as Revision }));
+
+const existingKeys = (reply: StoreReply): Set<string> =>
+  new Set(reply.kind === 'conflict' ? reply.failed : []);
