--- a/src/core/storage/job-record.ts
+++ b/src/core/storage/job-record.ts
@@ -1,9 +1,9 @@
 // How jobs and their final states are stored. A job's record is one value, and further ones for a list of dependencies that is
-// longer than a value may be. All are written in one transaction and deleted in one, so whoever finds the first finds the rest.
-// The short field names belong to the stored form alone; everything else works with the types of this module.
+// longer than a value may be; all are written in one transaction and deleted in one, so whoever finds the first finds the rest.
+// The field names of the stored form belong to this module alone.
 import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
 import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
-import { jsonBytes } from './json-size.ts';
+import { jsonBytes, TRANSACTION_MAX_BYTES } from './json-size.ts';
 import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
 /** A job's specification as it is stored, and as controllers pass it to each other. */
@@ -32,7 +32,7 @@
   awaits?: JobId[];
 }
 
-/** The fields in the order in which every version writes them. */
+/** The stored form; its fields are in the order in which every version writes them. */
 export const encodeJobSpec = (spec: JobSpec): StoredJobSpec => ({
   id: spec.id,
   class: spec.class,
@@ -57,6 +57,7 @@
   ...(spec.dependsOn === undefined ? {} : { awaits: spec.dependsOn }),
 });
 
+/** The specification that a stored form stands for. */
 export const decodeJobSpec = (stored: StoredJobSpec): JobSpec => ({
   id: stored.id,
   class: stored.class,
@@ -81,10 +82,11 @@
   ...(stored.awaits === undefined ? {} : { dependsOn: stored.awaits }),
 });
 
-/** What is on record of a job that is not over. */
+/** What is on record of a job that has not ended. */
 export interface JobRecord {
   spec: JobSpec;
   acceptedAt: WallTime;
+  /** Its cancellation was confirmed; its tasks may still be stopping. */
   cancelled: boolean;
   /** Idempotency key of the write that made this value. */
   writeId: string;
@@ -100,6 +102,7 @@
   x?: number;
 }
 
+/** The value under the job's key. */
 export const encodeJobRecord = (record: JobRecord): StoredJobRecord => ({
   s: encodeJobSpec(record.spec),
   t: record.acceptedAt,
@@ -108,20 +111,22 @@
   ...(record.dependencyParts > 0 ? { x: record.dependencyParts } : {}),
 });
 
+/** The record that was read under a job's key; without the dependencies in its further values. */
 export function decodeJobRecord(item: StoreItem): JobRecord {
-  const { s, t, c, w, x } = item.value as StoredJobRecord;
+  const stored = item.value as StoredJobRecord;
   return {
-    spec: decodeJobSpec(s),
-    acceptedAt: t,
-    cancelled: c === 1,
-    writeId: w,
-    dependencyParts: x ?? 0,
+    spec: decodeJobSpec(stored.s),
+    acceptedAt: stored.t,
+    cancelled: stored.c === 1,
+    writeId: stored.w,
+    dependencyParts: stored.x ?? 0,
   };
 }
 
-/** What is on record of a job that is over. */
+/** What is on record of a job that has ended. */
 export interface FinalState {
   status: 'done' | 'cancelled';
+  /** Idempotency key of the write that made this value. */
   writeId: string;
   /** Null in records of versions before 0.2. */
   endedAt: WallTime | null;
@@ -133,25 +138,39 @@
   t?: WallTime;
 }
 
+/** The value under the job's key. */
 export const encodeFinalState = (final: FinalState): StoredFinalState => ({
   s: final.status,
   w: final.writeId,
   ...(final.endedAt === null ? {} : { t: final.endedAt }),
 });
 
+/** The final state that was read. */
 export function decodeFinalState(item: StoreItem): FinalState {
-  const { s, w, t } = item.value as StoredFinalState;
-  return { status: s, writeId: w, endedAt: t ?? null };
+  const stored = item.value as StoredFinalState;
+  return { status: stored.s, writeId: stored.w, endedAt: stored.t ?? null };
+}
+
+/** A part of a job's dependencies, in a further value. */
+interface StoredDependencyPart {
+  a: JobId[];
 }
 
+const encodeDependencyPart = (dependsOn: JobId[]): StoredDependencyPart => ({ a: dependsOn });
+
+/** The dependencies in one of the further values. */
+export const dependenciesInPart = (item: StoreItem): JobId[] => (item.value as StoredDependencyPart).a;
+
+/** The keys of the further values of a job that has so many. */
 export const dependencyPartKeys = (id: JobId, parts: number): string[] =>
-  Array.from({ length: parts }, (_, i) => `${DEPENDENCY_PART_PREFIX}${id}/${i + 1}`);
+  Array.from({ length: parts }, (_, index) => `${DEPENDENCY_PART_PREFIX}${id}/${index + 1}`);
 
 /** Bytes left free for the cancellation mark and the number of parts, which may be added later. */
 const RESERVED_BYTES = 32;
-/** A job that is over takes one change for each of its values, and two more. */
+/** What an id takes in a list beside itself: two quotes and a comma. */
+const ID_OVERHEAD_BYTES = 3;
+/** When a job has ended, one change is made for each of its values, and two more. */
 const OTHER_CHANGES = 2;
-const TRANSACTION_MAX_BYTES = 48 * 1024;
 
 /** What is to be stored for a new job; null when one transaction cannot hold it. */
 export function jobRecordPuts(record: JobRecord, limits: StoreLimits): StorePut[] | null {
@@ -159,16 +178,15 @@
   const key = OPEN_JOB_PREFIX + record.spec.id;
   const value = encodeJobRecord(record);
   if (jsonBytes(value) <= maxBytes) return [{ key, value }];
-  const parts = splitDependencies(value, maxBytes);
-  const [first, ...more] = parts;
+  const [first, ...more] = splitDependencies(value, maxBytes);
   // The first value names at least one, so that a reader who knows no parts sees a job that waits.
-  if (first === undefined || first.length === 0 || more.length + OTHER_CHANGES > limits.maxTransactionOps)
-    return null;
-  const head = { ...value, s: { ...value.s, awaits: first }, x: more.length };
-  const keys = dependencyPartKeys(record.spec.id, more.length);
+  if (first === undefined || first.length === 0) return null;
+  if (more.length + OTHER_CHANGES > limits.maxTransactionOps) return null;
+  const firstValue = { ...value, s: { ...value.s, awaits: first }, x: more.length };
+  const partKeys = dependencyPartKeys(record.spec.id, more.length);
   const puts: StorePut[] = [
-    { key, value: head },
-    ...more.map((ids, i) => ({ key: keys[i]!, value: { a: ids } })),
+    { key, value: firstValue },
+    ...more.map((ids, index) => ({ key: partKeys[index]!, value: encodeDependencyPart(ids) })),
   ];
   return jsonBytes(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
 }
@@ -177,21 +195,19 @@
 function splitDependencies(value: StoredJobRecord, maxBytes: number): JobId[][] {
   const { awaits = [], ...rest } = value.s;
   const parts: JobId[][] = [];
-  // Besides the list's own brackets, an id takes itself, two quotes and a comma.
+  const partMaxBytes = maxBytes - jsonBytes(encodeDependencyPart([]));
   let leftBytes = maxBytes - jsonBytes({ ...value, s: { ...rest, awaits: [] } });
   let part: JobId[] = [];
   for (const id of awaits) {
-    leftBytes -= id.length + 3;
+    const idBytes = id.length + ID_OVERHEAD_BYTES;
+    leftBytes -= idBytes;
     if (leftBytes < 0) {
       parts.push(part);
       part = [];
-      leftBytes = maxBytes - jsonBytes({ a: [] }) - id.length - 3;
+      leftBytes = partMaxBytes - idBytes;
     }
     part.push(id);
   }
   parts.push(part);
   return parts;
 }
-
-/** The dependencies in one of the further values. */
-export const dependenciesInPart = (item: StoreItem): JobId[] => (item.value as { a: JobId[] }).a;
--- a/src/core/storage/shared-record.ts
+++ b/src/core/storage/shared-record.ts
@@ -1,24 +1,32 @@
-// A record in the state service that many small facts share, rewritten whole when one of them has changed:
-// changes a second are scarce, and a value holds several kilobytes.
+// A record in the store that many small facts share, rewritten whole when one of them has changed: changes a second are scarce,
+// and a value holds several kilobytes.
 import type { Revision } from '../../types/index.ts';
 import type { FencedWriter } from './fenced-writer.ts';
 
-/** Layout of the values, read and written by versions from 0.1 on that may serve side by side; a record of another version is refused, see recovery.ts. */
+/**
+ * Layout of the values, read and written by all versions from 0.1 on that may serve side by side; a record of another layout is
+ * refused, see leader/failover.ts.
+ */
 export const SHARED_RECORD_VERSION = 1;
 
+/** One shared record; at most one write of it is under way at a time. */
 export class SharedRecord {
+  /** A write is under way. */
   isWriting = false;
-  private readonly writer: FencedWriter;
+
+  /** `revision`: that of the value on record, 0 if there is none. */
   constructor(
-    store: FencedWriter,
+    private readonly writer: FencedWriter,
     readonly key: string,
     public revision: Revision,
-  ) {
-    this.writer = store;
-  }
+  ) {}
 
-  /** Writes the value, or drops the key for null; `done` tells whether this very value is on record. */
-  write(value: Record<string, unknown> | null, priority: number, done: (ok: boolean) => void): void {
+  /** Writes the value, or deletes the key for null; `onResult` tells whether this very value is on record. */
+  write(
+    value: Record<string, unknown> | null,
+    priority: number,
+    onResult: (isOnRecord: boolean) => void,
+  ): void {
     const { key } = this;
     this.isWriting = true;
     const writeId = value === null ? null : this.writer.nextWriteId();
@@ -29,12 +37,12 @@
       verifyKey: key,
       writeId,
       priority,
-      onResult: (r) => {
+      onResult: (result) => {
         this.isWriting = false;
-        if (r.kind === 'ok') this.revision = value === null ? (0 as Revision) : r.revision;
-        // Rejected, or the term is lost: nothing has changed on record.
-        else if (r.kind === 'conflict') this.revision = r.item?.revision ?? (0 as Revision);
-        done(r.kind === 'ok');
+        if (result.kind === 'ok') this.revision = value === null ? (0 as Revision) : result.revision;
+        // When it is rejected, or the term is over, nothing has changed on record.
+        else if (result.kind === 'conflict') this.revision = result.item?.revision ?? (0 as Revision);
+        onResult(result.kind === 'ok');
       },
     });
   }
--- a/src/core/storage/write-batch.ts
+++ b/src/core/storage/write-batch.ts
@@ -1,9 +1,8 @@
 // Which of the waiting writes go into the next transaction, and in what order they wait.
 import type { StoreLimits } from '../base/model.ts';
 import type { FencedWrite } from './fenced-write.ts';
-import { jsonBytes } from './json-size.ts';
+import { jsonBytes, TRANSACTION_MAX_BYTES } from './json-size.ts';
 
-const TRANSACTION_MAX_BYTES = 48 * 1024;
 const MAX_CONDITIONS_PER_OP = 4;
 /** What a change or condition takes in a request beside its key and value. */
 const OVERHEAD_BYTES = 32;
