--- a/src/core/machines/capacity-index.ts
+++ b/src/core/machines/capacity-index.ts
@@ -1,149 +1,173 @@
-// Machines in order of their free room, so that a place is found without looking at every machine. Kept up to
-// date as entries change: the work for a change and for a choice does not grow with the number of machines.
+// Schedulable machines by free capacity, so that a place is found without a scan of all machines. Kept up to date as
+// assignments change: the work for a change or for a choice does not grow with the number of machines.
 import type { Random } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
 import { type CapacityBucket, type IndexPosition, type Machine, MachinePool } from './machine.ts';
 
-/** Room beyond this many CPUs or accelerators is told apart in steps that grow with it. */
-const FINE = 128;
+/** Up to this many free CPUs or accelerators every whole number has a level of its own. */
+const EXACT_LEVELS = 128;
+/** Beyond that, levels for each doubling of the free capacity. */
+const LEVELS_PER_DOUBLING = 8;
+/** Sums of fractions drift; capacity this little below a whole number counts as that number. */
+const ROUNDING_TOLERANCE = 1e-6;
+/** More than there are accelerator levels: keeps the keys of buckets apart. */
+const GPU_LEVELS = 4096;
 
-/** Machines on their way, by type. */
+/** Machines that are ordered or booting, by type. */
 export type PendingCapacity = ReadonlyMap<MachineType, number>;
 
+/** Index of schedulable machines by pool and free capacity, and of machines by the images in their caches. */
 export class CapacityIndex {
+  /** By machine type, zone and whether they are spot instances. */
   readonly pools = new Map<string, MachinePool>();
   private readonly byImage = new Map<string, Set<Machine>>();
 
-  /** Puts the machine where its free room belongs, or takes it out if it cannot be used. */
-  update(m: Machine): void {
-    const old = m.indexPosition;
-    if (!m.isSchedulable) {
-      if (old !== null) this.remove(m, old);
+  /** Moves the machine to where its free capacity belongs, or removes it if it is not schedulable. */
+  update(machine: Machine): void {
+    const position = machine.indexPosition;
+    if (!machine.isSchedulable) {
+      if (position !== null) this.remove(machine, position);
       return;
     }
-    const bucket = this.bucketOf(m);
-    if (old === null) {
-      const pool = this.poolOf(m);
-      const place: IndexPosition = {
-        pool,
-        bucket,
-        at: bucket.members.push(m) - 1,
-        usableAt: pool.usable.push(m) - 1,
-        free: [0, 0, 0],
-      };
-      m.indexPosition = place;
-      this.count(m, 1);
-      this.countFree(place, m.freeCpus, m.freeGpus, m.freeMemory);
+    const pool = this.poolOf(machine);
+    const bucket = bucketIn(pool, machine);
+    if (position === null) {
+      insert(machine, pool, bucket);
       return;
     }
-    this.countFree(old, m.freeCpus, m.freeGpus, m.freeMemory);
-    if (old.bucket === bucket) return;
-    this.leave(old);
-    old.bucket = bucket;
-    old.at = bucket.members.push(m) - 1;
+    countFree(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+    if (position.bucket === bucket) return;
+    leaveBucket(position);
+    position.bucket = bucket;
+    position.at = bucket.members.push(machine) - 1;
   }
 
-  private count(m: Machine, by: 1 | -1): void {
-    const { total } = m.indexPosition!.pool;
-    total[0] += m.type.cpus * by;
-    total[1] += m.type.gpus * by;
-    total[2] += m.type.memoryGb * by;
-  }
-
-  /** The machine has so much free now. */
-  private countFree({ pool, free }: IndexPosition, cpus: number, gpus: number, memoryGb: number): void {
-    pool.free[0] += cpus - free[0];
-    pool.free[1] += gpus - free[1];
-    pool.free[2] += memoryGb - free[2];
-    free[0] = cpus;
-    free[1] = gpus;
-    free[2] = memoryGb;
-  }
-
-  private remove(m: Machine, old: IndexPosition): void {
-    this.count(m, -1);
-    this.countFree(old, 0, 0, 0);
-    this.leave(old);
-    const last = old.pool.usable.pop()!;
-    if (last !== m) {
-      old.pool.usable[old.usableAt] = last;
-      last.indexPosition!.usableAt = old.usableAt;
+  private remove(machine: Machine, position: IndexPosition): void {
+    const { pool, usableAt } = position;
+    countTotal(pool, machine.type, -1);
+    countFree(position, 0, 0, 0);
+    leaveBucket(position);
+    const last = pool.usable.pop()!;
+    if (last !== machine) {
+      pool.usable[usableAt] = last;
+      last.indexPosition!.usableAt = usableAt;
     }
-    m.indexPosition = null;
-  }
-
-  private leave(old: IndexPosition): void {
-    const { members } = old.bucket;
-    const last = members.pop()!;
-    if (old.at === members.length) return;
-    members[old.at] = last;
-    last.indexPosition!.at = old.at;
+    machine.indexPosition = null;
   }
 
-  private poolOf(m: Machine): MachinePool {
-    const key = `${m.type.name}/${m.zone}/${m.spot ? 1 : 0}`;
+  private poolOf(machine: Machine): MachinePool {
+    const key = `${machine.type.name}/${machine.zone}/${machine.spot ? 1 : 0}`;
     let pool = this.pools.get(key);
     if (pool === undefined) {
-      pool = new MachinePool(m.type, m.zone, m.spot);
+      pool = new MachinePool(machine.type, machine.zone, machine.spot);
       this.pools.set(key, pool);
     }
     return pool;
   }
 
-  private bucketOf(m: Machine): CapacityBucket {
-    const pool = this.poolOf(m);
-    const cpus = step(m.freeCpus);
-    const gpus = step(m.freeGpus);
-    const key = cpus * 4096 + gpus;
-    let bucket = pool.buckets.get(key);
-    if (bucket === undefined) {
-      bucket = { cpusBelow: above(cpus), gpusBelow: above(gpus), members: [] };
-      pool.buckets.set(key, bucket);
+  /** The image is in the machine's cache. */
+  addImage(machine: Machine, image: string): void {
+    let machines = this.byImage.get(image);
+    if (machines === undefined) {
+      machines = new Set();
+      this.byImage.set(image, machines);
     }
-    return bucket;
+    machines.add(machine);
   }
 
-  // ---- images
-
-  addImage(m: Machine, image: string): void {
-    let set = this.byImage.get(image);
-    if (set === undefined) {
-      set = new Set();
-      this.byImage.set(image, set);
-    }
-    set.add(m);
-  }
-
-  removeImage(m: Machine, image: string): void {
-    const set = this.byImage.get(image);
-    if (set === undefined) return;
-    set.delete(m);
-    if (set.size === 0) this.byImage.delete(image);
+  /** The image has been evicted from the machine's cache. */
+  removeImage(machine: Machine, image: string): void {
+    const machines = this.byImage.get(image);
+    if (machines === undefined) return;
+    machines.delete(machine);
+    if (machines.size === 0) this.byImage.delete(image);
   }
 
-  removeAllImages(m: Machine): void {
-    for (const image of m.images.keys()) this.removeImage(m, image);
+  /** The machine is gone, and its cache with it. */
+  removeAllImages(machine: Machine): void {
+    for (const image of machine.images.keys()) this.removeImage(machine, image);
   }
 
+  /** Machines that have the image in their caches; undefined if there are none. */
   machinesWithImage(image: string): ReadonlySet<Machine> | undefined {
     return this.byImage.get(image);
   }
 }
 
-/** Up to n members, in a row from a random one on. */
-export function sampleFrom(members: Machine[], n: number, random: Random, each: (m: Machine) => void): void {
+/** Calls `each` for up to `limit` members, in a row from a random one on. */
+export function sampleFrom(
+  members: Machine[],
+  limit: number,
+  random: Random,
+  each: (machine: Machine) => void,
+): void {
   const size = members.length;
   if (size === 0) return;
   let at = random.below(size);
-  for (let i = Math.min(n, size); i > 0; i--) {
+  for (let remaining = Math.min(limit, size); remaining > 0; remaining--) {
     each(members[at]!);
     at = at + 1 === size ? 0 : at + 1;
   }
 }
 
-const step = (free: number): number => {
-  const whole = Math.max(0, Math.floor(free + 1e-6));
-  return whole < FINE ? whole : FINE + Math.floor(Math.log2(whole / FINE) * 8);
-};
-/** What everything in a step stays below. */
-const above = (s: number): number => (s < FINE ? s + 1 : FINE * 2 ** ((s - FINE + 1) / 8) + 1);
+function insert(machine: Machine, pool: MachinePool, bucket: CapacityBucket): void {
+  const position: IndexPosition = {
+    pool,
+    bucket,
+    at: bucket.members.push(machine) - 1,
+    usableAt: pool.usable.push(machine) - 1,
+    free: [0, 0, 0],
+  };
+  machine.indexPosition = position;
+  countTotal(pool, machine.type, 1);
+  countFree(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+}
+
+/** The last member takes the place of the one that leaves. */
+function leaveBucket(position: IndexPosition): void {
+  const { members } = position.bucket;
+  const last = members.pop()!;
+  if (position.at === members.length) return;
+  members[position.at] = last;
+  last.indexPosition!.at = position.at;
+}
+
+function countTotal({ total }: MachinePool, type: MachineType, by: 1 | -1): void {
+  total[0] += type.cpus * by;
+  total[1] += type.gpus * by;
+  total[2] += type.memoryGb * by;
+}
+
+/** Brings the pool's sum up to date with the machine's free capacity. */
+function countFree({ pool, free }: IndexPosition, cpus: number, gpus: number, memoryGb: number): void {
+  pool.free[0] += cpus - free[0];
+  pool.free[1] += gpus - free[1];
+  pool.free[2] += memoryGb - free[2];
+  free[0] = cpus;
+  free[1] = gpus;
+  free[2] = memoryGb;
+}
+
+function bucketIn(pool: MachinePool, machine: Machine): CapacityBucket {
+  const cpuLevel = levelOf(machine.freeCpus);
+  const gpuLevel = levelOf(machine.freeGpus);
+  const key = cpuLevel * GPU_LEVELS + gpuLevel;
+  let bucket = pool.buckets.get(key);
+  if (bucket === undefined) {
+    bucket = { cpusBelow: boundOf(cpuLevel), gpusBelow: boundOf(gpuLevel), members: [] };
+    pool.buckets.set(key, bucket);
+  }
+  return bucket;
+}
+
+function levelOf(free: number): number {
+  const whole = Math.max(0, Math.floor(free + ROUNDING_TOLERANCE));
+  if (whole < EXACT_LEVELS) return whole;
+  return EXACT_LEVELS + Math.floor(Math.log2(whole / EXACT_LEVELS) * LEVELS_PER_DOUBLING);
+}
+
+/** What every free capacity of the level stays below. */
+function boundOf(level: number): number {
+  if (level < EXACT_LEVELS) return level + 1;
+  return EXACT_LEVELS * 2 ** ((level - EXACT_LEVELS + 1) / LEVELS_PER_DOUBLING) + 1;
+}
--- /dev/null
+++ b/src/core/machines/heartbeat-processor.ts
@@ -0,0 +1,103 @@
+// Takes in heartbeats of machines: agent epochs, what the heartbeat says of the machine, reconciliation of its tasks.
+import { addMs, type FencingToken } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Heartbeat } from '../base/model.ts';
+import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
+import type { Machine } from './machine.ts';
+import type { CycleRequester, MachineAssignments } from './machine-assignments.ts';
+import { CordonReason, type MachineStateUpdater } from './machine-state-updater.ts';
+import type { TaskReconciler } from './task-reconciler.ts';
+
+/** What {@link HeartbeatProcessor} depends on. */
+export interface HeartbeatProcessorDependencies {
+  io: ControllerIo;
+  fencingToken: FencingToken;
+  assignments: MachineAssignments;
+  reconciler: TaskReconciler;
+  updater: MachineStateUpdater;
+  listener: CycleRequester;
+}
+
+/** Brings a machine's state up to date with its heartbeats. */
+export class HeartbeatProcessor {
+  private readonly io: ControllerIo;
+  private readonly fencingToken: FencingToken;
+  private readonly assignments: MachineAssignments;
+  private readonly reconciler: TaskReconciler;
+  private readonly updater: MachineStateUpdater;
+  private readonly listener: CycleRequester;
+
+  constructor(dependencies: HeartbeatProcessorDependencies) {
+    this.io = dependencies.io;
+    this.fencingToken = dependencies.fencingToken;
+    this.assignments = dependencies.assignments;
+    this.reconciler = dependencies.reconciler;
+    this.updater = dependencies.updater;
+    this.listener = dependencies.listener;
+  }
+
+  /** Takes a heartbeat in; false, and nothing is changed, if it is older than what is known. */
+  process(machine: Machine, heartbeat: Heartbeat, isProbeReply: boolean): boolean {
+    if (isStale(machine, heartbeat)) return false;
+    if (heartbeat.agentEpoch > machine.agentEpoch) this.beginEpoch(machine, heartbeat.agentEpoch);
+    const { lastTaskList } = machine;
+    const tasks =
+      lastTaskList === null ? heartbeat.tasks : diffTaskLists(lastTaskList, heartbeat.tasks).tasks;
+    this.recordHeartbeat(machine, heartbeat);
+    this.recordPreemptionNotice(machine, heartbeat.preemptionNoticeS);
+    if (!machine.isTaskListSettled || tasks !== lastTaskList)
+      this.reconciler.reconcile(machine, tasks, heartbeat.seq);
+    if (!machine.isEmpty) machine.idleSince = this.io.now;
+    machine.lastTaskList = tasks;
+    machine.answeredProbe = isProbeReply;
+    if (heartbeat.fencingToken === this.fencingToken && !machine.isReconciled) this.onReconciled(machine);
+    this.updater.updateIndexes(machine);
+    return true;
+  }
+
+  /** An epoch begins with nothing on the machine, and no command of an earlier epoch is carried out. */
+  private beginEpoch(machine: Machine, agentEpoch: number): void {
+    if (machine.assignments.size > 0)
+      this.io.log('info', 'tasks lost: session ended', {
+        machine: machine.id,
+        tasks: machine.assignments.size,
+      });
+    this.assignments.removeAll(machine);
+    machine.agentEpoch = agentEpoch;
+    machine.lastTaskList = null;
+    machine.orphans = [];
+  }
+
+  private recordHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
+    machine.seq = heartbeat.seq;
+    machine.seenFencingToken = heartbeat.fencingToken;
+    machine.addr = heartbeat.addr;
+    machine.isUp = true;
+    machine.lastHeartbeat = this.io.now;
+    machine.isOverdue = false;
+    machine.expectedBackBy = null;
+  }
+
+  private recordPreemptionNotice(machine: Machine, noticeS: number | null): void {
+    if (noticeS === null) return;
+    if (machine.preemptedAt === null) {
+      this.io.log('info', 'spot notice', { machine: machine.id, noticeS });
+      this.updater.cordon(machine, CordonReason.preemptionNotice);
+    }
+    machine.preemptedAt = addMs(this.io.now, noticeS * 1000);
+  }
+
+  private onReconciled(machine: Machine): void {
+    machine.isReconciled = true;
+    this.io.log('debug', 'machine reconciled', { machine: machine.id, tasks: machine.assignments.size });
+    this.listener.requestCycle();
+  }
+}
+
+function isStale(machine: Machine, heartbeat: Heartbeat): boolean {
+  const { agentEpoch, seq } = heartbeat;
+  if (agentEpoch < machine.agentEpoch) return true;
+  if (agentEpoch === machine.agentEpoch && seq <= machine.seq) return true;
+  // Delayed by a network partition: of an epoch that is over for certain, it lists tasks that are long gone.
+  return agentEpoch <= machine.expiredEpoch;
+}
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,187 +1,197 @@
-// Machines on record, so that a later owner knows all that may hold tasks. Many machines share a page: at a
-// change each, a boot wave of a thousand would take half a minute before anything could start.
-import {
-  type Instant,
-  LONG_AGO,
-  type MachineId,
-  type Revision,
-  type TypeName,
-  type ZoneName,
-} from '../../types/index.ts';
+// Machines recorded in the store, so that the next leader knows all that tasks may be on. Many machines share a record:
+// at a write each, a boot wave of a thousand would take half a minute before anything could start.
+import { type Instant, LONG_AGO, type MachineId, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem } from '../base/model.ts';
 import { type FencedWriter, jsonBytes, WritePriority } from '../storage/fenced-writer.ts';
 import { SharedRecord } from '../storage/shared-record.ts';
 import type { Machine } from './machine.ts';
+import {
+  decodeMachineLine,
+  decodeMachineRecord,
+  encodeMachineLine,
+  encodeMachineRecord,
+  MACHINE_PREFIX,
+  type MachineRecordLine,
+  type MachineRecordValue,
+  type RegisteredMachine,
+} from './machine-record.ts';
+
+export { MACHINE_PREFIX, type RegisteredMachine } from './machine-record.ts';
 
-export const MACHINE_PREFIX = 'm/';
 /**
- * Pages are begun no more often than this; machines that come up meanwhile share the next. While much else waits to be
- * written, less often, as they go before it.
+ * New pages are begun no more often than this; machines that come up meanwhile share the next one. While much else
+ * waits to be written, less often, as they go before it.
  */
-const GATHER_MS = 200;
-const GATHER_MS_PER_WRITE = 10;
-const GATHER_MAX_MS = 700;
-/** Machines that are gone leave their page within this. */
-const TIDY_MS = 1000;
-/** A page's own part of the value. */
-const OVERHEAD = 128;
-
-type Line = [MachineId, TypeName, ZoneName, 0 | 1];
-
-export interface RegisteredMachine {
-  id: MachineId;
-  type: TypeName;
-  zone: ZoneName;
-  spot: boolean;
-}
+const BATCH_INTERVAL_MS = 200;
+const BATCH_INTERVAL_MS_PER_WRITE = 10;
+const BATCH_INTERVAL_MAX_MS = 700;
+/** Machines that are gone leave the stored record after this time. */
+const REWRITE_DELAY_MS = 1000;
+/** Bytes of a stored value that are not lines of machines. */
+const RECORD_OVERHEAD_BYTES = 128;
 
 interface Member {
-  line: Line;
+  line: MachineRecordLine;
   machine: Machine;
 }
 
+/** One stored record with the machines that it lists. */
 export class RegistryPage {
   readonly members = new Map<MachineId, Member>();
+  /** Since when the stored record differs from `members`; null if it does not. */
   dirtySince: Instant | null = null;
-  /** A page that takes over a part of this one is being written. */
-  splitting = false;
-  constructor(readonly page: SharedRecord) {}
+  /** Another page that takes over some of the members is being written. */
+  isSplitting = false;
+
+  constructor(readonly record: SharedRecord) {}
+
+  /** Takes a machine off the page; the stored record follows. */
+  removeMember(id: MachineId, now: Instant): void {
+    this.members.delete(id);
+    this.dirtySince ??= now;
+  }
+
+  /** The value to be stored. */
+  encode(): MachineRecordValue {
+    return encodeMachineRecord([...this.members.values()].map((member) => member.line));
+  }
 }
 
+/** The pages of all machines that tasks may be on, of this term and of earlier ones. */
 export class MachineRegistry {
   private readonly pages = new Set<RegistryPage>();
-  private gathering: Machine[] = [];
-  private begunAt: Instant = LONG_AGO;
-  private made = 0;
-  private readonly room: number;
+  /** Machines that go onto the next new page. */
+  private pending: Machine[] = [];
+  private lastBatchAt: Instant = LONG_AGO;
+  /** Pages made in this term; numbers their keys. */
+  private pagesCreated = 0;
+  private readonly maxLineBytes: number;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly term: Revision;
-  onRegistered: (m: Machine) => void = () => {};
+  /** Called when a machine is on record. */
+  onRegistered: (machine: Machine) => void = () => {};
 
-  constructor(io: ControllerIo, store: FencedWriter, term: Revision) {
+  constructor(io: ControllerIo, writer: FencedWriter, term: Revision) {
     this.io = io;
-    this.writer = store;
+    this.writer = writer;
     this.term = term;
-    this.room = store.maxValueBytes - OVERHEAD;
+    this.maxLineBytes = writer.maxValueBytes - RECORD_OVERHEAD_BYTES;
   }
 
-  /** A page of an earlier term; tells its machines, but those already known from another page. */
+  /** Reads a page of an earlier term; `found` is called for its machines, except for those known from another page. */
   load(
     item: StoreItem,
-    known: (id: MachineId) => boolean,
-    found: (m: RegisteredMachine, page: RegistryPage) => Machine,
+    isKnown: (id: MachineId) => boolean,
+    found: (machine: RegisteredMachine, page: RegistryPage) => Machine,
   ): void {
-    const p = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
-    this.pages.add(p);
-    for (const line of (item.value as { m: Line[] }).m) {
-      const [id, type, zone, spot] = line;
-      if (known(id)) {
-        p.dirtySince = this.io.now;
-        continue;
-      }
-      p.members.set(id, { line, machine: found({ id, type, zone, spot: spot === 1 }, p) });
+    const page = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
+    this.pages.add(page);
+    for (const line of decodeMachineRecord(item.value)) {
+      const registered = decodeMachineLine(line);
+      if (isKnown(registered.id)) page.dirtySince = this.io.now;
+      else page.members.set(registered.id, { line, machine: found(registered, page) });
     }
   }
 
-  register(m: Machine): void {
-    if (m.registryPage !== null || m.isRegistering) return;
-    m.isRegistering = true;
-    this.gathering.push(m);
-    this.begin();
+  /** Puts the machine on record; `onRegistered` is called when it is there. */
+  register(machine: Machine): void {
+    if (machine.registryPage !== null || machine.isRegistering) return;
+    machine.isRegistering = true;
+    this.pending.push(machine);
+    this.writePending();
   }
 
-  /** The machine holds nothing for certain: a later owner need not ask for it. */
-  unregister(m: Machine): void {
-    const p = m.registryPage;
-    m.registryPage = null;
-    if (p === null) return;
-    p.members.delete(m.id);
-    p.dirtySince ??= this.io.now;
+  /** Nothing is on the machine for certain: the next leader need not ask for it. */
+  unregister(machine: Machine): void {
+    const page = machine.registryPage;
+    machine.registryPage = null;
+    page?.removeMember(machine.id, this.io.now);
   }
 
+  /** Writes what is due. */
   tick(): void {
-    this.begin();
-    for (const p of this.pages)
-      if (p.dirtySince !== null && !p.page.isWriting && this.io.now - p.dirtySince >= TIDY_MS)
-        this.rewrite(p);
+    this.writePending();
+    for (const page of this.pages) {
+      if (page.dirtySince === null || page.record.isWriting) continue;
+      if (this.io.now - page.dirtySince >= REWRITE_DELAY_MS) this.rewrite(page);
+    }
   }
 
-  private begin(): void {
-    const gap = Math.min(GATHER_MAX_MS, GATHER_MS + this.writer.backlog * GATHER_MS_PER_WRITE);
-    if (this.gathering.length === 0 || this.io.now - this.begunAt < gap) return;
-    this.begunAt = this.io.now;
-    const all = this.gathering.map((machine) => ({ line: lineOf(machine), machine }));
-    const batch = this.upToRoom(all);
-    this.gathering.splice(0, batch.length);
-    this.make(batch, WritePriority.machineRegistry, (ok, p) => {
+  private writePending(): void {
+    const interval = Math.min(
+      BATCH_INTERVAL_MAX_MS,
+      BATCH_INTERVAL_MS + this.writer.backlog * BATCH_INTERVAL_MS_PER_WRITE,
+    );
+    if (this.pending.length === 0 || this.io.now - this.lastBatchAt < interval) return;
+    this.lastBatchAt = this.io.now;
+    const members = this.pending.map((machine) => ({ line: encodeMachineLine(machine), machine }));
+    const batch = this.firstThatFit(members);
+    this.pending.splice(0, batch.length);
+    this.createPage(batch, WritePriority.machineRegistry, (written, page) => {
       for (const { machine } of batch) {
         machine.isRegistering = false;
-        if (!ok) continue;
-        machine.registryPage = p;
+        if (!written) continue;
+        machine.registryPage = page;
         this.onRegistered(machine);
       }
     });
   }
 
-  /** As many as one value holds, by what they take; at least one. */
-  private upToRoom(members: Member[]): Member[] {
+  /** As many of the members, from the first on, as one stored value holds; at least one. */
+  private firstThatFit(members: Member[]): Member[] {
     let bytes = 0;
-    const n = members.findIndex((m, i) => {
-      bytes += jsonBytes(m.line) + 1;
-      return i > 0 && bytes > this.room;
+    const end = members.findIndex((member, index) => {
+      bytes += jsonBytes(member.line) + 1;
+      return index > 0 && bytes > this.maxLineBytes;
     });
-    return n < 0 ? members : members.slice(0, n);
+    return end < 0 ? members : members.slice(0, end);
   }
 
-  private make(batch: Member[], priority: number, done: (ok: boolean, p: RegistryPage) => void): void {
-    const p = new RegistryPage(
-      new SharedRecord(this.writer, `${MACHINE_PREFIX}${this.term}.${++this.made}`, 0 as Revision),
-    );
-    for (const m of batch) p.members.set(m.machine.id, m);
-    this.pages.add(p);
-    p.page.write(recordOf(p), priority, (ok) => {
-      if (!ok) this.pages.delete(p);
-      done(ok, p);
+  private createPage(
+    batch: Member[],
+    priority: number,
+    onWritten: (written: boolean, page: RegistryPage) => void,
+  ): void {
+    const key = `${MACHINE_PREFIX}${this.term}.${++this.pagesCreated}`;
+    const page = new RegistryPage(new SharedRecord(this.writer, key, 0 as Revision));
+    for (const member of batch) page.members.set(member.machine.id, member);
+    this.pages.add(page);
+    page.record.write(page.encode(), priority, (written) => {
+      if (!written) this.pages.delete(page);
+      onWritten(written, page);
     });
   }
 
   /**
-   * A page of an earlier term may be larger than a value may be by now: a part of it is put on record elsewhere
-   * before it is written without that part, so that no machine is missing in between.
+   * A page of an earlier term may be larger than a value may be by now: what does not fit is recorded on a new page
+   * before this one is written without it, so that no machine is missing in between.
    */
-  private split(p: RegistryPage, keep: number): void {
-    p.splitting = true;
-    const rest = this.upToRoom([...p.members.values()].slice(keep));
-    this.make(rest, WritePriority.sharedRecord, (ok, heir) => {
-      p.splitting = false;
-      p.dirtySince = this.io.now;
-      if (!ok) return;
-      for (const { machine } of rest) {
-        // Emptied for certain meanwhile: it leaves the new page as it left the old one.
-        if (p.members.delete(machine.id)) machine.registryPage = heir;
-        else {
-          heir.members.delete(machine.id);
-          heir.dirtySince ??= this.io.now;
-        }
+  private split(page: RegistryPage, keep: number): void {
+    page.isSplitting = true;
+    const moved = this.firstThatFit([...page.members.values()].slice(keep));
+    this.createPage(moved, WritePriority.sharedRecord, (written, newPage) => {
+      page.isSplitting = false;
+      page.dirtySince = this.io.now;
+      if (!written) return;
+      for (const { machine } of moved) {
+        // Unregistered meanwhile, a machine leaves the new page as it left the old one.
+        if (page.members.delete(machine.id)) machine.registryPage = newPage;
+        else newPage.removeMember(machine.id, this.io.now);
       }
     });
   }
 
-  private rewrite(p: RegistryPage): void {
-    if (p.splitting) return;
-    const keep = this.upToRoom([...p.members.values()]).length;
-    if (keep < p.members.size) return this.split(p, keep);
-    p.dirtySince = null;
-    const empty = p.members.size === 0;
-    p.page.write(empty ? null : recordOf(p), WritePriority.sharedRecord, (ok) => {
-      if (!ok) p.dirtySince ??= this.io.now;
-      else if (empty && p.members.size === 0) this.pages.delete(p);
+  private rewrite(page: RegistryPage): void {
+    if (page.isSplitting) return;
+    const keep = this.firstThatFit([...page.members.values()]).length;
+    if (keep < page.members.size) return this.split(page, keep);
+    page.dirtySince = null;
+    const isEmpty = page.members.size === 0;
+    page.record.write(isEmpty ? null : page.encode(), WritePriority.sharedRecord, (written) => {
+      if (!written) page.dirtySince ??= this.io.now;
+      else if (isEmpty && page.members.size === 0) this.pages.delete(page);
     });
   }
 }
-
-const lineOf = (m: Machine): Line => [m.id, m.type.name, m.zone, m.spot ? 1 : 0];
-
-const recordOf = (p: RegistryPage): { m: Line[] } => ({ m: [...p.members.values()].map((m) => m.line) });
--- /dev/null
+++ b/src/core/machines/machine-tasks.ts
@@ -0,0 +1,35 @@
+// What a machine has to do with tasks: those queued for it, those that have exited on it, and those nobody knows.
+import type { Attempt, Instant, JobId } from '../../types/index.ts';
+import type { TaskStatus } from '../base/model.ts';
+import type { Job } from '../jobs/job.ts';
+
+/** A task bound to a machine's queue; it starts there as soon as there is free capacity. */
+export interface QueuedTask {
+  job: Job;
+  index: number;
+  attempt: Attempt;
+  /** When it joined the queue. */
+  since: Instant;
+}
+
+/** An exited task that its machine still lists, until the machine is told to forget it. */
+export interface ExitedTask {
+  task: TaskStatus['task'];
+  attempt: Attempt;
+  job: JobId;
+  index: number;
+  exitReason: string;
+  /** Sequence number of the last heartbeat that listed it. */
+  seenSeq: number;
+  /** The machine no longer lists it. */
+  isGone?: boolean;
+}
+
+/** A task that a machine lists although it belongs to no open job; it is stopped, and the machine forgets it. */
+export interface OrphanTask {
+  task: TaskStatus['task'];
+  attempt: Attempt;
+}
+
+/** Key of one attempt of a task in the maps of a machine. */
+export const assignmentKey = (task: string, attempt: number): string => `${task}@${attempt}`;
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,91 +1,87 @@
-// One machine: what is on it and queued for it, its room, and where the index of free room has it.
-import type { Attempt, Instant, JobId, MachineId, ZoneName } from '../../types/index.ts';
+// One machine: what is known of its agent, the tasks on it and queued for it, and its place in the capacity index. The
+// pools of that index are here too, as machines and pools refer to one another.
+import type { Instant, JobId, MachineId, ZoneName } from '../../types/index.ts';
 import type { Heartbeat, JobSpec, MachineType, TaskStatus } from '../base/model.ts';
 import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
-import type { Job, TaskAssignment } from '../jobs/job.ts';
+import type { TaskAssignment } from '../jobs/job.ts';
 import type { Resources } from '../teams/usage.ts';
+import { fitsCapacity, type MachineCapacity } from './capacity-checks.ts';
+import type { ExitedTask, OrphanTask, QueuedTask } from './machine-tasks.ts';
 
-const EPS = 1e-9;
+export { hasCapacityAhead, isZoneAllowed } from './capacity-checks.ts';
+export type { QueuedTask } from './machine-tasks.ts';
 
-/** The record that names the machine; see roster.ts. */
-export interface RecordPage {
-  readonly members: { delete(id: MachineId): boolean };
-  dirtySince: Instant | null;
+/** The stored record that lists the machine; see machine-registry.ts. */
+export interface MachineRecordPage {
+  /** Takes a machine off the page; the stored record follows. */
+  removeMember(id: MachineId, now: Instant): void;
 }
 
-/** An exited task that its machine still reports, until it is told to forget it. */
-export interface ExitedTask {
-  task: TaskStatus['task'];
-  attempt: Attempt;
-  job: JobId;
-  index: number;
-  exitReason: string;
-  seenSeq: number;
-  isGone?: boolean;
-}
-
-export interface QueuedTask {
-  job: Job;
-  index: number;
-  attempt: Attempt;
-  since: Instant;
-}
-
-/** Something a machine reports that belongs to no open job; it is stopped and forgotten. */
-export interface OrphanTask {
-  task: TaskStatus['task'];
-  attempt: Attempt;
-}
-
-export class Machine {
+/** A machine as the leader knows it. `MachineTable` and its parts change it; others only read it. */
+export class Machine implements MachineCapacity {
+  /** Where its agent answers probes; null before the first heartbeat. */
   addr: string | null = null;
+  /** The newest epoch of its agent; each begins with no task on the machine. */
   agentEpoch = 0;
-  /** The session whose lease has run out. */
+  /** The epoch whose lease has expired. */
   expiredEpoch = 0;
+  /** Sequence number of the last heartbeat of the epoch. */
   seq = -1;
-  /** The tasks of the report with this number, as it listed them. */
+  /** The tasks of that heartbeat, as it listed them. */
   lastTaskList: readonly TaskStatus[] | null = null;
-  /** That report came as the answer to a probe. */
+  /** That heartbeat was the reply to a probe. */
   answeredProbe = false;
   /** All that was listed is known, and nothing has come or gone since: the same list again says nothing new. */
   isTaskListSettled = false;
+  /** The fencing token that the agent last said it had seen. */
   seenFencingToken = 0;
-  /** This term's token has been seen by the machine and a report made after that has been read. */
+  /** The agent has seen this term's fencing token, and a heartbeat that it made after that has been processed. */
   isReconciled = false;
+  /** It has sent a heartbeat, or the cloud lists it as running. */
   isUp = false;
-  /** Written in the state service, so that a later owner knows to ask it. Nothing is started before. */
-  registryPage: RecordPage | null = null;
+  /** Set once it is recorded in the store, so that the next leader knows to ask it. Nothing is started before. */
+  registryPage: MachineRecordPage | null = null;
+  /** The write that records it is under way. */
   isRegistering = false;
+  /** It is being returned to the cloud. */
   isReleasing = false;
-  /** Its lease has run out while nobody was answered: by when it is taken to be gone, if it does not report before. */
+  /** Its lease expired while no agent could be answered: it is taken to be gone if it is silent until then. */
   expectedBackBy: Instant | null = null;
-  /** Not heard when it should have been: nothing can be started on it before it is. */
+  /** Its heartbeat is late: nothing can be started on it before the next one. */
   isOverdue = false;
+  /** Tasks on it, as far as is known or cannot be ruled out, by `assignmentKey`. */
   readonly assignments = new Map<string, TaskAssignment>();
   orphans: OrphanTask[] = [];
+  /** Tasks bound to it that have not started, in the order in which they will. */
   readonly queue: QueuedTask[] = [];
-  /** Exited tasks to be forgotten once recorded: key to job and index. */
+  /** Exited tasks that it is told to forget once their results are recorded, by `assignmentKey`. */
   readonly exitedTasks = new Map<string, ExitedTask>();
   lastHeartbeat: Instant;
-  /** When everything on it is gone for certain, unless it is answered again. */
+  /** When everything on it is gone for certain, unless a heartbeat of it is answered before. */
   leaseExpiresAt: Instant;
+  /** When the cloud takes it back, by its preemption notice. */
   preemptedAt: Instant | null = null;
+  /** Why it gets no more work; null while it may. */
   drainReason: string | null = null;
   idleSince: Instant;
+  /** Images in its cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** The image noted last: most reports say nothing new of it. */
+  /** The image that was used last: most heartbeats name no other. */
   lastImage: string | null = null;
   consecutiveFailures = 0;
+  /** Jobs whose tasks have failed on it since the last success. */
   readonly failedJobs = new Set<JobId>();
   usedCpus = 0;
   usedGpus = 0;
+  /** In GB. */
   usedMemory = 0;
   queuedCpus = 0;
   queuedGpus = 0;
+  /** In GB. */
   queuedMemory = 0;
-  /** Where the index of free room has it; null while it cannot be used. */
+  /** Its place in the capacity index; null while it is not schedulable. */
   indexPosition: IndexPosition | null = null;
-  /** Counted whole against every team's limit. */
+  /** Counted in full against every team's limit, as nobody knows what runs on it. */
   countsAsUncertain = false;
 
   constructor(
@@ -94,27 +90,28 @@
     readonly zone: ZoneName,
     readonly spot: boolean,
     readonly requestedAt: Instant,
-    leaseEnds: Instant,
+    leaseExpiresAt: Instant,
   ) {
     this.lastHeartbeat = requestedAt;
     this.idleSince = requestedAt;
-    this.leaseExpiresAt = leaseEnds;
+    this.leaseExpiresAt = leaseExpiresAt;
   }
 
   /**
-   * Whether a report that is not newer than the last that was read may be answered all the same: the very same one, come by
-   * another way, or one that the answer to a probe has overtaken. Any other is a late copy that nobody waits for, or of a
-   * worker that was started anew and counts from the beginning. Answered, that one's lease would be renewed while its tasks
-   * are taken to be running; and the node that passes it on would tell its next report as what has changed since it.
+   * Whether a heartbeat that is not newer than the last processed one may be answered all the same: the very same one
+   * that came by another path, or one that the reply to a probe has overtaken. Any other is a late copy that nobody
+   * waits for, or comes from an agent that was restarted and counts from the beginning. An answer would renew the lease
+   * of that agent while its tasks are taken to be running, and the node that forwards its heartbeats would send the
+   * next one as a delta to this one.
    */
-  mayRespondTo(r: Heartbeat): boolean {
-    if (r.agentEpoch !== this.agentEpoch) return false;
-    if (r.seq < this.seq) return this.answeredProbe;
-    return (
-      this.lastTaskList !== null && diffTaskLists(this.lastTaskList, r.tasks).tasks === this.lastTaskList
-    );
+  mayRespondTo(heartbeat: Heartbeat): boolean {
+    if (heartbeat.agentEpoch !== this.agentEpoch) return false;
+    if (heartbeat.seq < this.seq) return this.answeredProbe;
+    if (this.lastTaskList === null) return false;
+    return diffTaskLists(this.lastTaskList, heartbeat.tasks).tasks === this.lastTaskList;
   }
 
+  /** Whether tasks can be started on it. */
   get isSchedulable(): boolean {
     return (
       this.isReconciled &&
@@ -126,38 +123,46 @@
       this.orphans.length === 0
     );
   }
+
+  /** Nothing is on it or queued for it. */
   get isEmpty(): boolean {
     return this.assignments.size === 0 && this.queue.length === 0 && this.orphans.length === 0;
   }
-  /** Room after all that is on it and queued for it. */
+
+  /** CPUs left after all that is on it and queued for it. */
   get freeCpus(): number {
     return this.type.cpus - this.usedCpus - this.queuedCpus;
   }
+
+  /** Accelerators left after all that is on it and queued for it. */
   get freeGpus(): number {
     return this.type.gpus - this.usedGpus - this.queuedGpus;
   }
+
+  /** Memory in GB left after all that is on it and queued for it. */
   get freeMemory(): number {
     return this.type.memoryGb - this.usedMemory - this.queuedMemory;
   }
 }
 
-export const assignmentKey = (task: string, attempt: number): string => `${task}@${attempt}`;
-
-/** Machines of one pool whose free room is about the same. */
+/** Machines of one pool with about the same free capacity. */
 export interface CapacityBucket {
-  /** No member has more free than this. */
+  /** Every member has fewer free CPUs than this. */
   cpusBelow: number;
+  /** Every member has fewer free accelerators than this. */
   gpusBelow: number;
   members: Machine[];
 }
 
-/** Machines that are alike but for what is on them. */
+/** Machines of one type in one zone, either all spot or none: alike but for what is on them. */
 export class MachinePool {
   readonly buckets = new Map<number, CapacityBucket>();
+  /** Those that are schedulable. */
   readonly usable: Machine[] = [];
-  /** Of its usable machines: what they have, and what of it is free. */
+  /** Capacity of the schedulable machines, and what of it is free. */
   readonly total: Resources = [0, 0, 0];
   readonly free: Resources = [0, 0, 0];
+
   constructor(
     readonly type: MachineType,
     readonly zone: ZoneName,
@@ -170,47 +175,18 @@
     if (spec.machineTypes !== null && !spec.machineTypes.includes(type.name)) return false;
     if (spec.zone !== null && spec.zone !== this.zone) return false;
     if (this.spot && !spec.spot) return false;
-    return (
-      type.cpus + EPS >= spec.cpus && type.gpus + EPS >= spec.gpus && type.memoryGb + EPS >= spec.memoryGb
-    );
+    return fitsCapacity(spec, type.cpus, type.gpus, type.memoryGb);
   }
 }
 
-/** Where a machine stands in the index; kept by the machine itself so that leaving takes no search. */
+/** Where a machine stands in the capacity index; kept with the machine so that its removal takes no search. */
 export interface IndexPosition {
   pool: MachinePool;
   bucket: CapacityBucket;
+  /** Its index in the bucket's `members`. */
   at: number;
+  /** Its index in the pool's `usable`. */
   usableAt: number;
-  /** Its free room as the index has counted it. */
+  /** Its free capacity as counted in the pool's sum. */
   free: Resources;
 }
-
-export function hasFreeCapacity(m: Machine, job: Job): boolean {
-  const { spec } = job;
-  return (
-    m.type.cpus - m.usedCpus + EPS >= spec.cpus &&
-    m.type.gpus - m.usedGpus + EPS >= spec.gpus &&
-    m.type.memoryGb - m.usedMemory + EPS >= spec.memoryGb
-  );
-}
-
-export function isZoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
-  if (job.spec.oneZone) for (const z of used.keys()) if (z !== zone) return false;
-  return !job.spec.spread || (used.get(zone) ?? 0) < Math.ceil(job.spec.tasks / 2);
-}
-
-/** Room for the task after everything on the machine and what is queued ahead of it. */
-export function hasCapacityAhead(m: Machine, job: Job): boolean {
-  const { spec } = job;
-  let cpus = m.freeCpus;
-  let gpus = m.freeGpus;
-  let memory = m.freeMemory;
-  for (const q of m.queue) {
-    if (q.job.priority >= job.priority) continue;
-    cpus += q.job.spec.cpus;
-    gpus += q.job.spec.gpus;
-    memory += q.job.spec.memoryGb;
-  }
-  return cpus + EPS >= spec.cpus && gpus + EPS >= spec.gpus && memory + EPS >= spec.memoryGb;
-}
