--- a/src/core/heartbeats/connection-balancer.ts
+++ b/src/core/heartbeats/connection-balancer.ts
@@ -1,102 +1,121 @@
-// How many workers speak to which controller. They choose at random and move on when a node ends, so after a few ends
-// most of them are at one node, which then lacks processor and sockets. A node with many more than its part sends some
-// to the one with fewest, a few a second. The owner's part is small: it reads the reports of all workers anyway, and a
-// connection and its HTTP cost it several times as much as a report that another node passes on.
+// Balances the connections of agents over the controllers. Agents choose a node at random and move on when it ends, so
+// after a few ends most of them are at one node, which then lacks processor time and sockets. A node with many more than
+// the mean redirects some to the one with fewest, a few a second. The leader should have few: it processes the heartbeats
+// of all agents anyway, and a connection with its HTTP costs it several times as much as a forwarded heartbeat.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
-/** Workers count for as long as two reports should not both be missing. */
-const PERIODS = 2;
-const SWEEP_MS = 1000;
-/** What another node told is believed for this long: it tells every second, and a silent one may be frozen. */
-const TOLD_MS = 2500;
-/** More than this beyond the mean, and this many, is too many. */
-const SLACK = 1.25;
-const SLACK_MIN = 24;
-/** Part of a node's workers sent away in a second: each makes a new connection there. */
-const PART_A_S = 0.04;
-/** A new owner has as many as any other node, and needs its processor at once. */
-const OWNER_PART_A_S = 0.12;
-/** A worker at the owner counts as so many. */
-const OWNER_WEIGHT = 4;
-/** A worker that is back did not get through; it is left alone for this long. */
-const LEAVE_MS = 120_000;
+/** Agents are counted for this many heartbeat intervals after their last heartbeat. */
+const ACTIVE_INTERVALS = 2;
+const SWEEP_INTERVAL_MS = 1000;
+/** How long the weight of a peer is valid: it is sent every second, and a silent peer may be frozen. */
+const PEER_WEIGHT_TTL_MS = 2500;
+/** A node is overloaded when its weight exceeds the mean by this factor and by this much. */
+const OVERLOAD_FACTOR = 1.25;
+const OVERLOAD_MIN_EXCESS = 24;
+/** Part of a node's agents redirected in a second: each makes a new connection elsewhere. */
+const REDIRECTED_PART_PER_S = 0.04;
+/** A new leader has as many agents as any other node, and needs its processor at once. */
+const LEADER_REDIRECTED_PART_PER_S = 0.12;
+/** Weight of an agent that is connected to the leader; elsewhere 1. */
+const LEADER_AGENT_WEIGHT = 4;
+/** An agent that comes back after a redirect did not get through; it is not redirected again for this time. */
+const REDIRECT_PAUSE_MS = 120_000;
 
+interface PeerWeight {
+  weight: number;
+  validUntil: Instant;
+}
+
+/** Counts the agents of this node and decides which of them to redirect to other nodes. */
 export class ConnectionBalancer {
-  private readonly seen = new Map<MachineId, Instant>();
-  /** What other nodes told: their workers, weighed. */
-  private readonly sizes = new Map<NodeId, { weight: number; until: Instant }>();
-  private owner = false;
-  private readonly sentAway = new Map<MachineId, Instant>();
-  private nextSweep: Instant = LONG_AGO;
-  /** How many more may be sent away before the next sweep, and where to. */
-  private left = 0;
-  private to: NodeId | null = null;
+  private readonly lastHeartbeatAt = new Map<MachineId, Instant>();
+  private readonly peerWeights = new Map<NodeId, PeerWeight>();
+  private isLeader = false;
+  private readonly redirectedAt = new Map<MachineId, Instant>();
+  private nextSweepAt: Instant = LONG_AGO;
+  /** How many more agents may be redirected before the next sweep, and where to. */
+  private redirectsLeft = 0;
+  private redirectTarget: NodeId | null = null;
 
   constructor(
     private readonly io: ControllerIo,
-    private readonly reportS: number,
+    private readonly heartbeatS: number,
   ) {}
 
-  /** Workers that speak to this node. */
+  /** Number of agents that are connected to this node. */
   get workers(): number {
-    return this.seen.size;
+    return this.lastHeartbeatAt.size;
   }
 
-  setLeader(owner: boolean): void {
-    this.owner = owner;
+  /** Whether this node is the leader from now on. */
+  setLeader(isLeader: boolean): void {
+    this.isLeader = isLeader;
   }
 
-  /** What this node carries, as it is told to the others. */
+  /** The load of this node, as its peers are told. */
   get weight(): number {
-    return this.workers * (this.owner ? OWNER_WEIGHT : 1);
+    return this.workers * this.agentWeight;
+  }
+
+  private get agentWeight(): number {
+    return this.isLeader ? LEADER_AGENT_WEIGHT : 1;
   }
 
+  /** A peer has sent its weight. */
   recordPeerWeight(node: NodeId, weight: number): void {
-    this.sizes.set(node, { weight, until: addMs(this.io.now, TOLD_MS) });
+    this.peerWeights.set(node, { weight, validUntil: addMs(this.io.now, PEER_WEIGHT_TTL_MS) });
   }
 
-  /** Takes note of a report to this node; where its worker should go instead, or null if it may stay. */
+  /** Counts the agent of a heartbeat to this node; the node to redirect it to, or null if it may stay. */
   onHeartbeat(machine: MachineId): NodeId | null {
     const { now } = this.io;
-    this.seen.set(machine, now);
-    if (this.left <= 0 || this.to === null || this.sentAway.has(machine)) return null;
-    this.left--;
-    this.seen.delete(machine);
-    this.sentAway.set(machine, now);
-    return this.to;
+    this.lastHeartbeatAt.set(machine, now);
+    if (this.redirectsLeft <= 0 || this.redirectTarget === null || this.redirectedAt.has(machine))
+      return null;
+    this.redirectsLeft--;
+    this.lastHeartbeatAt.delete(machine);
+    this.redirectedAt.set(machine, now);
+    return this.redirectTarget;
   }
 
-  /** `reachable`: nodes that take workers and that this one is linked to. */
-  tick(reachable: (node: NodeId) => boolean): void {
+  /** `isReachable`: whether a node takes agents and this one is linked to it. */
+  tick(isReachable: (node: NodeId) => boolean): void {
     const { now } = this.io;
-    if (now < this.nextSweep) return;
-    this.nextSweep = addMs(now, SWEEP_MS);
-    const old = PERIODS * this.reportS * 1000;
-    for (const [m, at] of this.seen) if (elapsedMs(now, at) > old) this.seen.delete(m);
-    for (const [m, at] of this.sentAway) if (elapsedMs(now, at) > LEAVE_MS) this.sentAway.delete(m);
-    this.plan(reachable);
+    if (now < this.nextSweepAt) return;
+    this.nextSweepAt = addMs(now, SWEEP_INTERVAL_MS);
+    const activeMs = ACTIVE_INTERVALS * this.heartbeatS * 1000;
+    for (const [machine, at] of this.lastHeartbeatAt)
+      if (elapsedMs(now, at) > activeMs) this.lastHeartbeatAt.delete(machine);
+    for (const [machine, at] of this.redirectedAt)
+      if (elapsedMs(now, at) > REDIRECT_PAUSE_MS) this.redirectedAt.delete(machine);
+    this.planRedirects(isReachable);
   }
 
-  private plan(reachable: (node: NodeId) => boolean): void {
-    this.left = 0;
-    this.to = null;
-    const mine = this.weight;
-    let sum = mine;
+  private planRedirects(isReachable: (node: NodeId) => boolean): void {
+    this.redirectsLeft = 0;
+    this.redirectTarget = null;
+    const ownWeight = this.weight;
+    let totalWeight = ownWeight;
     let nodes = 1;
-    let least = Number.POSITIVE_INFINITY;
-    for (const [node, s] of this.sizes) {
-      if (this.io.now >= s.until || !reachable(node)) continue;
-      sum += s.weight;
+    let leastWeight = Number.POSITIVE_INFINITY;
+    for (const [node, peer] of this.peerWeights) {
+      if (this.io.now >= peer.validUntil || !isReachable(node)) continue;
+      totalWeight += peer.weight;
       nodes++;
-      if (s.weight >= least) continue;
-      least = s.weight;
-      this.to = node;
+      if (peer.weight >= leastWeight) continue;
+      leastWeight = peer.weight;
+      this.redirectTarget = node;
     }
-    const mean = sum / nodes;
-    if (this.to === null || mine <= Math.max(mean * SLACK, mean + SLACK_MIN)) return;
-    const each = this.owner ? OWNER_WEIGHT : 1;
-    const part = this.workers * (this.owner ? OWNER_PART_A_S : PART_A_S);
-    this.left = Math.ceil(Math.min((mine - mean) / each, mean - least, part));
+    const mean = totalWeight / nodes;
+    const overloadedAbove = Math.max(mean * OVERLOAD_FACTOR, mean + OVERLOAD_MIN_EXCESS);
+    if (this.redirectTarget === null || ownWeight <= overloadedAbove) return;
+    this.redirectsLeft = Math.ceil(
+      Math.min((ownWeight - mean) / this.agentWeight, mean - leastWeight, this.maxRedirectsPerSweep),
+    );
+  }
+
+  private get maxRedirectsPerSweep(): number {
+    return this.workers * (this.isLeader ? LEADER_REDIRECTED_PART_PER_S : REDIRECTED_PART_PER_S);
   }
 }
--- a/src/core/heartbeats/heartbeat-relay.ts
+++ b/src/core/heartbeats/heartbeat-relay.ts
@@ -1,76 +1,83 @@
-// Workers that cannot reach the owner: the node they come back to passes their reports on over the peer
-// link. An answer under the owner's token is accepted from any node, and dropped after 4 s like any other.
+// Agents that cannot reach the leader: the node that they come back to relays their heartbeats over its link to the
+// leader. Agents accept a response with the leader's fencing token from any node, and drop it after 4 s like any other.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat, HeartbeatResponse } from '../base/model.ts';
 import type { LeaderRecord } from '../membership/leader-election.ts';
+import type { HeartbeatResponder } from './pending-heartbeats.ts';
 
-/** A worker back this soon after it was sent to the owner did not get through. */
-const BACK_WITHIN_MS = 12_000;
-/** After this long a relayed worker is sent to the owner once more: the way may be open again. */
-const TRY_AGAIN_MS = 30_000;
-const PATIENCE_MS = 3500;
+/** An agent that is back this soon after it was redirected to the leader did not get through. */
+const RETURN_WITHIN_MS = 12_000;
+/** After this time a relayed agent is redirected to the leader once more: the path may be open again. */
+const RETRY_REDIRECT_MS = 30_000;
+const RESPONSE_TIMEOUT_MS = 3500;
 
-interface Open {
-  answer: (a: HeartbeatResponse) => void;
+interface RelayedRequest {
+  respond: HeartbeatResponder;
   deadline: Instant;
 }
 
+/** Decides for each heartbeat at a node that is not the leader whether to redirect its agent or to relay it. */
 export class HeartbeatRelay {
-  private readonly sentOn = new Map<MachineId, Instant>();
-  /** Since when each machine's reports are passed on. */
-  private readonly relaying = new Map<MachineId, Instant>();
-  private readonly open = new Map<number, Open>();
+  private readonly redirectedAt = new Map<MachineId, Instant>();
+  /** Since when each machine's heartbeats are relayed. */
+  private readonly relayedSince = new Map<MachineId, Instant>();
+  private readonly requests = new Map<number, RelayedRequest>();
   private readonly io: ControllerIo;
 
   constructor(io: ControllerIo) {
     this.io = io;
   }
 
-  /** A report at a node that is not the owner: the worker is sent there, or its report is passed on. */
+  /** Redirects the agent to the leader, or relays its heartbeat if it has tried that in vain; `isLinked`: to the leader. */
   relay(
-    r: Heartbeat,
-    owner: LeaderRecord | null,
-    linked: boolean,
-    answer: (a: HeartbeatResponse) => void,
+    heartbeat: Heartbeat,
+    leader: LeaderRecord | null,
+    isLinked: boolean,
+    respond: HeartbeatResponder,
   ): void {
-    if (owner === null || !linked || !this.lostOwner(r, owner)) {
-      this.sentOn.set(r.machine, this.io.now);
-      return answer({ kind: 'redirect', node: owner?.node ?? null });
+    if (leader === null || !isLinked || !this.cannotReachLeader(heartbeat, leader)) {
+      this.redirectedAt.set(heartbeat.machine, this.io.now);
+      return respond({ kind: 'redirect', node: leader?.node ?? null });
     }
     const id = this.io.nextRequestId();
-    this.open.set(id, { answer, deadline: addMs(this.io.now, PATIENCE_MS) });
+    this.requests.set(id, { respond, deadline: addMs(this.io.now, RESPONSE_TIMEOUT_MS) });
     this.io.emit({
       kind: 'peer',
-      node: owner.node,
-      message: { kind: 'relayed-heartbeat', id, heartbeat: r },
+      node: leader.node,
+      message: { kind: 'relayed-heartbeat', id, heartbeat },
     });
   }
 
-  /** The worker has the owner's token, so it left the owner for want of answers; or it was just sent there in vain. */
-  private lostOwner(r: Heartbeat, owner: LeaderRecord): boolean {
+  /** An agent with the leader's token has left it for want of responses; another was just redirected to it in vain. */
+  private cannotReachLeader(heartbeat: Heartbeat, leader: LeaderRecord): boolean {
+    const { machine } = heartbeat;
     const { now } = this.io;
-    const began = this.relaying.get(r.machine);
-    if (began !== undefined && elapsedMs(now, began) > TRY_AGAIN_MS) {
-      this.relaying.delete(r.machine);
+    const since = this.relayedSince.get(machine);
+    if (since !== undefined && elapsedMs(now, since) > RETRY_REDIRECT_MS) {
+      this.relayedSince.delete(machine);
       return false;
     }
-    const back = elapsedMs(now, this.sentOn.get(r.machine) ?? LONG_AGO) < BACK_WITHIN_MS;
-    if (!back && (r.fencingToken as number) !== owner.revision) return false;
-    if (began === undefined) this.relaying.set(r.machine, now);
+    const hasReturned = elapsedMs(now, this.redirectedAt.get(machine) ?? LONG_AGO) < RETURN_WITHIN_MS;
+    if (!hasReturned && (heartbeat.fencingToken as number) !== leader.revision) return false;
+    if (since === undefined) this.relayedSince.set(machine, now);
     return true;
   }
 
-  onResponse(id: number, answer: HeartbeatResponse | null): void {
-    const o = this.open.get(id);
-    this.open.delete(id);
-    o?.answer(answer ?? { kind: 'redirect', node: null });
+  /** The leader's response to a relayed heartbeat; null if there will be none. */
+  onResponse(id: number, response: HeartbeatResponse | null): void {
+    const request = this.requests.get(id);
+    this.requests.delete(id);
+    request?.respond(response ?? { kind: 'redirect', node: null });
   }
 
+  /** Redirects the agents whose time is up, and forgets those that have not come back. */
   tick(): void {
-    for (const [id, o] of this.open) if (this.io.now >= o.deadline) this.onResponse(id, null);
-    for (const [m, at] of this.sentOn) if (elapsedMs(this.io.now, at) > BACK_WITHIN_MS) this.sentOn.delete(m);
-    for (const [m, at] of this.relaying)
-      if (elapsedMs(this.io.now, at) > 2 * TRY_AGAIN_MS) this.relaying.delete(m);
+    const { now } = this.io;
+    for (const [id, request] of this.requests) if (now >= request.deadline) this.onResponse(id, null);
+    for (const [machine, at] of this.redirectedAt)
+      if (elapsedMs(now, at) > RETURN_WITHIN_MS) this.redirectedAt.delete(machine);
+    for (const [machine, since] of this.relayedSince)
+      if (elapsedMs(now, since) > 2 * RETRY_REDIRECT_MS) this.relayedSince.delete(machine);
   }
 }
