--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -183,7 +183,7 @@
    * a user that it is cancelled.
    */
   isUncertain(job: Job): boolean {
-    if ((this.unknown.size === 0 && this.jobs.cancelRequested.size === 0) || job.unmetDependencies.size === 0)
+    if ((this.unknown.size === 0 && !this.jobs.hasPendingCancellations) || job.unmetDependencies.size === 0)
       return false;
     const seen = new Set<JobId>(job.unmetDependencies);
     for (const id of seen) {
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -48,7 +48,6 @@
   cancelRequested = false;
   /** A write to the job's record is under way. */
   isWritingRecord = false;
-  isWritingFinalState = false;
   /** The write that cancels or ends it, while its outcome is open; see `unsure`. */
   terminalWrite: Pick<FencedWrite, 'progress'> | null = null;
   /** Its final state is on record. */
