--- a/src/core/jobs/array-progress.ts
+++ b/src/core/jobs/array-progress.ts
@@ -182,7 +182,7 @@
     const written: { job: Job; from: number; bits: Buffer }[] = [];
     const b: Record<string, string> = {};
     for (const [name, { job, from }] of p.units) {
-      const bits = Buffer.from(job.done.subarray(from / 8, (from + this.partTasks) / 8));
+      const bits = Buffer.from(job.doneBits(from, from + this.partTasks));
       written.push({ job, from, bits });
       b[name] = bits.toString('base64');
     }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,4 +1,4 @@
-// A job in memory: its tasks, what of them is where, and how far it has come.
+// An open job in memory: the phase of each task, its assignments to machines, and how far the job has come.
 import {
   type Attempt,
   type Instant,
@@ -11,13 +11,19 @@
 } from '../../types/index.ts';
 import type { JobSpec, JobStatus, Priority } from '../base/model.ts';
 import type { FencedWrite } from '../storage/fenced-writer.ts';
+import { hasBit, TaskBitmap } from './task-bitmap.ts';
 
+/** Where a task is, as far as the leader knows. */
 export enum TaskPhase {
+  /** Waits for a machine. */
   Waiting = 0,
+  /** In the queue of a machine, not started. */
   Queued = 1,
+  /** Has an assignment: it is on a machine, or may be. */
   Active = 2,
+  /** Its result was reported. */
   Done = 3,
-  /** May be on a machine not yet heard under this term. */
+  /** May be on a machine that has not sent a heartbeat to this leader yet. */
   Unlocated = 4,
 }
 
@@ -28,240 +34,285 @@
   attempt: Attempt;
   machine: MachineId;
   state: 'sent' | 'fetching' | 'waiting' | 'running' | 'saving';
-  /** The report that the start command answered; only a later one can tell that it was not executed. */
+  /** Number of the heartbeat that the start command answered; only a later one can show that it was not executed. */
   sentSeq: number;
   sentAt: Instant;
   runningAt: Instant | null;
+  /** The stop command to send with each response; null while the task is to go on. */
   stopping: { graceS: number } | null;
-  /** The last report that listed it, and whether it has left its machine; for machines.ts. */
+  /** Number of the last heartbeat that listed it; kept by the task reconciler. */
   seenSeq?: number;
+  /** It has left its machine; kept by the machine table. */
   isGone?: boolean;
 }
 
+/** A job whose final state is not stored yet. */
 export class Job {
+  /** The {@link TaskPhase} of each task. */
   readonly phases: Uint8Array;
-  readonly done: Uint8Array;
+  /** Tasks whose results were reported. */
+  private readonly doneTasks: TaskBitmap;
+  /** Of these the ones whose results are stored, so that their machines may forget them; null while there are none. */
+  private recordedTasks: TaskBitmap | null = null;
   doneCount = 0;
+  /** Tasks in the state `running` on their machines. */
   runningTasks = 0;
+  waitingTasks = 0;
+  queuedTasks = 0;
+  unlocatedTasks = 0;
+
+  /** Its cancellation is stored, or follows from that of a job that it depends on. */
   cancelled = false;
-  /** Its user has asked to cancel it, and the mark is not known to be on record yet. */
+  /** Its user has asked to cancel it; whether that is stored is not known yet. */
   cancelRequested = false;
-  /** A write to the job's record is under way. */
+  /** A write to the job's record is under way, or a read after which it may be written again. */
   isWritingRecord = false;
-  /** The write that cancels or ends it, while its outcome is open; see `unsure`. */
+  /** The write that cancels or ends it, while its outcome is open; see `mayHaveEnded`. */
   terminalWrite: Pick<FencedWrite, 'progress'> | null = null;
-  /** Its final state is on record. */
+  /** Its final state is stored. */
   isOver = false;
-  /** Tasks that exist on machines or may: index to entry. */
+  /** Callbacks to run once when the write to the job's record has ended, whatever its result. */
+  afterEnd: (() => void)[] = [];
+
+  /** Tasks that are on machines or may be, by index. */
   readonly assignments = new Map<number, TaskAssignment>();
   /**
-   * Further entries of tasks that have one already. Held-back reports list tasks that have since been given up
-   * and started elsewhere; such an entry must never stand in for the real one, nor free the task when it goes.
+   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up since and
+   * started elsewhere; such an assignment must never replace the real one, nor free the task when it is removed.
    */
-  private extra: TaskAssignment[] = [];
-  /** Tasks that became free again, next to start. */
-  private readonly again: number[] = [];
-  private next = 0;
-  waitingTasks = 0;
-  unlocatedTasks = 0;
-  /** Accepted under an earlier term, and not every machine that may hold its tasks has been heard: see `dropEntry`. */
+  private duplicateAssignments: TaskAssignment[] = [];
+  /** Tasks that became free again, the next to start last; some may have been started since. */
+  private readonly freedTasks: number[] = [];
+  /** Tasks from this index on were never started under this term. */
+  private nextUnstartedTask = 0;
+  /** Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since. */
   mayHaveUnlocatedTasks: boolean;
-  queuedTasks = 0;
-  /** Zones of its tasks on machines and in queues, with their number. */
+  /** Number of its tasks on machines and in queues, by zone. */
   readonly zones = new Map<ZoneName, number>();
-  /** Results on record, which their machines may now forget. */
-  private recordedBits: Uint8Array | null = null;
-  /** Where a job with waiting tasks puts itself down; see Jobs.waiting. */
-  private readonly waitingJobs: Set<Job> | null;
-  /** Failures in a row without a success, and where. */
+
+  /** Failures in a row without a success, and the machines where they happened. */
   failures = 0;
   readonly failedOn = new Set<MachineId>();
   retryAt: Instant = LONG_AGO;
-  /** The attempt that the parts of a gang share, and whether it has begun to run. */
+  /** The attempt that the tasks of a gang share, and whether it has begun to run. */
   gangAttempt: Attempt | null = null;
   gangHasRun = false;
-  afterEnd: (() => void)[] = [];
-  /** It awaits jobs that are not known to be done on record: nothing of it may start, and it counts nowhere. */
+
+  /** It depends on jobs that are not known to be done: none of its tasks may start, and they count as no demand. */
   isBlocked: boolean;
-  /** Those jobs; see dependencies.ts. */
+  /** Those jobs; kept by {@link Dependencies}. */
   readonly unmetDependencies = new Set<JobId>();
-  /** From when its waits count: when the last job that it needs was done, else its acceptance. */
+  /** When its waiting began: when the last job that it depends on was done, else its acceptance. */
   readyWall: WallTime;
   readyAt: Instant;
-  /** Its own priority, or the highest of the jobs that need it. */
+  /** Its own priority, or the highest of the jobs that depend on it. */
   priority: Priority;
-  /** Wall time by which it must be done for the jobs that need it to meet their deadlines. */
+  /** Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
   inheritedDeadline = Number.POSITIVE_INFINITY;
-  /** Seconds until it should start, as of the last pass that ranked it. */
+  /** Seconds until it should start, as of the last scheduling cycle that ranked it. */
   slackS: number | null = null;
-  /** Further values of its record. */
+  /** Number of further values of its record, which hold dependencies. */
   dependencyParts = 0;
 
   constructor(
     readonly spec: JobSpec,
+    /** Revision of the job's record, the condition of the next write to it. */
     public revision: Revision,
     readonly acceptedAt: WallTime,
+    /** When this controller first saw the job. */
     readonly seenAt: Instant,
-    unlocated: boolean,
-    waitingJobs: Set<Job> | null = null,
+    /** Any of its tasks may be on a machine that has not sent a heartbeat to this leader yet. */
+    mayHaveUnlocatedTasks: boolean,
+    /** Where a job keeps itself listed while it has waiting tasks; see `JobTable.waitingJobs`. */
+    private readonly waitingJobs: Set<Job> | null = null,
   ) {
-    this.waitingJobs = waitingJobs;
     this.isBlocked = (spec.dependsOn ?? []).length > 0;
     this.readyWall = acceptedAt;
     this.readyAt = seenAt;
     this.priority = spec.priority;
-    this.phases = new Uint8Array(spec.tasks).fill(unlocated ? TaskPhase.Unlocated : TaskPhase.Waiting);
-    this.done = new Uint8Array(Math.ceil(spec.tasks / 8));
-    this.mayHaveUnlocatedTasks = unlocated;
-    if (unlocated) {
-      this.unlocatedTasks = spec.tasks;
-      this.next = spec.tasks;
-    } else this.count(TaskPhase.Waiting, spec.tasks);
+    this.mayHaveUnlocatedTasks = mayHaveUnlocatedTasks;
+    this.doneTasks = new TaskBitmap(spec.tasks);
+    const phase = mayHaveUnlocatedTasks ? TaskPhase.Unlocated : TaskPhase.Waiting;
+    this.phases = new Uint8Array(spec.tasks).fill(phase);
+    this.countPhase(phase, spec.tasks);
+    if (mayHaveUnlocatedTasks) this.nextUnstartedTask = spec.tasks;
   }
 
   get id(): JobId {
     return this.spec.id;
   }
+
+  /** Number of tasks with an assignment. */
   get assignedTasks(): number {
     return this.assignments.size;
   }
+
+  /** Number of tasks that are not done. */
   get remainingTasks(): number {
     return this.spec.tasks - this.doneCount;
   }
 
-  /** Next task to place, without taking it; -1 if none. */
+  // ---- phases of tasks
+
+  /** Index of the next task to place, without taking it; -1 if none waits. */
   nextWaitingTask(): number {
-    while (this.again.length > 0) {
-      const i = this.again.at(-1)!;
-      if (this.phases[i] === TaskPhase.Waiting) return i;
-      this.again.pop();
+    while (this.freedTasks.length > 0) {
+      const index = this.freedTasks.at(-1)!;
+      if (this.phases[index] === TaskPhase.Waiting) return index;
+      this.freedTasks.pop();
     }
-    while (this.next < this.spec.tasks && this.phases[this.next] !== TaskPhase.Waiting) this.next++;
-    return this.next < this.spec.tasks ? this.next : -1;
+    const { tasks } = this.spec;
+    while (this.nextUnstartedTask < tasks && this.phases[this.nextUnstartedTask] !== TaskPhase.Waiting)
+      this.nextUnstartedTask++;
+    return this.nextUnstartedTask < tasks ? this.nextUnstartedTask : -1;
   }
 
+  /** Moves a task to a phase, and keeps the counts and `waitingJobs` in step. */
   setPhase(index: number, to: TaskPhase): void {
     const from = this.phases[index] as TaskPhase;
     if (from === to) return;
-    this.count(from, -1);
-    this.count(to, 1);
+    this.countPhase(from, -1);
+    this.countPhase(to, 1);
     this.phases[index] = to;
-    if (to === TaskPhase.Waiting) this.again.push(index);
+    if (to === TaskPhase.Waiting) this.freedTasks.push(index);
   }
 
-  private count(s: TaskPhase, by: number): void {
-    if (s === TaskPhase.Waiting) {
-      this.waitingTasks += by;
+  private countPhase(phase: TaskPhase, change: number): void {
+    if (phase === TaskPhase.Waiting) {
+      this.waitingTasks += change;
       if (this.waitingTasks > 0 && !this.isOver && !this.isBlocked) this.waitingJobs?.add(this);
       else this.waitingJobs?.delete(this);
-    } else if (s === TaskPhase.Unlocated) this.unlocatedTasks += by;
-    else if (s === TaskPhase.Queued) this.queuedTasks += by;
-    else if (s === TaskPhase.Done) this.doneCount += by;
+    } else if (phase === TaskPhase.Unlocated) this.unlocatedTasks += change;
+    else if (phase === TaskPhase.Queued) this.queuedTasks += change;
+    else if (phase === TaskPhase.Done) this.doneCount += change;
   }
 
-  /** Whether it awaited others, or others with a deadline await it. */
+  /** Number of tasks that wait for a machine, or in a machine's queue. */
+  get unplacedTasks(): number {
+    return this.isBlocked ? 0 : this.waitingTasks + this.queuedTasks;
+  }
+
+  /** Every machine that may run its tasks has sent a heartbeat: a task that none of them listed waits. */
+  resolveUnlocated(): void {
+    if (!this.mayHaveUnlocatedTasks) return;
+    this.mayHaveUnlocatedTasks = false;
+    for (let index = 0; index < this.spec.tasks; index++)
+      if (this.phases[index] === TaskPhase.Unlocated) this.setPhase(index, TaskPhase.Waiting);
+  }
+
+  // ---- dependencies
+
+  /** Whether it depends on others, or others with a deadline depend on it. */
   get isInDependencyChain(): boolean {
     return Number.isFinite(this.inheritedDeadline) || (this.spec.dependsOn ?? []).length > 0;
   }
 
-  /** All that it awaits is done on record. */
+  /** All that it depends on is done: its tasks may start. */
   unblock(now: Instant): void {
     this.isBlocked = false;
     this.readyAt = now;
     if (this.waitingTasks > 0 && !this.isOver) this.waitingJobs?.add(this);
   }
 
-  /** Tasks that wait for a place, or for one that is taken to come free. */
-  get unplacedTasks(): number {
-    return this.isBlocked ? 0 : this.waitingTasks + this.queuedTasks;
-  }
+  // ---- assignments
 
-  addAssignment(e: TaskAssignment): void {
-    if (this.assignments.has(e.index)) this.extra.push(e);
-    else this.assignments.set(e.index, e);
-    if (this.phases[e.index] !== TaskPhase.Done) this.setPhase(e.index, TaskPhase.Active);
+  /** A task is on a machine, or may be. The first assignment of a task stands until it is removed. */
+  addAssignment(assignment: TaskAssignment): void {
+    const { index } = assignment;
+    if (this.assignments.has(index)) this.duplicateAssignments.push(assignment);
+    else this.assignments.set(index, assignment);
+    if (this.phases[index] !== TaskPhase.Done) this.setPhase(index, TaskPhase.Active);
   }
 
   /**
-   * The task is free again only when its last entry goes. One that was read from an old report, kept back until a new
-   * owner heard it, proves nothing when it goes: the task may have gone elsewhere long before, to a machine that this
-   * owner has not heard. `certain`: it was on that machine under this term.
+   * A task is not on the machine of the assignment any more. It is free again only when its last assignment is removed.
+   * `certain`: it was on that machine under this term. Otherwise the assignment may stem from an old heartbeat that was
+   * delayed until a new leader read it, and its removal proves nothing: the task may have been started long before on
+   * another machine, of which this leader has had no heartbeat.
    */
-  removeAssignment(e: TaskAssignment, certain: boolean): void {
-    if (this.assignments.get(e.index) !== e) {
-      this.extra = this.extra.filter((x) => x !== e);
+  removeAssignment(assignment: TaskAssignment, certain: boolean): void {
+    const { index } = assignment;
+    if (this.assignments.get(index) !== assignment) {
+      this.removeDuplicate(assignment);
       return;
     }
-    const other = this.extra.find((x) => x.index === e.index);
-    if (other !== undefined) {
-      this.extra = this.extra.filter((x) => x !== other);
-      this.assignments.set(e.index, other);
+    const duplicate = this.duplicateAssignments.find((other) => other.index === index);
+    if (duplicate !== undefined) {
+      this.removeDuplicate(duplicate);
+      this.assignments.set(index, duplicate);
       return;
     }
-    this.assignments.delete(e.index);
-    if (this.phases[e.index] === TaskPhase.Active)
-      this.setPhase(
-        e.index,
-        this.mayHaveUnlocatedTasks && !certain ? TaskPhase.Unlocated : TaskPhase.Waiting,
-      );
+    this.assignments.delete(index);
+    if (this.phases[index] !== TaskPhase.Active) return;
+    const mayBeElsewhere = this.mayHaveUnlocatedTasks && !certain;
+    this.setPhase(index, mayBeElsewhere ? TaskPhase.Unlocated : TaskPhase.Waiting);
   }
 
-  /** Every machine that may hold its tasks has been heard: a task on none of them is on none at all. */
-  resolveUnlocated(): void {
-    if (!this.mayHaveUnlocatedTasks) return;
-    this.mayHaveUnlocatedTasks = false;
-    for (let i = 0; i < this.spec.tasks; i++)
-      if (this.phases[i] === TaskPhase.Unlocated) this.setPhase(i, TaskPhase.Waiting);
+  private removeDuplicate(duplicate: TaskAssignment): void {
+    this.duplicateAssignments = this.duplicateAssignments.filter((other) => other !== duplicate);
   }
 
+  /** One of its tasks has come to a machine or queue in the zone, or left it. */
+  countInZone(zone: ZoneName, change: 1 | -1): void {
+    const tasks = (this.zones.get(zone) ?? 0) + change;
+    if (tasks > 0) this.zones.set(zone, tasks);
+    else this.zones.delete(zone);
+  }
+
+  // ---- done tasks
+
+  /** Whether the task's result was reported. */
   isDone(index: number): boolean {
-    return ((this.done[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
+    return this.doneTasks.has(index);
   }
 
+  /** The task's result was reported; false if it had been before. */
   setDone(index: number): boolean {
-    if (this.isDone(index)) return false;
-    this.done[index >> 3] = (this.done[index >> 3] ?? 0) | (1 << (index & 7));
+    if (this.doneTasks.has(index)) return false;
+    this.doneTasks.add(index);
     this.setPhase(index, TaskPhase.Done);
     return true;
   }
 
-  /** From the record: bytes of the bitmap from the task `from` on. */
-  restoreDoneBits(from: number, bytes: Uint8Array): void {
-    this.markRecorded(from, bytes);
-    for (let i = 0; i < bytes.length * 8; i++)
-      if (from + i < this.spec.tasks && (bytes[i >> 3]! & (1 << (i & 7))) !== 0) this.setDone(from + i);
+  /** Bitmap of the done tasks from the index `from` up to, not including, `end`; both are multiples of 8. */
+  doneBits(from: number, end: number): Uint8Array {
+    return this.doneTasks.bytes.subarray(from / 8, end / 8);
   }
 
-  markRecorded(from: number, bytes: Uint8Array): void {
-    this.recordedBits ??= new Uint8Array(this.done.length);
-    const at = from >> 3;
-    for (let i = 0; i < bytes.length && at + i < this.recordedBits.length; i++)
-      this.recordedBits[at + i] = this.recordedBits[at + i]! | bytes[i]!;
+  /** Takes over a stored part of the bitmap of done tasks that begins at the task `from`. */
+  restoreDoneBits(from: number, part: Uint8Array): void {
+    this.markRecorded(from, part);
+    const end = Math.min(part.length * 8, this.spec.tasks - from);
+    for (let i = 0; i < end; i++) if (hasBit(part, i)) this.setDone(from + i);
   }
 
-  isRecorded(index: number): boolean {
-    return this.recordedBits !== null && (this.recordedBits[index >> 3]! & (1 << (index & 7))) !== 0;
+  /** This part of the bitmap of done tasks is stored. */
+  markRecorded(from: number, part: Uint8Array): void {
+    this.recordedTasks ??= new TaskBitmap(this.spec.tasks);
+    this.recordedTasks.addAll(from, part);
   }
 
-  countInZone(zone: ZoneName, by: 1 | -1): void {
-    const n = (this.zones.get(zone) ?? 0) + by;
-    if (n > 0) this.zones.set(zone, n);
-    else this.zones.delete(zone);
+  /** Whether the task's result is stored. */
+  isRecorded(index: number): boolean {
+    return this.recordedTasks?.has(index) ?? false;
   }
 
-  /** Nobody has any use for what its tasks do: cancelled on record, or asked to be. */
+  // ---- status
+
+  /** Nobody needs the results of its tasks any more: it is cancelled, or its user has asked for that. */
   get isCancelling(): boolean {
     return this.cancelled || this.cancelRequested;
   }
 
   /**
-   * Its cancellation or its end may stand on record without this owner knowing: whoever reads the record may have
-   * told it to its user, who must not be given an older answer here.
+   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may have read
+   * it and told the job's user, who must not be given an older status here.
    */
   get mayHaveEnded(): boolean {
     return this.terminalWrite !== null && this.terminalWrite.progress !== 'waiting';
   }
 
+  /** What a user is told of the job while it is open. */
   status(): JobStatus {
     if (this.cancelled) return 'cancelled';
     return this.runningTasks > 0 ? 'running' : 'queued';
