--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -1,4 +1,5 @@
-// Jobs that other nodes took in (intake.ts): the owner watches the jobs on record and takes up what it does not know.
+// Jobs that other controllers accepted without the leader (fallback admission): the leader watches the stored jobs and
+// opens those that it does not know.
 import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -6,69 +7,81 @@
 import { OPEN_JOB_PREFIX } from '../storage/keys.ts';
 import type { JobTable } from './job-table.ts';
 
+/** How long the store is asked to wait for a change. */
 const WATCH_MS = 10_000;
-const RETRY_MS = 500;
+/** How much longer its reply is waited for. */
+const WATCH_REPLY_MARGIN_MS = 3000;
+const RETRY_DELAY_MS = 500;
 
+/** Watches the stored jobs, and lists all of them again whenever changes may have been missed. */
 export class AcceptedJobsWatch {
-  private busy = false;
+  private isRequestOpen = false;
   private retryAt: Instant = LONG_AGO;
-  /** null: what is on record must be read again. */
-  private from: Revision | null;
-  private after: string | null = null;
+  /** Changes after this revision are watched for; null while all stored jobs are to be listed. */
+  private watchFrom: Revision | null;
+  /** The last key of the list read so far, and the store's revision when that was begun. */
+  private listedUpTo: string | null = null;
   private listedFrom: Revision | null = null;
 
   constructor(
     private readonly io: ControllerIo,
     private readonly jobs: JobTable,
     readAt: Revision,
-    /** While true nobody else can have become the owner, and so nobody else can have started the job. */
-    private readonly current: () => boolean,
+    /** While true no other controller can have become the leader, and so none can have started the job. */
+    private readonly mayAdopt: () => boolean,
   ) {
-    this.from = readAt;
+    this.watchFrom = readAt;
   }
 
+  /** Sends the next request, if none is open. */
   tick(): void {
-    if (this.busy || this.io.now < this.retryAt || !this.current()) return;
-    this.busy = true;
-    if (this.from === null)
-      this.io.store({ kind: 'list', prefix: OPEN_JOB_PREFIX, after: this.after }, StorePriority.work, (r) =>
-        this.onList(r),
-      );
-    else
-      this.io.store(
-        { kind: 'watch', prefix: OPEN_JOB_PREFIX, after: this.from, waitMs: WATCH_MS },
-        StorePriority.work,
-        (r) => this.onChanges(r),
-        WATCH_MS + 3000,
-      );
+    if (this.isRequestOpen || this.io.now < this.retryAt || !this.mayAdopt()) return;
+    this.isRequestOpen = true;
+    if (this.watchFrom === null) this.list(this.listedUpTo);
+    else this.watch(this.watchFrom);
   }
 
-  private again(): void {
-    this.from = null;
-    this.after = null;
+  private list(after: string | null): void {
+    this.io.store({ kind: 'list', prefix: OPEN_JOB_PREFIX, after }, StorePriority.work, (reply) =>
+      this.onList(reply),
+    );
+  }
+
+  private watch(after: Revision): void {
+    this.io.store(
+      { kind: 'watch', prefix: OPEN_JOB_PREFIX, after, waitMs: WATCH_MS },
+      StorePriority.work,
+      (reply) => this.onChanges(reply),
+      WATCH_MS + WATCH_REPLY_MARGIN_MS,
+    );
+  }
+
+  private listAgainLater(): void {
+    this.watchFrom = null;
+    this.listedUpTo = null;
     this.listedFrom = null;
-    this.retryAt = addMs(this.io.now, RETRY_MS);
+    this.retryAt = addMs(this.io.now, RETRY_DELAY_MS);
   }
 
-  private onChanges(r: StoreReply): void {
-    this.busy = false;
-    // A job learned of too late may have been started by a later owner: it is read again, or left to that owner.
-    if (r.kind !== 'changes' || !this.current()) return this.again();
-    const dropped = new Set(r.deletes);
-    for (const item of r.puts) if (!dropped.has(item.key)) this.jobs.adopt(item);
-    this.from = r.revision;
+  private onChanges(reply: StoreReply): void {
+    this.isRequestOpen = false;
+    // A later leader may have started a job that is found too late: it is listed again, or left to that leader.
+    if (reply.kind !== 'changes' || !this.mayAdopt()) return this.listAgainLater();
+    const deleted = new Set(reply.deletes);
+    for (const item of reply.puts) if (!deleted.has(item.key)) this.jobs.adopt(item);
+    this.watchFrom = reply.revision;
     this.tick();
   }
 
-  private onList(r: StoreReply): void {
-    this.busy = false;
-    if (r.kind !== 'items' || !this.current()) return this.again();
-    this.listedFrom ??= r.revision;
-    for (const item of r.items) this.jobs.adopt(item);
-    if (r.more) this.after = r.items.at(-1)?.key ?? null;
+  private onList(reply: StoreReply): void {
+    this.isRequestOpen = false;
+    if (reply.kind !== 'items' || !this.mayAdopt()) return this.listAgainLater();
+    this.listedFrom ??= reply.revision;
+    for (const item of reply.items) this.jobs.adopt(item);
+    if (reply.more) this.listedUpTo = reply.items.at(-1)?.key ?? null;
     else {
-      this.from = this.listedFrom;
-      this.after = null;
+      this.watchFrom = this.listedFrom;
+      this.listedUpTo = null;
       this.listedFrom = null;
     }
     this.tick();
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,37 +1,21 @@
-// Jobs that await other jobs. Only what is on record counts: a job becomes ready when the final record of the last
-// job that it needs says done, and is cancelled as soon as one of them is cancelled on record, directly or through
-// others. Nothing of this is stored; an owner derives it anew from the jobs' records (docs/safety.md).
-import { addMs, type Instant, type JobId, LONG_AGO, type WallTime } from '../../types/index.ts';
+// Jobs that depend on other jobs (a directed acyclic graph). Only what is stored counts: a job becomes ready when the final
+// state of the last of its dependencies is `done`, and is cancelled as soon as one of them is cancelled, directly or through
+// others. Nothing of this is stored; a leader derives it anew from the jobs' records (docs/safety.md).
+import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
-import type { Settings, StoreReply } from '../base/model.ts';
-import { StorePriority } from '../base/store-request-budget.ts';
-import { TokenBucket } from '../base/token-bucket.ts';
-import { decodeFinalState } from '../storage/job-record.ts';
-import { FINAL_STATE_PREFIX } from '../storage/keys.ts';
+import type { Settings } from '../base/model.ts';
+import { type FinalStateConsumer, FinalStateLookup } from './final-state-lookup.ts';
 import type { Job } from './job.ts';
+import type { FinalStatus, JobListener } from './job-events.ts';
 import type { RuntimeEstimates } from './job-ordering.ts';
 import type { JobTable } from './job-table.ts';
 
-/** Part of the region's state requests for reading final states that the owner does not remember. */
-const READ_SHARE = 0.25;
-const READS_AT_ONCE = 8;
-const RETRY_MS = 300;
-/** A job named by another, but neither open here nor over: taken in by another node a moment ago. */
-const ABSENT_MS = 2000;
-
-interface Read {
-  id: JobId;
-  notBefore: Instant;
-}
-
-export class Dependencies {
-  /** Open jobs that await a job, by its id. */
+/** The graph of open jobs that depend on others; unblocks, cancels and ranks them accordingly. */
+export class Dependencies implements JobListener, FinalStateConsumer {
+  /** Open jobs that depend on a job, by its id. */
   private readonly dependents = new Map<JobId, Set<Job>>();
-  private readonly reads: Read[] = [];
-  private reading = 0;
-  /** Jobs of which it is not known yet whether they are done, cancelled, or going on. */
-  private readonly unknown = new Set<JobId>();
-  private readonly budget: TokenBucket;
+  private readonly lookup: FinalStateLookup;
+  /** All dependencies of a job are done: its tasks may start. */
   onReady: (job: Job) => void = () => {};
 
   constructor(
@@ -40,216 +24,181 @@
     private readonly jobs: JobTable,
     private readonly estimates: RuntimeEstimates,
   ) {
-    const rate = Math.max(1, settings.store.requestsPerS * READ_SHARE);
-    this.budget = new TokenBucket(rate, rate);
+    this.lookup = new FinalStateLookup({ io, settings, jobs, consumer: this });
   }
 
+  /** Whether an open job depends on this one. */
   isNeeded(id: JobId): boolean {
     return this.dependents.has(id);
   }
 
-  /** Final states still to be read. */
+  /** Number of final states still to be read. */
   get unresolvedCount(): number {
-    return this.unknown.size;
+    return this.lookup.unresolvedCount;
+  }
+
+  /** Sends the reads of final states that are due. */
+  tick(): void {
+    this.lookup.tick();
   }
 
-  /** All jobs on record have been read: what each one awaits is looked up. */
+  /** All stored jobs have been read: their dependencies are resolved. */
   onJobsRestored(): void {
-    for (const job of [...this.jobs.openJobs.values()]) if (job.isBlocked) this.enrol(job);
+    for (const job of [...this.jobs.openJobs.values()]) if (job.isBlocked) this.register(job);
   }
 
-  /** A job has come up: it may await others, and others may have been waiting to hear of it. */
+  /** A job has become open: it may depend on others, and others on it. */
   onOpened(job: Job): void {
-    this.unknown.delete(job.id);
-    if (job.isBlocked) this.enrol(job);
+    this.lookup.markResolved(job.id);
+    if (job.isBlocked) this.register(job);
     if (job.cancelled) this.onCancelled(job);
-    else if (this.isNeeded(job.id)) this.inherit([job.id]);
+    else if (this.isNeeded(job.id)) this.propagateUrgency([job.id]);
   }
 
-  private enrol(job: Job): void {
-    let doomed: JobId | null = null;
+  private register(job: Job): void {
+    let cancelledDependency: JobId | null = null;
     for (const id of new Set(job.spec.dependsOn)) {
       const open = this.jobs.openJobs.get(id);
       const final = this.jobs.finalState(id);
-      if (open?.cancelled || final?.status === 'cancelled') doomed ??= id;
+      if (open?.cancelled || final?.status === 'cancelled') cancelledDependency ??= id;
       if (final?.status === 'done') {
         job.readyWall = Math.max(job.readyWall, final.at) as WallTime;
         continue;
       }
-      job.unmetDependencies.add(id);
-      const set = this.dependents.get(id) ?? new Set();
-      this.dependents.set(id, set.add(job));
-      if (open === undefined && final === null) this.read(id);
+      this.addEdge(job, id);
+      if (open === undefined && final === null) this.lookup.request(id);
     }
-    if (job.cancelled) this.leave(job);
-    else if (doomed !== null) this.cancel(job, doomed);
-    else if (job.unmetDependencies.size === 0) this.release(job);
-    else this.inherit(job.unmetDependencies);
+    if (job.cancelled) this.removeEdges(job);
+    else if (cancelledDependency !== null) this.cancelWithDependents(job, cancelledDependency);
+    else if (job.unmetDependencies.size === 0) this.unblock(job);
+    else this.propagateUrgency(job.unmetDependencies);
+  }
+
+  private addEdge(job: Job, dependency: JobId): void {
+    job.unmetDependencies.add(dependency);
+    const dependents = this.dependents.get(dependency) ?? new Set();
+    this.dependents.set(dependency, dependents.add(job));
   }
 
-  /** A job's final state is on record. */
-  onClosed(job: Job, status: 'done' | 'cancelled', at: WallTime): void {
-    if (job.unmetDependencies.size > 0) this.leave(job);
-    this.resolve(job.id, status, at);
+  /** The job's final state is stored. */
+  onClosed(job: Job, status: FinalStatus, endedAt: WallTime): void {
+    if (job.unmetDependencies.size > 0) this.removeEdges(job);
+    this.onFinalState(job.id, status, endedAt);
   }
 
-  private resolve(id: JobId, status: 'done' | 'cancelled', at: WallTime): void {
-    this.unknown.delete(id);
-    const waiting = this.dependents.get(id);
-    if (waiting === undefined) return;
-    if (status === 'cancelled') return this.cancelAll(id);
+  /** The final state of a job is known: jobs that depend on it are cancelled, or wait for one less. */
+  onFinalState(id: JobId, status: FinalStatus, endedAt: WallTime): void {
+    this.lookup.markResolved(id);
+    const dependents = this.dependents.get(id);
+    if (dependents === undefined) return;
+    if (status === 'cancelled') return this.cancelDependents(id);
     this.dependents.delete(id);
-    for (const job of waiting) {
+    for (const job of dependents) {
       job.unmetDependencies.delete(id);
-      job.readyWall = Math.max(job.readyWall, at) as WallTime;
-      if (job.unmetDependencies.size === 0) this.release(job);
+      job.readyWall = Math.max(job.readyWall, endedAt) as WallTime;
+      if (job.unmetDependencies.size === 0) this.unblock(job);
     }
   }
 
-  private release(job: Job): void {
+  private unblock(job: Job): void {
     job.unblock(this.io.now);
-    this.io.log('info', 'job is ready: all that it awaits is done', { job: job.id });
+    this.io.log('info', 'job is ready: all of its dependencies are done', { job: job.id });
     this.onReady(job);
   }
 
-  /** The job's cancellation is on record, or follows from one that is: so are all that need it, through any number of others. */
+  // ---- cancellation
+
+  /** The job's cancellation is stored, or follows from one that is: all that depend on it are cancelled, at any distance. */
   onCancelled(job: Job): void {
-    this.leave(job);
-    this.cancelAll(job.id);
+    this.removeEdges(job);
+    this.cancelDependents(job.id);
   }
 
-  /** A worklist, not recursion: chains may be thousands of jobs long. */
-  private cancelAll(first: JobId): void {
-    const todo = [first];
-    for (let id = todo.pop(); id !== undefined; id = todo.pop())
-      for (const job of [...(this.dependents.get(id) ?? [])]) if (this.mark(job, id)) todo.push(job.id);
+  /** A worklist in place of recursion: chains may be thousands of jobs long. */
+  private cancelDependents(cancelled: JobId): void {
+    const worklist = [cancelled];
+    for (let id = worklist.pop(); id !== undefined; id = worklist.pop()) {
+      const dependents = [...(this.dependents.get(id) ?? [])];
+      for (const job of dependents) if (this.markCancelled(job, id)) worklist.push(job.id);
+    }
   }
 
-  private cancel(job: Job, because: JobId): void {
-    if (this.mark(job, because)) this.cancelAll(job.id);
+  private cancelWithDependents(job: Job, dependency: JobId): void {
+    if (this.markCancelled(job, dependency)) this.cancelDependents(job.id);
   }
 
-  private mark(job: Job, because: JobId): boolean {
-    this.leave(job);
+  /** Returns false if the job was cancelled or over before. */
+  private markCancelled(job: Job, dependency: JobId): boolean {
+    this.removeEdges(job);
     if (job.cancelled || job.isOver) return false;
     job.cancelled = true;
-    this.io.log('info', 'job cancelled because of one that it awaits', { job: job.id, awaits: because });
+    this.io.log('info', 'job cancelled because a dependency is cancelled', { job: job.id, dependency });
     this.jobs.onEnded(job);
     return true;
   }
 
-  /** The job awaits nothing any more. */
-  private leave(job: Job): void {
-    const needs = [...job.unmetDependencies];
+  /** The job waits for no others any more. */
+  private removeEdges(job: Job): void {
+    const dependencies = [...job.unmetDependencies];
     job.unmetDependencies.clear();
-    for (const id of needs) {
-      const set = this.dependents.get(id);
-      set?.delete(job);
-      if (set?.size === 0) this.dependents.delete(id);
+    for (const id of dependencies) {
+      const dependents = this.dependents.get(id);
+      dependents?.delete(job);
+      if (dependents?.size === 0) this.dependents.delete(id);
     }
-    this.inherit(needs);
+    this.propagateUrgency(dependencies);
   }
 
-  /** Priority and latest finish go from a job to all that it needs; only jobs whose values change pass them on. */
-  private inherit(ids: Iterable<JobId>): void {
-    const todo = [...ids];
-    for (let id = todo.pop(); id !== undefined; id = todo.pop()) {
+  // ---- priority and deadlines
+
+  /**
+   * Passes priority and deadline from jobs on to those that they depend on, beginning with these; only jobs whose values
+   * change pass them on.
+   */
+  private propagateUrgency(ids: Iterable<JobId>): void {
+    const worklist = [...ids];
+    for (let id = worklist.pop(); id !== undefined; id = worklist.pop()) {
       const job = this.jobs.openJobs.get(id);
       if (job === undefined) continue;
-      let priority = job.spec.priority;
-      let dueBy = Number.POSITIVE_INFINITY;
-      for (const d of this.dependents.get(id) ?? []) {
-        if (d.priority > priority) priority = d.priority;
-        dueBy = Math.min(dueBy, this.latestFinish(d) - this.estimates.runS(d) * 1000);
+      let { priority } = job.spec;
+      let deadline = Number.POSITIVE_INFINITY;
+      for (const dependent of this.dependents.get(id) ?? []) {
+        if (dependent.priority > priority) priority = dependent.priority;
+        deadline = Math.min(deadline, this.latestStart(dependent));
       }
-      if (priority === job.priority && dueBy === job.inheritedDeadline) continue;
+      if (priority === job.priority && deadline === job.inheritedDeadline) continue;
       job.priority = priority;
-      job.inheritedDeadline = dueBy;
-      todo.push(...job.unmetDependencies);
+      job.inheritedDeadline = deadline;
+      worklist.push(...job.unmetDependencies);
     }
   }
 
-  private latestFinish(job: Job): number {
+  /** Wall time in milliseconds by which the job must start to meet its deadline and those of its dependents. */
+  private latestStart(job: Job): number {
     const { deadlineS } = job.spec;
-    return Math.min(
-      job.inheritedDeadline,
-      deadlineS === null ? Number.POSITIVE_INFINITY : job.acceptedAt + deadlineS * 1000,
-    );
+    const ownDeadline = deadlineS === null ? Number.POSITIVE_INFINITY : job.acceptedAt + deadlineS * 1000;
+    return Math.min(job.inheritedDeadline, ownDeadline) - this.estimates.runS(job) * 1000;
   }
 
+  // ---- uncertainty
+
   /**
-   * Whether a job may turn out to be cancelled because of one whose final state has not been read yet, or whose
-   * cancellation may be on record already. Until that is known nothing may be said of it: another node may have told
-   * a user that it is cancelled.
+   * Whether the job may turn out to be cancelled because of a dependency whose final state has not been read yet, or whose
+   * cancellation may be stored already. Until that is known users are told nothing of the job: another controller may have
+   * told one of them that it is cancelled.
    */
   isUncertain(job: Job): boolean {
-    if ((this.unknown.size === 0 && !this.jobs.hasPendingCancellations) || job.unmetDependencies.size === 0)
-      return false;
-    const seen = new Set<JobId>(job.unmetDependencies);
-    for (const id of seen) {
-      const need = this.jobs.openJobs.get(id);
-      if (this.unknown.has(id) || (need?.cancelRequested && need.mayHaveEnded)) return true;
-      for (const next of need?.unmetDependencies ?? []) seen.add(next);
+    if (job.unmetDependencies.size === 0) return false;
+    if (this.lookup.unresolvedCount === 0 && !this.jobs.hasPendingCancellations) return false;
+    // Grows while it is walked through.
+    const ancestors = new Set<JobId>(job.unmetDependencies);
+    for (const id of ancestors) {
+      if (this.lookup.isUnresolved(id)) return true;
+      const dependency = this.jobs.openJobs.get(id);
+      if (dependency === undefined) continue;
+      if (dependency.cancelRequested && dependency.mayHaveEnded) return true;
+      for (const next of dependency.unmetDependencies) ancestors.add(next);
     }
     return false;
   }
-
-  // ---- reading final states
-
-  private read(id: JobId): void {
-    if (this.unknown.has(id)) return;
-    this.unknown.add(id);
-    this.reads.push({ id, notBefore: LONG_AGO });
-    this.pump();
-  }
-
-  tick(): void {
-    this.pump();
-  }
-
-  private pump(): void {
-    const later: Read[] = [];
-    while (this.reading < READS_AT_ONCE && this.reads.length > 0) {
-      const r = this.reads.shift()!;
-      if (!this.dependents.has(r.id)) {
-        this.unknown.delete(r.id);
-        continue;
-      }
-      if (this.io.now < r.notBefore) later.push(r);
-      else if (this.budget.take(this.io.now)) this.fetch(r.id);
-      else {
-        later.push(r);
-        break;
-      }
-    }
-    this.reads.push(...later);
-  }
-
-  private fetch(id: JobId): void {
-    this.reading++;
-    this.io.store({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.work, (r) => {
-      this.reading--;
-      this.onRead(id, r);
-      this.pump();
-    });
-  }
-
-  private onRead(id: JobId, r: StoreReply): void {
-    if (this.jobs.openJobs.has(id)) {
-      this.unknown.delete(id);
-      return;
-    }
-    // A repeated submission of the job may have had its final state read meanwhile.
-    const final = this.jobs.finalState(id);
-    if (final !== null) return this.resolve(id, final.status, final.at);
-    if (r.kind === 'item') {
-      const { status, endedAt } = decodeFinalState(r.item);
-      const at = endedAt ?? (0 as WallTime);
-      this.jobs.cacheFinalState(id, status, at);
-      return this.resolve(id, status, at);
-    }
-    // Not over, so not cancelled either: only this owner could have done that.
-    if (r.kind === 'missing') this.unknown.delete(id);
-    this.reads.push({ id, notBefore: addMs(this.io.now, r.kind === 'missing' ? ABSENT_MS : RETRY_MS) });
-  }
 }
