--- a/src/core/scheduling/gang-scheduler.ts
+++ b/src/core/scheduling/gang-scheduler.ts
@@ -1,148 +1,189 @@
-// Gangs: all parts get their places at once, under one attempt; a waiting gang that lost a part gets a
-// replacement under the same attempt. A gang that finds no room has it gathered in one zone.
-import type { Attempt, ZoneName } from '../../types/index.ts';
+// Gang scheduling: all tasks of a gang get their machines at once, under one attempt; a waiting gang that lost a task gets
+// a replacement under the same attempt. For a gang that finds no capacity, machines are reserved in one zone.
+import type { ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type Job, TaskPhase } from '../jobs/job.ts';
+import { tasksFittingResource } from '../jobs/task-capacity.ts';
 import type { CapacityIndex } from '../machines/capacity-index.ts';
-import { hasCapacityAhead, isZoneAllowed, type Machine } from '../machines/machine.ts';
+import { hasCapacityAhead, isZoneAllowed, type Machine, type MachinePool } from '../machines/machine.ts';
 import type { BinPackingScorer } from './bin-packing.ts';
+import { bucketMayFit } from './capacity-search.ts';
 import type { Reservations } from './reservations.ts';
+import type { TaskQueuing } from './task-queuing.ts';
 
-type Enqueue = (m: Machine, index: number, attempt: Attempt) => void;
+/** Capacity for one task on a machine. */
 interface Slot {
-  m: Machine;
+  machine: Machine;
   score: number;
 }
-/** Places looked for in a zone, as a multiple of what is missing: the best of them are taken. */
-const SPARE = 3;
-/** Machines with the image looked at for each part. */
-const LOOK_IMAGE = 30;
+
+/** The zone that has the most slots; null where the search was over all zones. */
+interface BestZone {
+  zone: ZoneName | null;
+  slots: number;
+}
+
+/** Machines searched for in a pool, as a multiple of the missing tasks: the best of them are taken. */
+const MACHINES_SEARCHED_PER_TASK = 3;
+/** Machines with the image that are examined for each missing task. */
+const IMAGE_HOLDERS_EXAMINED_PER_TASK = 30;
+
+/** What {@link GangScheduler} depends on. */
+export interface GangSchedulerDependencies {
+  io: ControllerIo;
+  capacityIndex: CapacityIndex;
+  binPacking: BinPackingScorer;
+  reservations: Reservations;
+  queuing: TaskQueuing;
+}
+
+/** Places gangs. */
 export class GangScheduler {
-  constructor(
-    private readonly io: ControllerIo,
-    private readonly rooms: CapacityIndex,
-    private readonly fit: BinPackingScorer,
-    private readonly reservations: Reservations,
-  ) {}
-
-  /** Gives every missing part its place, or none; returns how many were placed. */
-  plan(job: Job, allowed: number, nextAttempt: () => Attempt, enqueue: Enqueue, mayReserve = true): number {
+  private readonly io: ControllerIo;
+  private readonly capacityIndex: CapacityIndex;
+  private readonly binPacking: BinPackingScorer;
+  private readonly reservations: Reservations;
+  private readonly queuing: TaskQueuing;
+
+  constructor(dependencies: GangSchedulerDependencies) {
+    this.io = dependencies.io;
+    this.capacityIndex = dependencies.capacityIndex;
+    this.binPacking = dependencies.binPacking;
+    this.reservations = dependencies.reservations;
+    this.queuing = dependencies.queuing;
+  }
+
+  /** Places every missing task of the gang, or none; returns how many were placed. */
+  placeGang(job: Job, allowed: number, mayReserve: boolean): number {
     if (job.unlocatedTasks > 0 || job.queuedTasks > 0) return 0;
-    // A gang that has run and lost a part is over: its other parts exit, and the next attempt starts afresh.
+    // A gang that has run and lost a task is over: its other tasks exit, and the next attempt starts afresh.
     if (job.assignedTasks > 0 && (job.gangHasRun || job.gangAttempt === null)) return 0;
-    const missing = partsToPlace(job);
+    const missing = waitingTaskIndexes(job);
     if (missing.length === 0 || missing.length > allowed) return 0;
-    const places = this.places(job, missing.length, mayReserve);
-    if (places === null) return 0;
-    const attempt = job.assignedTasks > 0 ? job.gangAttempt! : nextAttempt();
+    const slots = this.findSlots(job, missing.length, mayReserve);
+    if (slots === null) return 0;
+    const attempt = job.assignedTasks > 0 ? job.gangAttempt! : this.queuing.nextAttempt();
     job.gangAttempt = attempt;
-    missing.forEach((index, i) => {
-      enqueue(places[i]!, index, attempt);
+    missing.forEach((taskIndex, position) => {
+      this.queuing.enqueue(slots[position]!.machine, job, taskIndex, attempt);
     });
     return missing.length;
   }
 
-  /** Places for n parts: in the best zone for gangs bound to one, else over all. */
-  private places(job: Job, n: number, mayReserve: boolean): Machine[] | null {
+  /** Slots for so many tasks: in the best zone for gangs bound to one, else over all. */
+  private findSlots(job: Job, tasks: number, mayReserve: boolean): Slot[] | null {
     const zones = this.zonesFor(job);
-    const groups = job.spec.oneZone ? zones.map((z) => [z]) : [zones];
+    const zoneGroups = job.spec.oneZone ? zones.map((zone) => [zone]) : [zones];
     let best: Slot[] | null = null;
-    let most: { zone: ZoneName | null; n: number } | null = null;
-    for (const group of groups) {
-      const slots = this.fill(job, n, group);
-      if (slots.length === n && (best === null || cost(slots) < cost(best))) best = slots;
-      if (most === null || slots.length > most.n)
-        most = { zone: job.spec.oneZone ? group[0]! : null, n: slots.length };
+    let largest: BestZone | null = null;
+    for (const group of zoneGroups) {
+      const slots = this.findSlotsIn(job, tasks, group);
+      if (slots.length === tasks && (best === null || totalScore(slots) < totalScore(best))) best = slots;
+      if (largest === null || slots.length > largest.slots)
+        largest = { zone: job.spec.oneZone ? group[0]! : null, slots: slots.length };
     }
-    if (best !== null) return best.map((s) => s.m);
-    if (!mayReserve) return null;
-    // Once begun in a zone, gathering goes on there.
-    let zone = most?.zone ?? null;
-    if (zone !== null) for (const m of this.reservations.of(job)) zone = m.zone;
-    this.reservations.reserve(job, n, zone);
-    return null;
+    if (best === null && mayReserve) this.reserve(job, tasks, largest?.zone ?? null);
+    return best;
+  }
+
+  private reserve(job: Job, tasks: number, bestZone: ZoneName | null): void {
+    let zone = bestZone;
+    // Once machines of a zone are reserved, further ones are reserved there.
+    if (zone !== null) for (const machine of this.reservations.of(job)) zone = machine.zone;
+    this.reservations.reserve(job, tasks, zone);
   }
 
   private zonesFor(job: Job): ZoneName[] {
     if (job.spec.oneZone && job.zones.size > 0) return [...job.zones.keys()];
-    return [...new Set([...this.rooms.pools.values()].map((p) => p.zone))];
+    return [...new Set([...this.capacityIndex.pools.values()].map((pool) => pool.zone))];
   }
 
-  private fill(job: Job, n: number, zones: ZoneName[]): Slot[] {
+  /** Up to so many slots in the zones, the best scores first. */
+  private findSlotsIn(job: Job, tasks: number, zones: readonly ZoneName[]): Slot[] {
     const slots: Slot[] = [];
     const seen = new Set<Machine>();
-    const add = (m: Machine): boolean => {
-      if (
-        seen.has(m) ||
-        this.reservations.isReservedAgainst(m, job) ||
-        job.failedOn.has(m.id) ||
-        !hasCapacityAhead(m, job)
-      )
-        return false;
-      const score = this.fit.score(job, m);
+    const addMachine = (machine: Machine): boolean => {
+      if (seen.has(machine) || job.failedOn.has(machine.id)) return false;
+      if (this.reservations.isReservedAgainst(machine, job) || !hasCapacityAhead(machine, job)) return false;
+      const score = this.binPacking.score(job, machine);
       if (!Number.isFinite(score)) return false;
-      seen.add(m);
-      for (let k = slotsOn(m, job); k > 0; k--) slots.push({ m, score });
+      seen.add(machine);
+      for (let count = slotsOn(machine, job); count > 0; count--) slots.push({ machine, score });
       return true;
     };
-    for (const m of this.reservations.of(job)) if (zones.includes(m.zone)) add(m);
-    this.addImageHolders(job, n, zones, add);
-    for (const pool of this.rooms.pools.values()) {
-      if (!zones.includes(pool.zone) || !pool.admits(job.spec)) continue;
-      let wanted = n * SPARE;
-      for (const b of pool.buckets.values()) {
-        if (b.cpusBelow <= job.spec.cpus || b.gpusBelow <= job.spec.gpus || b.members.length === 0) continue;
-        const from = this.io.random.below(b.members.length);
-        for (let i = 0; i < b.members.length && wanted > 0; i++) {
-          if (add(b.members[(from + i) % b.members.length]!)) wanted--;
-        }
-      }
-    }
+    for (const machine of this.reservations.of(job)) if (zones.includes(machine.zone)) addMachine(machine);
+    this.addImageHolders(job, tasks, zones, addMachine);
+    for (const pool of this.capacityIndex.pools.values())
+      if (zones.includes(pool.zone) && pool.admits(job.spec)) this.addFromPool(pool, job, tasks, addMachine);
     slots.sort((a, b) => a.score - b.score);
-    return this.within(job, slots, n);
+    return selectSlots(job, slots, tasks);
   }
 
-  /** Those that need not fetch the image would seldom be met by chance. */
-  private addImageHolders(job: Job, n: number, zones: ZoneName[], add: (m: Machine) => boolean): void {
-    let wanted = n * SPARE;
-    let looks = n * LOOK_IMAGE;
-    for (const m of this.rooms.machinesWithImage(job.spec.image) ?? []) {
-      if (wanted <= 0 || looks-- <= 0) return;
-      if (m.indexPosition?.pool.admits(job.spec) && zones.includes(m.zone) && add(m)) wanted--;
+  private addFromPool(
+    pool: MachinePool,
+    job: Job,
+    tasks: number,
+    addMachine: (machine: Machine) => boolean,
+  ): void {
+    let wanted = tasks * MACHINES_SEARCHED_PER_TASK;
+    for (const bucket of pool.buckets.values()) {
+      const { members } = bucket;
+      if (members.length === 0 || !bucketMayFit(bucket, job.spec)) continue;
+      const first = this.io.random.below(members.length);
+      for (let offset = 0; offset < members.length && wanted > 0; offset++) {
+        if (addMachine(members[(first + offset) % members.length]!)) wanted--;
+      }
     }
   }
 
-  private within(job: Job, slots: Slot[], n: number): Slot[] {
-    if (!job.spec.spread) return slots.slice(0, n);
-    const zones = new Map(job.zones);
-    const out: Slot[] = [];
-    for (const s of slots) {
-      if (out.length === n) break;
-      if (!isZoneAllowed(job, s.m.zone, zones)) continue;
-      out.push(s);
-      zones.set(s.m.zone, (zones.get(s.m.zone) ?? 0) + 1);
+  /** Machines that need not fetch the image would seldom be found by chance. */
+  private addImageHolders(
+    job: Job,
+    tasks: number,
+    zones: readonly ZoneName[],
+    addMachine: (machine: Machine) => boolean,
+  ): void {
+    let wanted = tasks * MACHINES_SEARCHED_PER_TASK;
+    let remaining = tasks * IMAGE_HOLDERS_EXAMINED_PER_TASK;
+    for (const machine of this.capacityIndex.machinesWithImage(job.spec.image) ?? []) {
+      if (wanted <= 0 || remaining <= 0) return;
+      remaining--;
+      const isAdmitted = machine.indexPosition?.pool.admits(job.spec) === true;
+      if (isAdmitted && zones.includes(machine.zone) && addMachine(machine)) wanted--;
     }
-    return out;
   }
 }
 
-const cost = (slots: Slot[]): number => slots.reduce((sum, s) => sum + s.score, 0);
+/** The first slots that the job may use together: with the spread constraint, not too many in one zone. */
+function selectSlots(job: Job, slots: readonly Slot[], tasks: number): Slot[] {
+  if (!job.spec.spread) return slots.slice(0, tasks);
+  const zones = new Map(job.zones);
+  const selected: Slot[] = [];
+  for (const slot of slots) {
+    if (selected.length === tasks) break;
+    const { zone } = slot.machine;
+    if (!isZoneAllowed(job, zone, zones)) continue;
+    selected.push(slot);
+    zones.set(zone, (zones.get(zone) ?? 0) + 1);
+  }
+  return selected;
+}
+
+const totalScore = (slots: readonly Slot[]): number => slots.reduce((sum, slot) => sum + slot.score, 0);
 
-function partsToPlace(job: Job): number[] {
-  const out: number[] = [];
-  for (let i = 0; i < job.spec.tasks; i++) if (job.phases[i] === TaskPhase.Waiting) out.push(i);
-  return out;
+function waitingTaskIndexes(job: Job): number[] {
+  const indexes: number[] = [];
+  for (let index = 0; index < job.spec.tasks; index++)
+    if (job.phases[index] === TaskPhase.Waiting) indexes.push(index);
+  return indexes;
 }
 
-/** How many parts the machine has room for now. */
-function slotsOn(m: Machine, job: Job): number {
-  const { spec } = job;
-  const per = (free: number, each: number) =>
-    each <= 0 ? Number.POSITIVE_INFINITY : Math.floor((free + 1e-9) / each);
+/** How many tasks of the gang the machine has capacity for now. */
+function slotsOn(machine: Machine, { spec }: Job): number {
   return Math.min(
     spec.tasks,
-    per(m.freeCpus, spec.cpus),
-    per(m.freeGpus, spec.gpus),
-    per(m.freeMemory, spec.memoryGb),
+    tasksFittingResource(machine.freeCpus, spec.cpus),
+    tasksFittingResource(machine.freeGpus, spec.gpus),
+    tasksFittingResource(machine.freeMemory, spec.memoryGb),
   );
 }
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,98 +1,123 @@
-// Which running tasks give way to waiting work of a higher priority, and to nothing else (PROTOCOL, "Preemption"). Chosen are
-// tasks of arrays that save their progress, have run for long enough that their start was worth it, and would not end by
-// themselves as soon. Nobody can be stopped in turn by what it was stopped for: that is of a lower priority on no account.
-import { elapsedMs, type Instant } from '../../types/index.ts';
+// Which running tasks are preempted for waiting work of a higher priority, and for nothing else (PROTOCOL, "Preemption"):
+// tasks of arrays that write checkpoints, have run for long enough that their start was worth it, and would not end as
+// soon by themselves. Chains of preemptions cannot form a cycle, since a victim always has the lower priority.
+import { elapsedMs, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
 import type { Machine } from '../machines/machine.ts';
+import { FreedCapacity } from './freed-capacity.ts';
 
 /** A start that is undone sooner than this helped nobody. */
-const RAN_MS = 30_000;
-/** A task is stopped no more often than this in a term, so that a stream of urgent work does not keep it from ending. */
-const TIMES = 2;
-/** Stops under way at once: a part of the machines, and a few in any case. */
-const PART = 0.05;
-const LEAST = 8;
-/** The head of a queue waits so long for room that comes by itself. */
-const QUEUED_MS = 1000;
-const EPS = 1e-9;
+const MIN_RUN_MS: Millis = 30_000;
+/** Preemptions of a task in one term, so that a stream of urgent work does not keep it from ending. */
+const MAX_PREEMPTIONS_PER_TASK = 2;
+/** Preemptions under way at once: a fraction of the number of machines, and a few in any case. */
+const MAX_PREEMPTIONS_PER_MACHINE = 0.05;
+const MIN_PREEMPTIONS_ALLOWED = 8;
+/** The head of a queue waits so long for capacity that comes free by itself. */
+const QUEUE_HEAD_PATIENCE_MS: Millis = 1000;
+/** Added to the time that a checkpoint takes, for the task to exit. */
+const EXIT_GRACE_S = 1;
 
+/** Chooses tasks to preempt, and marks them to be stopped with their machine's next heartbeat response. */
 export class Preemption {
-  private readonly under = new Set<TaskAssignment>();
-  private readonly times = new WeakMap<Job, Map<number, number>>();
-  private most = LEAST;
+  /** Preempted tasks that are not known to be gone. */
+  private readonly underWay = new Set<TaskAssignment>();
+  /** Number of preemptions by job and task index. */
+  private readonly counts = new WeakMap<Job, Map<number, number>>();
+  private remaining = MIN_PREEMPTIONS_ALLOWED;
 
   constructor(
     private readonly io: ControllerIo,
-    private readonly reportS: number,
-    /** Whether every machine has been heard and the share is held: nothing is stopped on a guess. */
-    private readonly sure: () => boolean,
+    private readonly heartbeatS: number,
+    /** Whether every machine has sent a heartbeat and the lease is held: nothing is preempted on a guess. */
+    private readonly isStateCertain: () => boolean,
   ) {}
 
-  /** At the start of a pass. */
+  /** At the start of a scheduling cycle. */
   beginCycle(machines: number): void {
-    for (const e of this.under) if (e.isGone === true) this.under.delete(e);
-    this.most = this.sure() ? Math.max(LEAST, machines * PART) - this.under.size : 0;
+    for (const assignment of this.underWay) if (assignment.isGone === true) this.underWay.delete(assignment);
+    if (!this.isStateCertain()) {
+      this.remaining = 0;
+      return;
+    }
+    const allowed = Math.max(MIN_PREEMPTIONS_ALLOWED, machines * MAX_PREEMPTIONS_PER_MACHINE);
+    this.remaining = allowed - this.underWay.size;
   }
 
-  /** How many more may be stopped in this pass. */
+  /** How many more tasks may be preempted in this cycle. */
   get remainingStops(): number {
-    return this.most;
+    return this.remaining;
+  }
+
+  /**
+   * Seconds until the task's capacity is free if it is told to stop with its machine's next heartbeat response; null if it
+   * may not be preempted for the job.
+   */
+  secondsUntilFree(assignment: TaskAssignment, forJob: Job): number | null {
+    if (!this.isPreemptible(assignment, forJob)) return null;
+    return this.heartbeatS + assignment.job.spec.checkpointDurationS + EXIT_GRACE_S;
   }
 
-  /** Seconds until the task's room is free if it is told to stop with its machine's next answer; null if it may not be. */
-  freeS(e: TaskAssignment, forJob: Job): number | null {
-    const { job } = e;
-    if (job.priority >= forJob.priority || job.spec.kind !== 'array' || job.spec.checkpointIntervalS <= 0)
-      return null;
-    if (e.state !== 'running' || e.stopping !== null || e.runningAt === null || job.isCancelling) return null;
-    if (elapsedMs(this.io.now, e.runningAt as Instant) < RAN_MS) return null;
-    if ((this.times.get(job)?.get(e.index) ?? 0) >= TIMES) return null;
-    return this.reportS + job.spec.checkpointDurationS + 1;
+  private isPreemptible(assignment: TaskAssignment, forJob: Job): boolean {
+    const { job, index, runningAt } = assignment;
+    if (job.priority >= forJob.priority || job.isCancelling) return false;
+    if (job.spec.kind !== 'array' || job.spec.checkpointIntervalS <= 0) return false;
+    if (assignment.state !== 'running' || assignment.stopping !== null || runningAt === null) return false;
+    if (elapsedMs(this.io.now, runningAt) < MIN_RUN_MS) return false;
+    return (this.counts.get(job)?.get(index) ?? 0) < MAX_PREEMPTIONS_PER_TASK;
   }
 
-  /** Who must give way so that the machine has room for the job's task, fewest first; null if that does not help. */
-  plan(m: Machine, job: Job): TaskAssignment[] | null {
-    const { cpus, gpus, memoryGb } = job.spec;
-    let c = m.type.cpus - m.usedCpus - cpus;
-    let g = m.type.gpus - m.usedGpus - gpus;
-    let mem = m.type.memoryGb - m.usedMemory - memoryGb;
-    const out: TaskAssignment[] = [];
-    const enough = () => c >= -EPS && g >= -EPS && mem >= -EPS;
-    if (enough()) return out;
-    for (const e of m.assignments.values()) {
-      // What has been told to stop makes room as well.
-      const freed = e.stopping !== null || this.freeS(e, job) !== null;
-      if (!freed) continue;
-      c += e.job.spec.cpus;
-      g += e.job.spec.gpus;
-      mem += e.job.spec.memoryGb;
-      if (e.stopping === null) out.push(e);
-      if (enough()) return out;
+  /**
+   * The tasks to preempt so that the machine has capacity for a task of the job, as few as possible; null if even all that
+   * may be preempted would not be enough.
+   */
+  findVictims(machine: Machine, job: Job): TaskAssignment[] | null {
+    const capacity = new FreedCapacity(
+      machine.type.cpus - machine.usedCpus,
+      machine.type.gpus - machine.usedGpus,
+      machine.type.memoryGb - machine.usedMemory,
+      job.spec,
+    );
+    const victims: TaskAssignment[] = [];
+    if (capacity.isEnough) return victims;
+    for (const assignment of machine.assignments.values()) {
+      // What is stopping already frees its capacity as well.
+      const isStopping = assignment.stopping !== null;
+      if (!isStopping && !this.isPreemptible(assignment, job)) continue;
+      capacity.addTask(assignment.job.spec);
+      if (!isStopping) victims.push(assignment);
+      if (capacity.isEnough) return victims;
     }
     return null;
   }
 
-  /** The head of a machine's queue has waited: less urgent tasks on the machine give way to it. */
-  forQueue(m: Machine): void {
-    const head = m.queue[0];
-    if (head === undefined || elapsedMs(this.io.now, head.since) < QUEUED_MS || this.remainingStops <= 0)
-      return;
-    const stops = this.plan(m, head.job);
-    if (stops !== null && stops.length <= this.remainingStops) for (const e of stops) this.stop(e, head.job);
+  /** Preempts less urgent tasks on the machine if the head of its queue has waited for long enough. */
+  preemptForQueueHead(machine: Machine): void {
+    const head = machine.queue[0];
+    if (head === undefined || this.remainingStops <= 0) return;
+    if (elapsedMs(this.io.now, head.since) < QUEUE_HEAD_PATIENCE_MS) return;
+    const victims = this.findVictims(machine, head.job);
+    if (victims === null || victims.length > this.remainingStops) return;
+    for (const victim of victims) this.preempt(victim, head.job);
   }
 
-  stop(e: TaskAssignment, forJob: Job): void {
-    const times = this.times.get(e.job) ?? new Map<number, number>();
-    this.times.set(e.job, times);
-    times.set(e.index, (times.get(e.index) ?? 0) + 1);
-    this.under.add(e);
-    this.most--;
-    e.stopping = { graceS: e.job.spec.checkpointDurationS + 1 };
-    this.io.log('info', 'task gives way', {
-      task: `${e.job.id}/${e.index}`,
-      machine: e.machine,
+  /** Marks a task to be stopped, with time for a checkpoint. */
+  preempt(victim: TaskAssignment, forJob: Job): void {
+    this.countPreemption(victim);
+    this.underWay.add(victim);
+    this.remaining--;
+    victim.stopping = { graceS: victim.job.spec.checkpointDurationS + EXIT_GRACE_S };
+    this.io.log('info', 'task preempted', {
+      task: `${victim.job.id}/${victim.index}`,
+      machine: victim.machine,
       for: forJob.id,
     });
   }
+
+  private countPreemption({ job, index }: TaskAssignment): void {
+    const counts = this.counts.get(job) ?? new Map<number, number>();
+    this.counts.set(job, counts);
+    counts.set(index, (counts.get(index) ?? 0) + 1);
+  }
 }
--- /dev/null
+++ b/src/core/scheduling/queued-task-return.ts
@@ -0,0 +1,79 @@
+// Takes tasks back that have been queued for too long while another machine could start them, and all tasks queued for
+// machines that can start none.
+import { addMs, type Instant, LONG_AGO, type Millis } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Job } from '../jobs/job.ts';
+import { isGang } from '../jobs/placement-constraints.ts';
+import { type CapacityIndex, sampleFrom } from '../machines/capacity-index.ts';
+import { hasCapacityAhead, type Machine, type QueuedTask } from '../machines/machine.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+import { bucketMayFit, MACHINES_SAMPLED_PER_BUCKET } from './capacity-search.ts';
+import type { Preemption } from './preemption.ts';
+import { placementKind, UnplaceableJobs } from './unplaceable-jobs.ts';
+
+const RETURN_INTERVAL_MS = 500;
+
+/** Returns queued tasks to the controller. */
+export class QueuedTaskReturn {
+  /** How many machines were examined, for the tests that bound the work. */
+  machinesExamined = 0;
+  private nextReturn: Instant = LONG_AGO;
+  private readonly unplaceable = new UnplaceableJobs();
+
+  constructor(
+    private readonly io: ControllerIo,
+    private readonly machines: MachineTable,
+    private readonly capacityIndex: CapacityIndex,
+    private readonly preemption: Preemption,
+  ) {}
+
+  /** Goes through all queues, when it is time; `dequeueAfterMs`: how long a task may be queued. */
+  run(dequeueAfterMs: Millis): void {
+    const { now } = this.io;
+    if (now < this.nextReturn) return;
+    this.nextReturn = addMs(now, RETURN_INTERVAL_MS);
+    this.unplaceable.clear();
+    for (const machine of this.machines.byId.values()) {
+      if (machine.queue.length === 0) continue;
+      if (!machine.isSchedulable) {
+        this.machines.dequeueAll(machine);
+        continue;
+      }
+      this.preemption.preemptForQueueHead(machine);
+      this.returnLateTasks(machine, dequeueAfterMs);
+    }
+  }
+
+  /** A task that no other machine could start keeps its place in the queue. */
+  private returnLateTasks(machine: Machine, dequeueAfterMs: Millis): void {
+    for (const queued of [...machine.queue]) {
+      if (this.io.now - queued.since <= dequeueAfterMs) continue;
+      if (this.couldStartElsewhere(machine, queued)) this.machines.dequeue(machine, queued);
+    }
+  }
+
+  private couldStartElsewhere(machine: Machine, { job }: QueuedTask): boolean {
+    if (isGang(job.spec)) return false;
+    const kind = placementKind(job.spec);
+    if (this.unplaceable.covers(job, kind)) return false;
+    const found = this.hasOtherMachine(job, machine);
+    if (!found) this.unplaceable.add(job, kind);
+    return found;
+  }
+
+  private hasOtherMachine(job: Job, machine: Machine): boolean {
+    let found = false;
+    const examine = (other: Machine): void => {
+      this.machinesExamined++;
+      found ||= other !== machine && hasCapacityAhead(other, job);
+    };
+    for (const pool of this.capacityIndex.pools.values()) {
+      if (!pool.admits(job.spec)) continue;
+      for (const bucket of pool.buckets.values()) {
+        if (found || !bucketMayFit(bucket, job.spec)) continue;
+        sampleFrom(bucket.members, MACHINES_SAMPLED_PER_BUCKET, this.io.random, examine);
+      }
+    }
+    return found;
+  }
+}
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -65,7 +65,7 @@
   }
   const times = new Map<string, number>();
   for (const l of w.logs) {
-    const task = /task gives way .*"task":"([^"]+)"/.exec(l)?.[1];
+    const task = /task preempted .*"task":"([^"]+)"/.exec(l)?.[1];
     if (task !== undefined) times.set(task, (times.get(task) ?? 0) + 1);
   }
   assert.equal(Math.max(...times.values()), 2);
