--- /dev/null
+++ b/src/core/leader/machine-reconciliation.ts
@@ -0,0 +1,121 @@
+// The second step of a failover: the new leader finds out from the recorded machines what runs where.
+import { type Instant, LONG_AGO, type MachineId } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings, WorkerReply } from '../base/model.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import type { Machine } from '../machines/machine.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+
+const PROBE_INTERVAL_MS = 2000;
+/** Only so many machines are probed at a time; most send a heartbeat by themselves within an interval. */
+const MAX_CONCURRENT_PROBES = 16;
+/** Up to this part of the fleet counts as a few machines: what they may run is worth less than all that they hold up. */
+const FEW_MACHINES_FRACTION = 0.01;
+/** An agent whose controller has gone waits for 4 s, and 1 s more before it tries the next. */
+const AGENT_RETRY_MS = 5500;
+/** A few machines are given up when they miss one heartbeat, which may be this many intervals apart. */
+const HEARTBEAT_INTERVAL_MAX_FACTOR = 1.25;
+/** More machines are given several intervals, and at least so long, as something else may keep them away. */
+const MANY_MACHINES_INTERVALS = 3;
+const MANY_MACHINES_MIN_MS = 8000;
+const MANY_MACHINES_MARGIN_MS = 4000;
+
+/** What {@link MachineReconciliation} depends on. */
+export interface MachineReconciliationDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  jobs: JobTable;
+  machines: MachineTable;
+}
+
+/** Probes recorded machines that have sent no heartbeat yet, and returns those that stay silent. */
+export class MachineReconciliation {
+  /** Machines are given time to send a heartbeat from here, however long reading the records took. */
+  private startedAt: Instant = LONG_AGO;
+  private readonly probedAt = new Map<MachineId, Instant>();
+  private openProbes = 0;
+  private readonly io: ControllerIo;
+  private readonly settings: Settings;
+  private readonly jobs: JobTable;
+  private readonly machines: MachineTable;
+
+  constructor(dependencies: MachineReconciliationDependencies) {
+    this.io = dependencies.io;
+    this.settings = dependencies.settings;
+    this.jobs = dependencies.jobs;
+    this.machines = dependencies.machines;
+  }
+
+  /** The records have just been read. */
+  begin(): void {
+    this.startedAt = this.io.now;
+  }
+
+  /**
+   * Probes the machines that have sent no heartbeat under this term, and fences those that stay silent by returning
+   * them; true once there are none. `holdsLease`: no other leader can exist, to which they may be speaking.
+   */
+  tick(holdsLease: boolean): boolean {
+    const silentMachines = this.silentMachines();
+    if (silentMachines.length === 0) return true;
+    const mayRelease = holdsLease && this.machinesBlockWork();
+    for (const machine of silentMachines) {
+      this.probe(machine);
+      if (mayRelease && !machine.isReleasing && this.isSilentTooLong(silentMachines.length))
+        this.release(machine);
+    }
+    return false;
+  }
+
+  private silentMachines(): Machine[] {
+    const machines = [...this.machines.byId.values()];
+    return machines.filter((machine) => machine.registryPage !== null && !machine.isReconciled);
+  }
+
+  private machinesBlockWork(): boolean {
+    for (const job of this.jobs.openJobs.values()) if (job.unlocatedTasks > 0 && !job.isBlocked) return true;
+    return false;
+  }
+
+  private isSilentTooLong(silentCount: number): boolean {
+    return this.io.now - this.startedAt > this.silenceTimeoutMs(silentCount);
+  }
+
+  private silenceTimeoutMs(silentCount: number): number {
+    const heartbeatMs = this.settings.workers.heartbeatS * 1000;
+    const isFew = silentCount <= Math.max(1, this.machines.byId.size * FEW_MACHINES_FRACTION);
+    if (isFew) return heartbeatMs * HEARTBEAT_INTERVAL_MAX_FACTOR + AGENT_RETRY_MS;
+    return Math.max(MANY_MACHINES_INTERVALS * heartbeatMs, MANY_MACHINES_MIN_MS) + MANY_MACHINES_MARGIN_MS;
+  }
+
+  private release(machine: Machine): void {
+    this.machines.beginRelease(machine);
+    this.io.log('info', 'silent machine released to fence its tasks', { machine: machine.id });
+  }
+
+  private probe(machine: Machine): void {
+    const lastProbe = this.probedAt.get(machine.id) ?? LONG_AGO;
+    if (machine.addr === null || this.openProbes >= MAX_CONCURRENT_PROBES) return;
+    if (this.io.now - lastProbe < PROBE_INTERVAL_MS) return;
+    this.openProbes++;
+    this.probedAt.set(machine.id, this.io.now);
+    const agentEpoch = Math.max(1, machine.agentEpoch);
+    this.io.probe(machine.addr, this.machines.fencingToken, agentEpoch, (reply) => {
+      this.openProbes--;
+      this.onProbeReply(machine, reply);
+    });
+  }
+
+  private onProbeReply(machine: Machine, reply: WorkerReply): void {
+    if (reply.kind !== 'heartbeat' || this.machines.byId.get(machine.id) !== machine) return;
+    // Once the machine is in use, only its own heartbeats tell what is not on it: a start command that answered one of
+    // them may still be under way when this reply is made.
+    if (machine.isReconciled) return;
+    // Its address may be another machine's by now.
+    if (reply.heartbeat.machine !== machine.id) return;
+    const expectedEpoch = machine.agentEpoch;
+    this.machines.onHeartbeat(machine, reply.heartbeat, true);
+    // The agent epoch was another: probe again at once with the right one.
+    if (!reply.executed && reply.heartbeat.agentEpoch !== expectedEpoch) this.probedAt.delete(machine.id);
+  }
+}
--- a/src/core/leader/over-quota-eviction.ts
+++ b/src/core/leader/over-quota-eviction.ts
@@ -1,16 +1,25 @@
-// What a team has above a limit that was lowered while its tasks ran: nothing more of it is started, what is bound to machines
-// and not started is taken back, and what runs ends by itself or is stopped, as the team's document says.
+// What a team uses above a limit that was lowered while its tasks ran: nothing more of it is started, what is queued at
+// machines waits again, and what runs ends by itself or is stopped, as the team's document says.
 import { addMs, type Instant, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Team } from '../base/model.ts';
 import type { Configuration } from '../configuration/configuration.ts';
 import type { TaskAssignment } from '../jobs/job.ts';
 import type { JobTable } from '../jobs/job-table.ts';
+import type { Machine } from '../machines/machine.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
 import type { Quota, TeamUsage } from '../teams/quota.ts';
 
-const LOOK_MS = 500;
-const EPS = 1e-6;
+const CHECK_INTERVAL_MS = 500;
+const EPSILON = 1e-6;
+/** Beyond the time that a task needs for its checkpoint. */
+const GRACE_MARGIN_S = 1;
+/** Sorts before all priorities. */
+const RANK_STOPPING = -1;
+
+/** Tasks that are stopped together: a gang's, or one of any other job. */
+type TaskGroup = readonly TaskAssignment[];
+
 /** What {@link OverQuotaEviction} depends on. */
 export interface OverQuotaEvictionDependencies {
   io: ControllerIo;
@@ -20,10 +29,11 @@
   configuration: Configuration;
 }
 
+/** Brings teams back to limits that were lowered. */
 export class OverQuotaEviction {
-  private nextLook = 0 as Instant;
-  /** When tasks of a team that are above its limit, and were told to stop, are ended without saving. */
-  private readonly endBy = new Map<TeamName, Instant>();
+  private nextCheck = 0 as Instant;
+  /** By when tasks of a team above its limit, which were asked to stop, are ended without a checkpoint. */
+  private readonly evictBy = new Map<TeamName, Instant>();
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
   private readonly machines: MachineTable;
@@ -38,73 +48,94 @@
     this.configuration = dependencies.configuration;
   }
 
-  /** Another revision is applied: what is bound beyond a limit waits again. Work: the machines' queues, if any team is above. */
+  /**
+   * Another revision is applied: what is queued beyond a limit waits again. Work: the machines' queues, if any team is
+   * above its limit.
+   */
   onQuotaChanged(): void {
-    const above = new Set<TeamName>();
-    for (const t of this.configuration.effective.teams.values())
-      if (this.quota.overQuota(t.name) !== null) above.add(t.name);
-    if (above.size === 0) return;
-    for (const m of this.machines.byId.values())
-      for (const q of [...m.queue])
-        if (above.has(q.job.spec.team) && this.quota.overQuota(q.job.spec.team) !== null)
-          this.machines.dequeue(m, q);
+    const teamsOverQuota = new Set<TeamName>();
+    for (const team of this.configuration.effective.teams.values())
+      if (this.isOverQuota(team.name)) teamsOverQuota.add(team.name);
+    if (teamsOverQuota.size === 0) return;
+    for (const machine of this.machines.byId.values()) this.dequeueOverQuota(machine, teamsOverQuota);
+  }
+
+  /** `isCertain`: every machine has sent a heartbeat under this term, and may be commanded. */
+  tick(isCertain: boolean): void {
+    if (!isCertain || !this.configuration.hasDocuments || this.io.now < this.nextCheck) return;
+    this.nextCheck = addMs(this.io.now, CHECK_INTERVAL_MS);
+    for (const team of this.configuration.effective.teams.values()) this.check(team);
+  }
+
+  private isOverQuota(team: TeamName): boolean {
+    return this.quota.overQuota(team) !== null;
   }
 
-  /** `certain`: every machine has been heard, and may be commanded. */
-  tick(certain: boolean): void {
-    if (!certain || !this.configuration.hasDocuments || this.io.now < this.nextLook) return;
-    this.nextLook = addMs(this.io.now, LOOK_MS);
-    for (const team of this.configuration.effective.teams.values()) this.look(team);
+  private dequeueOverQuota(machine: Machine, teamsOverQuota: ReadonlySet<TeamName>): void {
+    for (const queued of [...machine.queue]) {
+      const { team } = queued.job.spec;
+      // Each task that goes may bring its team within the limit.
+      if (teamsOverQuota.has(team) && this.isOverQuota(team)) this.machines.dequeue(machine, queued);
+    }
   }
 
-  private look(team: Team): void {
+  private check(team: Team): void {
     if (team.stopAboveWithinS === undefined) return;
-    const above = this.quota.overQuota(team.name);
-    if (above === null) return void this.endBy.delete(team.name);
-    const endBy = this.endBy.get(team.name) ?? addMs(this.io.now, team.stopAboveWithinS * 1000);
-    this.endBy.set(team.name, endBy);
-    this.stopSome(team.name, above, this.io.now >= endBy);
+    const excess = this.quota.overQuota(team.name);
+    if (excess === null) {
+      this.evictBy.delete(team.name);
+      return;
+    }
+    const evictBy = this.evictBy.get(team.name) ?? addMs(this.io.now, team.stopAboveWithinS * 1000);
+    this.evictBy.set(team.name, evictBy);
+    this.stopExcess(team.name, excess, this.io.now >= evictBy);
   }
 
-  /** Tells tasks to stop until what is left is within the limit. `atOnce`: without the time to save. */
-  private stopSome(team: TeamName, above: TeamUsage, atOnce: boolean): void {
-    const left = { ...above };
+  /** Stops tasks until what is left is within the limit. `immediately`: without the time for a checkpoint. */
+  private stopExcess(team: TeamName, excess: TeamUsage, immediately: boolean): void {
+    const remaining = { ...excess };
     for (const group of this.groupsOf(team)) {
-      if (left.cpus <= EPS && left.gpus <= EPS) return;
+      if (remaining.cpus <= EPSILON && remaining.gpus <= EPSILON) return;
       const { spec } = group[0]!.job;
-      // A group that brings down nothing that is above goes on.
-      if (!(left.cpus > EPS && spec.cpus > 0) && !(left.gpus > EPS && spec.gpus > 0)) continue;
-      left.cpus -= spec.cpus * group.length;
-      left.gpus -= spec.gpus * group.length;
-      for (const e of group) this.stop(e, atOnce);
+      const reducesCpus = remaining.cpus > EPSILON && spec.cpus > 0;
+      const reducesGpus = remaining.gpus > EPSILON && spec.gpus > 0;
+      if (!reducesCpus && !reducesGpus) continue;
+      remaining.cpus -= spec.cpus * group.length;
+      remaining.gpus -= spec.gpus * group.length;
+      for (const assignment of group) this.stop(assignment, immediately);
     }
   }
 
-  private stop(e: TaskAssignment, atOnce: boolean): void {
-    if (atOnce) e.stopping = { graceS: 0 };
-    if (e.stopping !== null) return;
-    e.stopping = { graceS: e.job.spec.checkpointDurationS + 1 };
+  private stop(assignment: TaskAssignment, immediately: boolean): void {
+    if (immediately) assignment.stopping = { graceS: 0 };
+    if (assignment.stopping !== null) return;
+    const { job, index, machine } = assignment;
+    assignment.stopping = { graceS: job.spec.checkpointDurationS + GRACE_MARGIN_S };
     this.io.log('info', "task stopped above its team's limit", {
-      task: `${e.job.id}/${e.index}`,
-      team: e.job.spec.team,
-      machine: e.machine,
+      task: `${job.id}/${index}`,
+      team: job.spec.team,
+      machine,
     });
   }
 
-  /** The team's tasks on machines, those of a gang together: those that stop already, then the least urgent and the youngest. */
-  private groupsOf(team: TeamName): TaskAssignment[][] {
-    const groups: TaskAssignment[][] = [];
+  /** The team's tasks on machines: those that are being stopped, then the least urgent, then the youngest first. */
+  private groupsOf(team: TeamName): TaskGroup[] {
+    const groups: TaskGroup[] = [];
     for (const job of this.jobs.openJobs.values()) {
       if (job.spec.team !== team || job.assignedTasks === 0) continue;
-      const entries = [...job.assignments.values()];
-      if (job.spec.kind === 'gang') groups.push(entries);
-      else for (const e of entries) groups.push([e]);
+      const assignments = [...job.assignments.values()];
+      if (job.spec.kind === 'gang') groups.push(assignments);
+      else for (const assignment of assignments) groups.push([assignment]);
     }
     return groups.sort((a, b) => rankOf(a) - rankOf(b) || startOf(b) - startOf(a));
   }
 }
 
-const rankOf = (group: TaskAssignment[]): number =>
-  group.some((e) => e.stopping !== null) ? -1 : group[0]!.job.priority;
+function rankOf(group: TaskGroup): number {
+  const isStopping = group.some((assignment) => assignment.stopping !== null);
+  return isStopping ? RANK_STOPPING : group[0]!.job.priority;
+}
 
-const startOf = (group: TaskAssignment[]): number => Math.max(...group.map((e) => e.runningAt ?? e.sentAt));
+function startOf(group: TaskGroup): number {
+  return Math.max(...group.map((assignment) => assignment.runningAt ?? assignment.sentAt));
+}
