--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -105,12 +105,14 @@
             options,
             fencingCondition: { key: this.election.leaderKey, revision: term },
             configuration: this.configuration,
-            peerRevisions: () => this.peers.configRevisions(),
+            peers: this.peers,
             machineTypes: this.machineTypes,
             jobRecords: this.jobRecords,
             lastRecovery: this.election.lastRecovery,
-            holdsLease: () => this.mayAdopt(term),
-            mayStart: () => this.mayStart(),
+            authority: {
+              holdsLease: () => this.mayAdopt(term),
+              mayStart: () => this.mayStart(),
+            },
             onSuperseded: () => this.overtaken(term),
           });
           this.announce();
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -1,134 +1,155 @@
-// Answers to reports that are held for a moment: work that comes or is placed meanwhile starts at once, instead of waiting for
-// the machine's next report.
+// Responses to heartbeats that are held for a moment: work that comes or is placed meanwhile starts at once, instead of
+// waiting for the machine's next heartbeat.
 import { addMs, type Instant, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
-import type { Command, HeartbeatResponse } from '../base/model.ts';
+import type { Command } from '../base/model.ts';
 import type { Machine } from '../machines/machine.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
+import type { HeartbeatResponder } from './responders.ts';
+import type { TermAuthority } from './term-authority.ts';
 
-/** A busy machine's report waits this long at most for the next pass, if it has room for work that waits. */
-const WAIT_FOR_PASS_MS = 300;
-/** Longest time for which a report of a machine with nothing to tell is held; workers wait for 4 s. */
+/** A busy machine's response waits this long at most for the next scheduling cycle, if it has capacity for work that waits. */
+const CYCLE_WAIT_MAX_MS = 300;
+/** Longest time for which the response to a machine without commands is held; agents wait for 4 s. */
 const HOLD_MAX_MS = 2800;
 
-interface Held {
-  m: Machine;
+interface HeldResponse {
+  machine: Machine;
   commands: Command[];
-  answer: (a: HeartbeatResponse) => void;
-  until: Instant;
-  /** No pass has run since the report. */
-  fresh: boolean;
+  respond: HeartbeatResponder;
+  heldUntil: Instant;
+  /** No scheduling cycle has run since the heartbeat. */
+  isBeforeCycle: boolean;
   /** What is on the machine does not end by itself. */
-  lasting: boolean;
+  runsServicesOnly: boolean;
+}
+
+/** Tells whether a scheduling cycle is due that may bind work to machines. */
+export interface CycleState {
+  readonly hasPendingCycle: boolean;
 }
 
 /** What {@link HeldResponses} depends on. */
 export interface HeldResponsesDependencies {
   io: ControllerIo;
   machines: MachineTable;
+  /** The heartbeat interval, in seconds. */
   heartbeatS: number;
-  isCyclePending: () => boolean;
-  mayStart: () => boolean;
-  holdsLease: () => boolean;
+  scheduler: CycleState;
+  authority: TermAuthority;
 }
 
+/** Holds the responses to heartbeats of machines that have nothing to do but could take work. */
 export class HeldResponses {
-  private readonly held = new Map<MachineId, Held>();
+  private readonly held = new Map<MachineId, HeldResponse>();
   private readonly holdMs: number;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
-  private readonly isCyclePending: () => boolean;
-  private readonly mayStart: () => boolean;
-  private readonly holdsLease: () => boolean;
+  private readonly scheduler: CycleState;
+  private readonly authority: TermAuthority;
+  /** One function for all calls: starts are tried for every held response after every scheduling cycle. */
+  private readonly mayStart = (): boolean => this.authority.mayStart();
 
-  /** `passPending`: whether a pass is due that may bind work; `current`: no other owner can exist. */
   constructor(dependencies: HeldResponsesDependencies) {
     this.io = dependencies.io;
     this.machines = dependencies.machines;
-    this.isCyclePending = dependencies.isCyclePending;
-    this.mayStart = dependencies.mayStart;
-    this.holdsLease = dependencies.holdsLease;
-    const { heartbeatS } = dependencies;
-    // Workers give up after 4 s; and a change on the machine is told only once the last report is answered.
-    this.holdMs = Math.min(HOLD_MAX_MS, heartbeatS * 1000);
+    this.scheduler = dependencies.scheduler;
+    this.authority = dependencies.authority;
+    // Agents give up after 4 s; and they report a change on the machine only once the last heartbeat is answered.
+    this.holdMs = Math.min(HOLD_MAX_MS, dependencies.heartbeatS * 1000);
   }
 
-  has(m: Machine): boolean {
-    return this.held.has(m.id);
+  has(machine: Machine): boolean {
+    return this.held.has(machine.id);
   }
 
-  /** The report is answered at once if there is something to tell, else within a moment, and before `by`. */
-  add(m: Machine, commands: Command[], answer: Held['answer'], by: Instant): void {
-    const until = Math.min(addMs(this.io.now, this.holdMs), by) as Instant;
-    const h: Held = { m, commands, answer, until, fresh: true, lasting: isLasting(m) };
-    this.held.set(m.id, h);
-    this.look(h);
+  /** The heartbeat is answered at once if there are commands, else within a moment, and before `respondBy`. */
+  add(machine: Machine, commands: Command[], respond: HeartbeatResponder, respondBy: Instant): void {
+    const heldUntil = Math.min(addMs(this.io.now, this.holdMs), respondBy) as Instant;
+    const runsServicesOnly = hasOnlyRunningServices(machine);
+    const response: HeldResponse = {
+      machine,
+      commands,
+      respond,
+      heldUntil,
+      isBeforeCycle: true,
+      runsServicesOnly,
+    };
+    this.held.set(machine.id, response);
+    this.respondIfDue(response);
   }
 
-  /** Answers those that have something to tell, or whose time is up. */
+  /** Sends the responses that have commands, or whose time is up. */
   respondDue(): void {
-    for (const h of this.held.values()) this.look(h);
+    for (const response of this.held.values()) this.respondIfDue(response);
   }
 
-  /** A pass has run: what it has bound to machines whose answers are held starts. */
+  /** A scheduling cycle has run: what it has bound to machines whose responses are held starts. */
   onCycle(): void {
-    for (const h of this.held.values()) {
-      h.fresh = false;
-      this.look(h);
+    for (const response of this.held.values()) {
+      response.isBeforeCycle = false;
+      this.respondIfDue(response);
     }
   }
 
-  /** A newer report shows that the worker no longer waits for the answer to the last one. */
-  release(m: Machine): void {
-    const h = this.held.get(m.id);
-    if (h === undefined) return;
-    this.held.delete(m.id);
-    h.answer({ kind: 'redirect', node: null });
+  /** A newer heartbeat shows that the agent no longer waits for the response to the last one. */
+  release(machine: Machine): void {
+    const response = this.held.get(machine.id);
+    if (response === undefined) return;
+    this.held.delete(machine.id);
+    response.respond({ kind: 'redirect', node: null });
   }
 
-  /** The term is over: workers are sent on. */
+  /** The term is over: agents are redirected. */
   close(): void {
-    for (const h of this.held.values()) h.answer({ kind: 'redirect', node: null });
+    for (const { respond } of this.held.values()) respond({ kind: 'redirect', node: null });
     this.held.clear();
   }
 
-  private look(h: Held): void {
-    const { m } = h;
-    h.commands.push(...this.machines.startQueued(m, this.mayStart));
-    if (this.io.now < h.until && (this.awaitsPass(h) || this.awaitsWork(h))) return;
-    this.held.delete(m.id);
-    this.machines.renewLease(m);
-    if (!this.holdsLease()) this.tellBeyond(m);
-    h.answer({ kind: 'commands', fencingToken: this.machines.fencingToken, commands: h.commands });
+  private respondIfDue(response: HeldResponse): void {
+    const { machine, commands } = response;
+    commands.push(...this.machines.startQueued(machine, this.mayStart));
+    if (this.io.now < response.heldUntil && this.mayWait(response)) return;
+    this.held.delete(machine.id);
+    this.machines.renewLease(machine);
+    if (!this.authority.holdsLease()) this.logBeyondLease(machine);
+    response.respond({ kind: 'commands', fencingToken: this.machines.fencingToken, commands });
   }
 
-  /** For plays of a refused leader: who follows it while another may own the share (scripts/refused.ts). */
-  private tellBeyond(m: Machine): void {
-    const jobs = new Set([...m.assignments.values()].map((e) => e.job.id));
-    this.io.log('debug', 'answered beyond the hold', { machine: m.id, jobs: [...jobs] });
+  /** For experiments with a refused leader: which machines still follow it (scripts/refused-leader.ts reads this). */
+  private logBeyondLease(machine: Machine): void {
+    const jobs = new Set([...machine.assignments.values()].map((assignment) => assignment.job.id));
+    this.io.log('debug', 'answered beyond the hold', { machine: machine.id, jobs: [...jobs] });
   }
 
-  /** Work waits that the next pass, which is due at once, may bind to this machine. */
-  private awaitsPass(h: Held): boolean {
-    const waited = this.holdMs - (h.until - this.io.now);
-    const hasRoom = h.m.indexPosition !== null && h.m.freeCpus > 0;
-    return h.fresh && this.isCyclePending() && hasRoom && waited < WAIT_FOR_PASS_MS;
+  private mayWait(response: HeldResponse): boolean {
+    return this.awaitsCycle(response) || this.awaitsWork(response);
+  }
+
+  /** Work waits that the next scheduling cycle, which is due at once, may bind to this machine. */
+  private awaitsCycle({ machine, heldUntil, isBeforeCycle }: HeldResponse): boolean {
+    if (!isBeforeCycle || !this.scheduler.hasPendingCycle) return false;
+    if (machine.indexPosition === null || machine.freeCpus <= 0) return false;
+    const heldMs = this.holdMs - (heldUntil - this.io.now);
+    return heldMs < CYCLE_WAIT_MAX_MS;
   }
 
   /**
-   * The machine has nothing to tell before long, and room for work that may come: idle, or with services only, which do not
-   * end by themselves. With anything else on it the answer goes at once, as the end of a task would be told late.
+   * There are no commands for the machine before long, and it has capacity for work that may come: it is idle, or has
+   * services only, which do not end by themselves. With anything else on it the response goes at once, as the end of a
+   * task would be reported late.
    */
-  private awaitsWork({ m, commands, lasting }: Held): boolean {
-    if (commands.length > 0 || !m.isReconciled || m.drainReason !== null) return false;
-    if (m.isEmpty) return true;
-    const room = m.freeCpus > 0 && (m.type.gpus === 0 || m.freeGpus > 0);
-    return lasting && room && m.indexPosition !== null && m.queue.length === 0;
+  private awaitsWork({ machine, commands, runsServicesOnly }: HeldResponse): boolean {
+    if (commands.length > 0 || !machine.isReconciled || machine.drainReason !== null) return false;
+    if (machine.isEmpty) return true;
+    if (!runsServicesOnly || machine.indexPosition === null || machine.queue.length > 0) return false;
+    const hasFreeGpus = machine.type.gpus === 0 || machine.freeGpus > 0;
+    return machine.freeCpus > 0 && hasFreeGpus;
   }
 }
 
-const isLasting = (m: Machine): boolean => {
-  for (const e of m.assignments.values())
-    if (e.job.spec.kind !== 'service' || e.state !== 'running' || e.stopping !== null) return false;
+function hasOnlyRunningServices(machine: Machine): boolean {
+  for (const { job, state, stopping } of machine.assignments.values())
+    if (job.spec.kind !== 'service' || state !== 'running' || stopping !== null) return false;
   return true;
-};
+}
--- /dev/null
+++ b/src/core/leader/machine-adoption.ts
@@ -0,0 +1,29 @@
+// Machines that nobody expected: rented by a request that was never answered, or by an earlier leader.
+import { NEVER } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Heartbeat } from '../base/model.ts';
+import type { Machine } from '../machines/machine.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+import type { MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
+import type { TermAuthority } from './term-authority.ts';
+
+/** Takes unknown machines that send heartbeats into the machine table. */
+export class MachineAdoption {
+  constructor(
+    private readonly io: ControllerIo,
+    private readonly machines: MachineTable,
+    private readonly machineTypes: MachineTypeCatalog,
+    private readonly authority: TermAuthority,
+  ) {}
+
+  /** The machine that sent the heartbeat, added to the table; null if it is not to be used. */
+  adopt(heartbeat: Heartbeat): Machine | null {
+    const { machine, zone, spot } = heartbeat;
+    const type = this.machineTypes.types.get(heartbeat.type);
+    if (type === undefined || this.machines.tombstones.has(machine)) return null;
+    // Out of the others' reach nothing is started: the machine may serve whoever is the leader by now.
+    if (!this.authority.mayStart()) return null;
+    this.io.log('info', 'machine adopted from its heartbeat', { machine });
+    return this.machines.addMachine(machine, type, zone, spot, NEVER);
+  }
+}
--- /dev/null
+++ b/src/core/leader/term-configuration.ts
@@ -0,0 +1,62 @@
+// The configuration that a leader applies: teams, objectives and scheduler options are handed to all parts of its term.
+import type { Revision } from '../../types/index.ts';
+import type { Settings } from '../base/model.ts';
+import type { Configuration } from '../configuration/configuration.ts';
+import type { DispatchDocument } from '../configuration/documents.ts';
+import type { SchedulerOptions } from '../scheduling/scheduler.ts';
+import type { TermScheduling } from './term-scheduling.ts';
+import type { TermState } from './term-state.ts';
+
+/** What {@link TermConfiguration} depends on. */
+export interface TermConfigurationDependencies {
+  settings: Settings;
+  /** The options that the program was started with. */
+  options: SchedulerOptions;
+  configuration: Configuration;
+  state: TermState;
+  scheduling: TermScheduling;
+}
+
+/** Applies the configuration of this controller to the parts of a term. */
+export class TermConfiguration {
+  /** The revision of the configuration that was on record when the term began. */
+  private readonly revisionAtStart: Revision;
+  private readonly dependencies: TermConfigurationDependencies;
+
+  constructor(dependencies: TermConfigurationDependencies) {
+    this.dependencies = dependencies;
+    this.revisionAtStart = dependencies.configuration.newest;
+  }
+
+  /** Whether the configuration is known that was on record when the term began; nothing is done before. */
+  get isKnown(): boolean {
+    return this.dependencies.configuration.applied >= this.revisionAtStart;
+  }
+
+  /** Hands the configuration that this controller applies to every part of the term. */
+  apply(): void {
+    const { settings, options: baseOptions, configuration, state, scheduling } = this.dependencies;
+    const { teams, objectives, dispatch } = configuration.effective;
+    const options = overlayOptions(baseOptions, dispatch, settings.workers.heartbeatS);
+    state.quota.configure(teams);
+    state.ordering.configure(objectives);
+    scheduling.fairShare.configure(teams.values(), { team: options.teamFloor, class: options.classFloor });
+    state.autoscaler.spareCapacity.configure(objectives, teams.values());
+    scheduling.scheduler.configure(options);
+  }
+}
+
+/** The scheduler options as the configuration document changes them. `heartbeatS`: the heartbeat interval. */
+function overlayOptions(
+  base: SchedulerOptions,
+  document: DispatchDocument,
+  heartbeatS: number,
+): SchedulerOptions {
+  const { threshold, takeBackReports, teamFloor, classFloor } = document;
+  return {
+    threshold: threshold ?? base.threshold,
+    dequeueAfterMs: takeBackReports === undefined ? base.dequeueAfterMs : takeBackReports * heartbeatS * 1000,
+    teamFloor: teamFloor ?? base.teamFloor,
+    classFloor: classFloor ?? base.classFloor,
+  };
+}
--- /dev/null
+++ b/src/core/leader/term-state.ts
@@ -0,0 +1,86 @@
+// The state that a leader keeps during a term: jobs, machines, teams' usage, and the writer that puts changes on record.
+import type { Revision } from '../../types/index.ts';
+import { Autoscaler } from '../autoscaling/autoscaler.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { Settings } from '../base/model.ts';
+import type { Configuration } from '../configuration/configuration.ts';
+import { ArrayProgress } from '../jobs/array-progress.ts';
+import { JobOrdering, RuntimeEstimates } from '../jobs/job-ordering.ts';
+import { JobTable } from '../jobs/job-table.ts';
+import { CapacityIndex } from '../machines/capacity-index.ts';
+import { MachineRegistry } from '../machines/machine-registry.ts';
+import { MachineTable, type MachineTableListener } from '../machines/machine-table.ts';
+import type { MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
+import { FencedWriter, type FencingCondition } from '../storage/fenced-writer.ts';
+import { Quota } from '../teams/quota.ts';
+
+/** What {@link createTermState} depends on. */
+export interface TermStateDependencies {
+  io: ControllerIo;
+  settings: Settings;
+  configuration: Configuration;
+  machineTypes: MachineTypeCatalog;
+  /** The record of the leader at the revision of this term: the condition of all writes. */
+  fencingCondition: FencingCondition;
+  /** A write found that another leader has taken over. */
+  onSuperseded: () => void;
+}
+
+/** The tables of one term, and what keeps them up to date on record. */
+export interface TermState {
+  readonly term: Revision;
+  readonly writer: FencedWriter;
+  readonly progress: ArrayProgress;
+  readonly registry: MachineRegistry;
+  readonly jobs: JobTable;
+  readonly quota: Quota;
+  readonly capacityIndex: CapacityIndex;
+  readonly machines: MachineTable;
+  readonly estimates: RuntimeEstimates;
+  readonly ordering: JobOrdering;
+  readonly autoscaler: Autoscaler;
+}
+
+/** Creates the empty tables of a new term. */
+export function createTermState(
+  dependencies: TermStateDependencies,
+  listener: MachineTableListener,
+): TermState {
+  const { io, settings, configuration, machineTypes, fencingCondition, onSuperseded } = dependencies;
+  const { teams, objectives } = configuration.effective;
+  const { types } = machineTypes;
+  const term = fencingCondition.revision;
+  const writer = new FencedWriter(io, settings, fencingCondition, onSuperseded);
+  const progress = new ArrayProgress(io, writer, settings.store, term);
+  const registry = new MachineRegistry(io, writer, term);
+  const jobs = new JobTable(io, writer, progress);
+  const quota = new Quota(teams);
+  const capacityIndex = new CapacityIndex();
+  const machines = new MachineTable({ io, settings, jobs, registry, quota, capacityIndex, listener, term });
+  const estimates = new RuntimeEstimates();
+  const ordering = new JobOrdering(objectives, estimates);
+  const autoscaler = new Autoscaler({
+    io,
+    settings,
+    jobs,
+    machines,
+    quota,
+    estimates,
+    ordering,
+    term,
+    types,
+  });
+  return {
+    term,
+    writer,
+    progress,
+    registry,
+    jobs,
+    quota,
+    capacityIndex,
+    machines,
+    estimates,
+    ordering,
+    autoscaler,
+  };
+}
--- a/src/core/leader/user-request-handler.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -1,5 +1,5 @@
-// What users ask of the owner: new jobs, and what has become of those that it holds.
-
+// What users ask of the leader: that it accepts new jobs, and the status of those that it knows.
+import type { JobId } from '../../types/index.ts';
 import { infeasibilityReason, oversizeReason } from '../admission/feasibility.ts';
 import { jitteredRetryS } from '../admission/load-shedder.ts';
 import { TeamThrottle } from '../admission/team-throttle.ts';
@@ -15,13 +15,20 @@
 import type { FencedWriter } from '../storage/fenced-writer.ts';
 import type { JobRecordReader } from '../storage/job-record-reader.ts';
 import type { Quota } from '../teams/quota.ts';
+import type { RecoveryState } from './recovery-state.ts';
+import type { UserResponder } from './responders.ts';
 
-/** Accepting work stops while more writes wait than can be made in this time: users are told to come back instead. */
+/** Acceptance stops while more writes wait than can be made in this time: users are told to retry instead. */
 const MAX_BACKLOG_S = 3;
-/** So many times that much may wait while it is others who ask for too much. */
-const BACKLOG_SPARE = 1.5;
-/** Of the jobs that a waiting one awaits, so many are told. */
-const DEPENDENCIES_SHOWN = 20;
+/** So many times that much may wait while other teams ask for more than their part. */
+const BACKLOG_LIMIT_FACTOR = 1.5;
+/** Of the jobs that a blocked one depends on, so many are listed. */
+const MAX_DEPENDENCIES_LISTED = 20;
+const STORE_RETRY_S = 2;
+
+/** Why a job can never be accepted as it is. */
+type Refusal = Extract<UserResponse, { kind: 'impossible' | 'too-large' }>;
+
 /** What {@link UserRequestHandler} depends on. */
 export interface UserRequestHandlerDependencies {
   io: ControllerIo;
@@ -33,10 +40,10 @@
   jobRecords: JobRecordReader;
   configuration: Configuration;
   dependencies: Dependencies;
-  /** Whether all records have been read. */
-  isLoaded: () => boolean;
+  recovery: RecoveryState;
 }
 
+/** Accepts and refuses jobs, and tells their status, under one term. */
 export class UserRequestHandler {
   private readonly throttle: TeamThrottle;
   private readonly maxBacklog: number;
@@ -49,7 +56,7 @@
   private readonly jobRecords: JobRecordReader;
   private readonly configuration: Configuration;
   private readonly dependencies: Dependencies;
-  private readonly isLoaded: () => boolean;
+  private readonly recovery: RecoveryState;
 
   constructor(dependencies: UserRequestHandlerDependencies) {
     this.io = dependencies.io;
@@ -61,10 +68,9 @@
     this.jobRecords = dependencies.jobRecords;
     this.configuration = dependencies.configuration;
     this.dependencies = dependencies.dependencies;
-    this.isLoaded = dependencies.isLoaded;
-    const { io, settings } = dependencies;
-    this.throttle = new TeamThrottle(io);
-    this.maxBacklog = Math.ceil(settings.store.writesPerS * MAX_BACKLOG_S);
+    this.recovery = dependencies.recovery;
+    this.throttle = new TeamThrottle(dependencies.io);
+    this.maxBacklog = Math.ceil(dependencies.settings.store.writesPerS * MAX_BACKLOG_S);
   }
 
   /** Seconds that it takes to write what waits to be written. */
@@ -72,97 +78,124 @@
     return this.writer.backlog / this.settings.store.writesPerS;
   }
 
-  submit(spec: JobSpec, answer: (a: UserResponse) => void): void {
-    const job = this.jobs.openJobs.get(spec.id);
-    if (job !== undefined) {
-      const a = this.statusOf(job);
-      return answer(a.kind === 'retry' ? a : { kind: 'known', id: spec.id, status: job.status() });
-    }
-    const final = this.jobs.finalState(spec.id);
-    if (final !== null) return answer({ kind: 'known', id: spec.id, status: final.status });
-    if (!this.isLoaded()) return answer(retryLater('the jobs on record are being read'));
+  /** Accepts the job, or tells why not; a repeated submission is told what has become of the job. */
+  submit(spec: JobSpec, respond: UserResponder): void {
+    const known = this.knownSubmission(spec.id);
+    if (known !== null) return respond(known);
+    if (!this.recovery.isLoaded) return respond(retryLater('the jobs on record are being read'));
     if (this.writer.unavailableSince !== null)
-      return answer(retryLater('the state service does not answer', 2));
-    // A team that the settings do not name is refused below, and must not count among those that submissions are shared among.
+      return respond(retryLater('the state service does not answer', STORE_RETRY_S));
+    // Teams that the settings do not name are refused below, and must not count among those that submissions are
+    // divided among.
     if (this.quota.team(spec.team) !== undefined) this.throttle.recordSubmission(spec.team);
-    // Beyond the first bound those who ask for more than their part are sent back, beyond the second everybody.
-    const { backlog } = this.writer;
-    if (
-      backlog > this.maxBacklog * BACKLOG_SPARE ||
-      (backlog > this.maxBacklog && this.throttle.isThrottled(spec.team))
-    ) {
-      const afterS = this.throttle.retryAfterS(spec.team, 1 + this.backlogS / 2);
-      return answer(retryLater('too many submissions at once', jitteredRetryS(this.io, afterS), true));
+    if (this.isBacklogFullFor(spec)) return respond(this.backlogFullResponse(spec));
+    if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, respond);
+    const refusal = this.refusalOf(spec);
+    if (refusal !== null) return this.refuse(spec, refusal, respond);
+    if (spec.dependsOn === undefined) return this.jobs.accept(spec, respond);
+    checkDependencies(
+      spec,
+      (id) => this.kindOf(id),
+      this.jobRecords,
+      respond,
+      () => this.acceptChecked(spec, respond),
+    );
+  }
+
+  /** What is known of a job without asking the state service; null if that must be asked. */
+  status(id: JobId): UserResponse | null {
+    const job = this.jobs.openJobs.get(id);
+    if (job !== undefined) return this.statusOf(job);
+    const final = this.jobs.finalState(id);
+    return final === null ? null : { kind: 'ended', id, status: final.status };
+  }
+
+  /** What a repeated submission is told; null if the job is not known. */
+  private knownSubmission(id: JobId): UserResponse | null {
+    const job = this.jobs.openJobs.get(id);
+    if (job !== undefined) {
+      const status = this.statusOf(job);
+      return status.kind === 'retry' ? status : { kind: 'known', id, status: job.status() };
     }
-    if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, answer);
-    const reason = infeasibilityReason(spec, this.machineTypes.types, this.configuration.effective.teams);
-    if (reason !== null) return this.refuse(spec, { kind: 'impossible', reason }, answer);
-    const large = oversizeReason(spec, this.settings.store);
-    if (large !== null) return this.refuse(spec, { kind: 'too-large', reason: large }, answer);
-    if (spec.dependsOn === undefined) return this.jobs.accept(spec, answer);
-    const known = (id: JobSpec['id']) =>
-      this.jobs.openJobs.get(id)?.spec.kind ?? (this.jobs.finalState(id) === null ? null : 'over');
-    checkDependencies(spec, known, this.jobRecords, answer, () => this.acceptStill(spec, answer));
+    const final = this.jobs.finalState(id);
+    return final === null ? null : { kind: 'known', id, status: final.status };
   }
 
-  /** What the job awaits has been checked; another copy of the submission may have been faster. */
-  private acceptStill(spec: JobSpec, answer: (a: UserResponse) => void): void {
-    const known = this.status(spec.id);
-    if (known === null) this.jobs.accept(spec, answer);
-    else answer(asSubmissionResponse(known));
+  /** Beyond the first bound teams that ask for more than their part are sent back, beyond the second everybody. */
+  private isBacklogFullFor(spec: JobSpec): boolean {
+    const { backlog } = this.writer;
+    if (backlog > this.maxBacklog * BACKLOG_LIMIT_FACTOR) return true;
+    return backlog > this.maxBacklog && this.throttle.isThrottled(spec.team);
   }
 
-  /**
-   * A job known from before is never called impossible, whatever is offered today or said of it in the repetition; nor is one
-   * that another node took in a moment ago.
-   */
-  private refuse(
-    spec: JobSpec,
-    refusal: Extract<UserResponse, { kind: 'impossible' | 'too-large' }>,
-    answer: (a: UserResponse) => void,
-  ): void {
-    this.jobRecords.readStatus(spec.id, (a) => {
-      if (a.kind !== 'not-found') return answer(asSubmissionResponse(a));
-      this.io.log('info', 'job refused', { job: spec.id, reason: refusal.reason });
-      answer(refusal);
-    });
+  private backlogFullResponse(spec: JobSpec): UserResponse {
+    const retryAfterS = this.throttle.retryAfterS(spec.team, 1 + this.backlogS / 2);
+    return retryLater('too many submissions at once', jitteredRetryS(this.io, retryAfterS), true);
+  }
+
+  private refusalOf(spec: JobSpec): Refusal | null {
+    const { types } = this.machineTypes;
+    const infeasible = infeasibilityReason(spec, types, this.configuration.effective.teams);
+    if (infeasible !== null) return { kind: 'impossible', reason: infeasible };
+    const oversize = oversizeReason(spec, this.settings.store);
+    return oversize === null ? null : { kind: 'too-large', reason: oversize };
   }
 
-  /** What is known without asking the state service; null if that must be asked. */
-  status(id: JobSpec['id']): UserResponse | null {
+  /** The kind of a job that another is to depend on; null if it is not known here. */
+  private kindOf(id: JobId): JobSpec['kind'] | 'over' | null {
     const job = this.jobs.openJobs.get(id);
-    if (job === undefined) {
-      const final = this.jobs.finalState(id);
-      return final === null ? null : { kind: 'ended', id, status: final.status };
-    }
-    return this.statusOf(job);
+    if (job !== undefined) return job.spec.kind;
+    return this.jobs.finalState(id) === null ? null : 'over';
   }
 
-  /** A job that waits may be larger than its team's limit, which was lowered after it was accepted. */
-  private obstacleOf(job: Job): { reason?: string } {
-    if (!this.configuration.hasDocuments || job.unplacedTasks === 0) return {};
-    const reason = this.quota.violation(job.spec);
-    return reason === null ? {} : { reason };
+  /** The job's dependencies have been checked; another copy of the submission may have been faster. */
+  private acceptChecked(spec: JobSpec, respond: UserResponder): void {
+    const known = this.status(spec.id);
+    if (known === null) this.jobs.accept(spec, respond);
+    else respond(asSubmissionResponse(known));
+  }
+
+  /**
+   * A job known from before is never called impossible, whatever is offered today or said of it in the repetition; nor
+   * is one that another controller accepted a moment ago.
+   */
+  private refuse(spec: JobSpec, refusal: Refusal, respond: UserResponder): void {
+    this.jobRecords.readStatus(spec.id, (response) => {
+      if (response.kind !== 'not-found') return respond(asSubmissionResponse(response));
+      this.io.log('info', 'job refused', { job: spec.id, reason: refusal.reason });
+      respond(refusal);
+    });
   }
 
   private statusOf(job: Job): UserResponse {
     const { id } = job;
     if (job.cancelled) return { kind: 'ended', id, status: 'cancelled' };
-    if (job.mayHaveEnded) return UNSURE;
-    if (this.dependencies.isUncertain(job)) return UNCERTAIN;
+    if (job.mayHaveEnded) return RETRY_WHILE_ENDING;
+    if (this.dependencies.isUncertain(job)) return RETRY_WHILE_UNCERTAIN;
     return {
       kind: 'status',
       id,
       status: job.status(),
       done: Math.min(job.doneCount, job.spec.tasks),
       running: job.runningTasks,
-      ...(job.unmetDependencies.size === 0
-        ? {}
-        : { dependsOn: [...job.unmetDependencies].slice(0, DEPENDENCIES_SHOWN) }),
-      ...this.obstacleOf(job),
+      ...dependenciesOf(job),
+      ...this.waitReasonOf(job),
     };
   }
+
+  /** A job that waits may be larger than its team's limit, which was lowered after it was accepted. */
+  private waitReasonOf(job: Job): { reason?: string } {
+    if (!this.configuration.hasDocuments || job.unplacedTasks === 0) return {};
+    const reason = this.quota.violation(job.spec);
+    return reason === null ? {} : { reason };
+  }
+}
+
+/** The first of the jobs that a job waits for, if there are any. */
+function dependenciesOf(job: Job): { dependsOn?: JobId[] } {
+  if (job.unmetDependencies.size === 0) return {};
+  return { dependsOn: [...job.unmetDependencies].slice(0, MAX_DEPENDENCIES_LISTED) };
 }
 
-const UNCERTAIN = retryLater('the jobs that it awaits are being read');
-const UNSURE = retryLater('its end or its cancellation is being written');
+const RETRY_WHILE_UNCERTAIN = retryLater('the jobs that it awaits are being read');
+const RETRY_WHILE_ENDING = retryLater('its end or its cancellation is being written');
