--- /dev/null
+++ b/src/core/controller/heartbeat-router.ts
@@ -0,0 +1,122 @@
+// Heartbeats at any controller: served here by the leader, else forwarded or relayed to it, deferred until there is one, or
+// redirected.
+import { type FencingToken, type Instant, NEVER, type NodeId } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type {
+  ForwardedHeartbeat,
+  ForwardedHeartbeatResponse,
+  Heartbeat,
+  HeartbeatResponse,
+} from '../base/model.ts';
+import type { ConnectionBalancer } from '../heartbeats/connection-balancer.ts';
+import type { HeartbeatForwarder } from '../heartbeats/heartbeat-forwarder.ts';
+import type { HeartbeatRelay } from '../heartbeats/heartbeat-relay.ts';
+import type { HeartbeatResponder } from '../leader/responders.ts';
+import type { LeaderRecord } from '../membership/leader-election.ts';
+import type { PeerRegistry } from '../membership/peer-registry.ts';
+import type { Leadership } from './leadership.ts';
+
+/** What {@link HeartbeatRouter} depends on. */
+export interface HeartbeatRouterDependencies {
+  io: ControllerIo;
+  self: NodeId;
+  leadership: Leadership;
+  peers: PeerRegistry;
+  balancer: ConnectionBalancer;
+  forwarder: HeartbeatForwarder;
+  relay: HeartbeatRelay;
+}
+
+/** Routes heartbeats to the leader, by the way that is open. */
+export class HeartbeatRouter {
+  private readonly io: ControllerIo;
+  private readonly self: NodeId;
+  private readonly leadership: Leadership;
+  private readonly peers: PeerRegistry;
+  private readonly balancer: ConnectionBalancer;
+  private readonly forwarder: HeartbeatForwarder;
+  private readonly relay: HeartbeatRelay;
+
+  constructor(dependencies: HeartbeatRouterDependencies) {
+    this.io = dependencies.io;
+    this.self = dependencies.self;
+    this.leadership = dependencies.leadership;
+    this.peers = dependencies.peers;
+    this.balancer = dependencies.balancer;
+    this.forwarder = dependencies.forwarder;
+    this.relay = dependencies.relay;
+  }
+
+  /** A heartbeat of an agent connected here; with too many of them, it is redirected before anything is read. */
+  onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+    const target = this.balancer.onHeartbeat(heartbeat.machine);
+    if (target !== null) respond({ kind: 'redirect', node: target });
+    else this.route(heartbeat, respond);
+  }
+
+  /** A relayed heartbeat is answered like one that came directly, or with null by a controller that does not lead. */
+  onRelayedHeartbeat(node: NodeId, id: number, heartbeat: Heartbeat): void {
+    const respond = (response: HeartbeatResponse | null) =>
+      this.io.emit({ kind: 'peer', node, message: { kind: 'relayed-heartbeat-response', id, response } });
+    if (this.leadership.leaderTerm === null) respond(null);
+    else this.route(heartbeat, respond);
+  }
+
+  /** A forwarded heartbeat, whole or as a delta; null says that this controller does not lead. */
+  onForwardedHeartbeat(node: NodeId, id: number, heartbeat: ForwardedHeartbeat): void {
+    const respond = (response: ForwardedHeartbeatResponse) =>
+      this.io.emit({ kind: 'peer', node, message: { kind: 'forwarded-heartbeat-response', id, response } });
+    const isDelta = heartbeat.kind === 'delta';
+    const token = isDelta ? heartbeat.fencingToken : heartbeat.heartbeat.fencingToken;
+    if (this.isSuperseded(token)) return respond(null);
+    const { leaderTerm, authority } = this.leadership;
+    if (leaderTerm === null || !authority.mayCommand()) return respond(null);
+    leaderTerm.onForwardedHeartbeat(heartbeat, respond);
+  }
+
+  /** After every input: heartbeats that waited for a leader go to it as soon as there is one. */
+  resumeDeferred(): void {
+    const { leader } = this.leadership.election;
+    if (leader === null) return;
+    this.forwarder.onLeader(leader);
+    if (!this.isServedBy(leader)) return;
+    this.forwarder.resumeDeferred((heartbeat, respond, respondBy) =>
+      this.route(heartbeat, respond, respondBy),
+    );
+  }
+
+  /** Whether the leader, this controller or another, can be handed heartbeats now. */
+  private isServedBy(leader: LeaderRecord): boolean {
+    if (leader.node !== this.self) return this.peers.connectedPeers.has(leader.node);
+    return this.leadership.leaderTerm !== null && this.leadership.authority.mayCommand();
+  }
+
+  /** Whether the machine has seen a higher token than this leader's: another has taken over, and this term ends. */
+  private isSuperseded(token: FencingToken): boolean {
+    const { leaderTerm, election } = this.leadership;
+    if (leaderTerm === null || token <= leaderTerm.machines.fencingToken) return false;
+    election.onHigherFencingToken();
+    return true;
+  }
+
+  /** `respondBy`: when its agent must be answered, if the heartbeat has waited before. */
+  private route(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
+    if (this.isSuperseded(heartbeat.fencingToken)) return respond({ kind: 'redirect', node: null });
+    const { leaderTerm, authority } = this.leadership;
+    if (leaderTerm !== null && authority.mayCommand())
+      return leaderTerm.onHeartbeat(heartbeat, respond, respondBy);
+    const leader = this.leadership.remoteLeader;
+    const isConnected = leader !== null && this.peers.connectedPeers.has(leader.node);
+    if (this.shouldDefer(leader, isConnected)) return this.forwarder.defer(heartbeat, respond, respondBy);
+    if (isConnected && this.peers.forwardingPeers.has(leader.node) && this.forwarder.isUsable)
+      return this.forwarder.forward(heartbeat, leader.node, respond, respondBy);
+    this.relay.relay(heartbeat, leader, isConnected, respond);
+  }
+
+  /** Whether a leader is about to be elected: an agent that is redirected meanwhile would only come back. */
+  private shouldDefer(leader: LeaderRecord | null, isConnected: boolean): boolean {
+    if (isConnected) return leader !== null && this.forwarder.leaderMayHaveEnded(leader.node);
+    if (this.peers.connectedPeers.size === 0) return false;
+    return leader === null || this.forwarder.disconnectedRecently(leader.node);
+  }
+}
