--- a/src/protocol/relay.ts
+++ b/src/protocol/relay.ts
@@ -1,5 +1,5 @@
-// Workers' heartbeats and their responses as JSON, in the form in which controllers relay them to each other. The names of
-// this form are part of the peer protocol and stay as they are.
+// Workers' heartbeats and their responses as JSON, in the form in which controllers relay them to each other. The names
+// of this form are part of the peer protocol and stay as they are.
 import type {
   Command,
   ExitReason,
@@ -18,7 +18,8 @@
   saved: boolean;
 }
 
-interface RelayedReport {
+/** A heartbeat in the form in which it is relayed. */
+export interface RelayedHeartbeat {
   machine: MachineId;
   addr: string;
   type: TypeName;
@@ -31,11 +32,12 @@
   tasks: RelayedTask[];
 }
 
-type RelayedAnswer =
+/** A response to a heartbeat in the form in which it is relayed. */
+export type RelayedResponse =
   | { kind: 'orders'; token: FencingToken; commands: Command[] }
   | { kind: 'elsewhere'; node: NodeId | null };
 
-const relayedTask = (task: TaskStatus): RelayedTask => ({
+const encodeTask = (task: TaskStatus): RelayedTask => ({
   task: task.task,
   attempt: task.attempt,
   state: task.state,
@@ -43,21 +45,31 @@
   saved: task.checkpointed,
 });
 
-export const encodeRelayedHeartbeat = (report: Heartbeat): RelayedReport => ({
-  machine: report.machine,
-  addr: report.addr,
-  type: report.type,
-  zone: report.zone,
-  spot: report.spot,
-  session: report.agentEpoch,
-  seq: report.seq,
-  token: report.fencingToken,
-  noticeS: report.preemptionNoticeS,
-  tasks: report.tasks.map(relayedTask),
+const decodeTask = (task: RelayedTask): TaskStatus => ({
+  task: task.task,
+  attempt: task.attempt,
+  state: task.state,
+  exitReason: task.why,
+  checkpointed: task.saved,
+});
+
+/** The form in which a heartbeat is relayed. */
+export const encodeRelayedHeartbeat = (heartbeat: Heartbeat): RelayedHeartbeat => ({
+  machine: heartbeat.machine,
+  addr: heartbeat.addr,
+  type: heartbeat.type,
+  zone: heartbeat.zone,
+  spot: heartbeat.spot,
+  session: heartbeat.agentEpoch,
+  seq: heartbeat.seq,
+  token: heartbeat.fencingToken,
+  noticeS: heartbeat.preemptionNoticeS,
+  tasks: heartbeat.tasks.map(encodeTask),
 });
 
+/** Reads a heartbeat that another controller relayed; controllers trust each other, so it is not checked. */
 export function decodeRelayedHeartbeat(json: unknown): Heartbeat {
-  const relayed = json as RelayedReport;
+  const relayed = json as RelayedHeartbeat;
   return {
     machine: relayed.machine,
     addr: relayed.addr,
@@ -68,23 +80,19 @@
     seq: relayed.seq,
     fencingToken: relayed.token,
     preemptionNoticeS: relayed.noticeS,
-    tasks: relayed.tasks.map((task) => ({
-      task: task.task,
-      attempt: task.attempt,
-      state: task.state,
-      exitReason: task.why,
-      checkpointed: task.saved,
-    })),
+    tasks: relayed.tasks.map(decodeTask),
   };
 }
 
-export const encodeRelayedResponse = (answer: HeartbeatResponse): RelayedAnswer =>
-  answer.kind === 'commands'
-    ? { kind: 'orders', token: answer.fencingToken, commands: answer.commands }
-    : { kind: 'elsewhere', node: answer.node };
+/** The form in which the response to a heartbeat is relayed. */
+export const encodeRelayedResponse = (response: HeartbeatResponse): RelayedResponse =>
+  response.kind === 'commands'
+    ? { kind: 'orders', token: response.fencingToken, commands: response.commands }
+    : { kind: 'elsewhere', node: response.node };
 
+/** Reads a response that another controller relayed; it is not checked either. */
 export function decodeRelayedResponse(json: unknown): HeartbeatResponse {
-  const relayed = json as RelayedAnswer;
+  const relayed = json as RelayedResponse;
   return relayed.kind === 'orders'
     ? { kind: 'commands', fencingToken: relayed.token, commands: relayed.commands }
     : { kind: 'redirect', node: relayed.node };
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,142 +1,170 @@
-// The platform's settings file (JSON), checked strictly in what is used; unknown fields are ignored.
+// Reads the platform's settings file (JSON). What is used is checked strictly, unknown fields are ignored.
 import * as v from 'valibot';
 import type { Settings, StoreLimits } from '../core/base/model.ts';
+import { SwiftfordError } from '../types/errors.ts';
 import type { NodeId, TeamName, ZoneName } from '../types/index.ts';
 
+/**
+ * A settings or input file, an option or an argument is wrong. The text names the file and the key, and is all that the
+ * operator is shown.
+ */
+export class InvalidSettingsError extends SwiftfordError {
+  readonly code = 'INVALID_SETTINGS';
+  /** Where the error is printed with its name, operators have always seen `Error: FILE: KEY: ...`. */
+  override readonly name = 'Error';
+}
+
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0));
+const positiveInteger = v.pipe(positive, v.integer());
 const name = v.pipe(v.string(), v.minLength(1));
 const address = v.pipe(
   v.string(),
   v.regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'must look like 10.0.0.1:8080'),
 );
 
-const schema = v.object({
+const peer = v.object({ node: name, location: v.optional(v.string(), ''), peer_addr: address });
+const team = v.object({
+  name,
+  cpus: v.nullish(amount, 0),
+  cpus_max: v.nullish(amount, 0),
+  gpus: v.nullish(amount, 0),
+  gpus_max: v.nullish(amount, 0),
+});
+const objective = v.object({
+  kind: name,
+  class: v.nullish(v.string()),
+  within_s: v.nullish(amount),
+  share: v.nullish(amount),
+  times: v.nullish(amount),
+});
+const workers = v.object({
+  report_s: positive,
+  lease_s: positive,
+  gang_wait_s: positive,
+  gang_peer_s: positive,
+  cancel_s: positive,
+});
+/** Limits of the store that will hold later; it is not announced when they begin. */
+const nextStoreLimits = v.object({
+  rps: v.nullish(positive),
+  write_rps: v.nullish(positive),
+  value_kb: v.nullish(positive),
+  txn_ops: v.nullish(positiveInteger),
+});
+const store = v.object({
+  rps: positive,
+  write_rps: positive,
+  value_kb: positive,
+  txn_ops: positiveInteger,
+  next: v.nullish(nextStoreLimits),
+});
+
+const DEFAULT_SOCKETS = 1000;
+const processLimits = v.object({
+  sockets: v.optional(positive, DEFAULT_SOCKETS),
+  ram_mb: v.nullish(positive),
+});
+
+const settingsFile = v.object({
   node: name,
   location: name,
   bind: address,
   internal_addr: address,
-  others: v.optional(
-    v.array(v.object({ node: name, location: v.optional(v.string(), ''), peer_addr: address })),
-    [],
-  ),
+  others: v.optional(v.array(peer), []),
   outside: v.object({ cloud: address, state: address }),
   params: v.object({
     zones: v.optional(v.array(name), []),
-    teams: v.array(
-      v.object({
-        name,
-        cpus: v.nullish(amount, 0),
-        cpus_max: v.nullish(amount, 0),
-        gpus: v.nullish(amount, 0),
-        gpus_max: v.nullish(amount, 0),
-      }),
-    ),
-    objectives: v.optional(
-      v.array(
-        v.object({
-          kind: name,
-          class: v.nullish(v.string()),
-          within_s: v.nullish(amount),
-          share: v.nullish(amount),
-          times: v.nullish(amount),
-        }),
-      ),
-      [],
-    ),
-    workers: v.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
-    }),
-    state: v.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: v.pipe(positive, v.integer()),
-      // Limits that come later, without notice.
-      next: v.nullish(
-        v.object({
-          rps: v.nullish(positive),
-          write_rps: v.nullish(positive),
-          value_kb: v.nullish(positive),
-          txn_ops: v.nullish(v.pipe(positive, v.integer())),
-        }),
-      ),
-    }),
+    teams: v.array(team),
+    objectives: v.optional(v.array(objective), []),
+    workers,
+    state: store,
     cloud: v.object({ rps: positive, list_lag_s: amount }),
-    limits: v.optional(v.object({ sockets: v.optional(positive, 1000), ram_mb: v.nullish(positive) }), {
-      sockets: 1000,
-    }),
+    limits: v.optional(processLimits, { sockets: DEFAULT_SOCKETS }),
   }),
 });
 
-type StateSettings = v.InferOutput<typeof schema>['params']['state'];
+type SettingsFile = v.InferOutput<typeof settingsFile>;
+type StoreSettings = v.InferOutput<typeof store>;
 
-/** Nobody is told when the limits to come begin, so all that is written fits both from the start. */
-function safeLimits(s: StateSettings): StoreLimits {
-  const least = (now: number, next: number | null | undefined) => Math.min(now, next ?? now);
+/** The least of the limits that hold now and later: everything that is written has to fit both from the start. */
+function safeStoreLimits(limits: StoreSettings): StoreLimits {
+  const { next } = limits;
+  const least = (now: number, later: number | null | undefined) => Math.min(now, later ?? now);
   return {
-    requestsPerS: least(s.rps, s.next?.rps),
-    writesPerS: least(s.write_rps, s.next?.write_rps),
-    maxValueKb: least(s.value_kb, s.next?.value_kb),
-    maxTransactionOps: least(s.txn_ops, s.next?.txn_ops),
+    requestsPerS: least(limits.rps, next?.rps),
+    writesPerS: least(limits.write_rps, next?.write_rps),
+    maxValueKb: least(limits.value_kb, next?.value_kb),
+    maxTransactionOps: least(limits.txn_ops, next?.txn_ops),
   };
 }
 
-export class InvalidSettingsError extends Error {}
-
-function issueLine(file: string, issue: v.BaseIssue<unknown>): string {
-  const path = issue.path?.map((p) => String(p.key)).join('.') ?? '(whole file)';
+function describeIssue(file: string, issue: v.BaseIssue<unknown>): string {
+  const path = issue.path?.map((segment) => String(segment.key)).join('.') ?? '(whole file)';
   return `${file}: ${path}: ${issue.message}`;
 }
 
-export function parseSettings(file: string, text: string): Settings {
-  let json: unknown;
+function parseJson(file: string, text: string): unknown {
   try {
-    json = JSON.parse(text);
-  } catch (e) {
-    throw new InvalidSettingsError(`${file}: not JSON: ${(e as Error).message}`);
+    return JSON.parse(text);
+  } catch (cause) {
+    throw new InvalidSettingsError(`${file}: not JSON: ${(cause as Error).message}`, { cause });
   }
-  const checked = v.safeParse(schema, json);
-  if (!checked.success) throw new InvalidSettingsError(issueLine(file, checked.issues[0]));
-  const s = checked.output;
+}
+
+/** Reads the text of a settings file; throws `InvalidSettingsError`, naming `file` and the key that is wrong. */
+export function parseSettings(file: string, text: string): Settings {
+  const checked = v.safeParse(settingsFile, parseJson(file, text));
+  if (!checked.success) throw new InvalidSettingsError(describeIssue(file, checked.issues[0]));
+  return settingsOf(checked.output);
+}
+
+function settingsOf(file: SettingsFile): Settings {
+  const { params } = file;
   return {
-    node: s.node as NodeId,
-    zone: s.location as ZoneName,
-    listen: s.bind,
-    peerListen: s.internal_addr,
-    peers: s.others.map((o) => ({ node: o.node as NodeId, zone: o.location as ZoneName, addr: o.peer_addr })),
-    cloudAddr: s.outside.cloud,
-    storeAddr: s.outside.state,
-    zones: s.params.zones as ZoneName[],
-    teams: s.params.teams.map((t) => ({
-      name: t.name as TeamName,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
-    })),
-    objectives: s.params.objectives.map((o) => ({
-      kind: o.kind,
-      class: o.class ?? null,
-      withinS: o.within_s ?? null,
-      share: o.share ?? null,
-      times: o.times ?? null,
-    })),
+    node: file.node as NodeId,
+    zone: file.location as ZoneName,
+    listen: file.bind,
+    peerListen: file.internal_addr,
+    peers: file.others.map(peerOf),
+    cloudAddr: file.outside.cloud,
+    storeAddr: file.outside.state,
+    zones: params.zones as ZoneName[],
+    teams: params.teams.map(teamOf),
+    objectives: params.objectives.map(objectiveOf),
     workers: {
-      heartbeatS: s.params.workers.report_s,
-      leaseS: s.params.workers.lease_s,
-      gangWaitS: s.params.workers.gang_wait_s,
-      gangPeerS: s.params.workers.gang_peer_s,
-      cancelS: s.params.workers.cancel_s,
+      heartbeatS: params.workers.report_s,
+      leaseS: params.workers.lease_s,
+      gangWaitS: params.workers.gang_wait_s,
+      gangPeerS: params.workers.gang_peer_s,
+      cancelS: params.workers.cancel_s,
     },
-    store: safeLimits(s.params.state),
-    currentWritesPerS: s.params.state.write_rps,
-    cloud: { requestsPerS: s.params.cloud.rps, listLagS: s.params.cloud.list_lag_s },
-    sockets: s.params.limits.sockets,
-    ramMb: s.params.limits.ram_mb ?? null,
+    store: safeStoreLimits(params.state),
+    currentWritesPerS: params.state.write_rps,
+    cloud: { requestsPerS: params.cloud.rps, listLagS: params.cloud.list_lag_s },
+    sockets: params.limits.sockets,
+    ramMb: params.limits.ram_mb ?? null,
   };
 }
+
+const peerOf = (entry: v.InferOutput<typeof peer>): Settings['peers'][number] => ({
+  node: entry.node as NodeId,
+  zone: entry.location as ZoneName,
+  addr: entry.peer_addr,
+});
+
+const teamOf = (entry: v.InferOutput<typeof team>): Settings['teams'][number] => ({
+  name: entry.name as TeamName,
+  cpus: entry.cpus,
+  cpusMax: entry.cpus_max,
+  gpus: entry.gpus,
+  gpusMax: entry.gpus_max,
+});
+
+const objectiveOf = (entry: v.InferOutput<typeof objective>): Settings['objectives'][number] => ({
+  kind: entry.kind,
+  class: entry.class ?? null,
+  withinS: entry.within_s ?? null,
+  share: entry.share ?? null,
+  times: entry.times ?? null,
+});
--- a/src/runtime/peer-links.ts
+++ b/src/runtime/peer-links.ts
@@ -2,7 +2,7 @@
 import { connect, createServer, type Socket } from 'node:net';
 import type { PeerMessage, Settings } from '../core/base/model.ts';
 import type { WorkQueue } from '../http/work-queue.ts';
-import { decodePeerMessage, encodePeerMessage, isForwardedHeartbeat, PeerDecoder } from '../protocol/peer.ts';
+import { decodePeerMessage, encodePeerMessage, FrameReader, isForwardedHeartbeat } from '../protocol/peer.ts';
 import type { NodeId } from '../types/index.ts';
 import { splitAddress } from './address.ts';
 
@@ -126,7 +126,7 @@
   turns: WorkQueue,
   newest: NewestLinks<Socket>,
 ): void {
-  const decoder = new PeerDecoder();
+  const decoder = new FrameReader();
   const at = newest.nextNumber();
   let node: NodeId | null = null;
   const guarded = (work: () => void): void => {
