--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -34,7 +34,7 @@
 /** What is taken of a version of the program. */
 export interface Lib {
   Controller: new (s: Settings, o: SchedulerOptions, r: Random) => Controller;
-  seeded: (seed: number) => Random;
+  seededRandom: (seed: number) => Random;
 }
 
 export interface Setup {
@@ -131,7 +131,7 @@
     day: Day,
     private readonly setup: Setup,
   ) {
-    this.random = lib.seeded(setup.seed);
+    this.random = lib.seededRandom(setup.seed);
     this.state = new FakeStore(this);
     this.cloud = new FakeCloud(this);
     this.cloud.types = structuredClone(TYPES);
@@ -215,7 +215,7 @@
     const core = new this.lib.Controller(
       this.settings(name),
       this.setup.options,
-      this.lib.seeded(this.setup.seed * 31 + name.length + life),
+      this.lib.seededRandom(this.setup.seed * 31 + name.length + life),
     );
     this.nodes.set(name, core);
     for (const other of this.nodes.keys()) {
--- a/scripts/experiments/fleet.ts
+++ b/scripts/experiments/fleet.ts
@@ -7,18 +7,39 @@
 import { promisify } from 'node:util';
 import { Command } from 'commander';
 import { defaults, schedulerOptions } from '../../src/cli/options.ts';
-import { bundle, bundleScript, checkout, WORK } from './bundle.ts';
+import { bundle, bundleScript, checkout, runnerOf, WORK } from './bundle.ts';
 import { DAYS } from './fleet-days.ts';
 import { type Outcome, type Played, REPORT_MS, type Setup } from './fleet-world.ts';
 import { plot } from './plot.ts';
 
 const run = promisify(execFile);
 
+const RUNNER_SCRIPT = 'fleet-run.ts';
+
 interface Side {
   name: string;
+  runner: string;
   lib: string;
   options: Setup['options'];
 }
+
+/** Options as this revision and earlier ones name them. */
+const withEarlierNames = (options: Setup['options']): Setup['options'] & { takeBackMs: number } => ({
+  ...options,
+  takeBackMs: options.dequeueAfterMs,
+});
+
+/** An earlier revision, played by its own runner, which knows the names of that revision's messages. */
+async function baseSide(revision: string, options: Setup['options']): Promise<Side> {
+  const root = checkout(revision);
+  return {
+    name: 'base',
+    runner: await bundleScript(runnerOf(root, RUNNER_SCRIPT), 'base-fleet-run'),
+    lib: await bundle(root, 'base-lib'),
+    options: withEarlierNames(options),
+  };
+}
+
 const least = (all: number[]): number => all.reduce((a, b) => Math.min(a, b), 1);
 const part = (s: { jobs: number; done: number }): number => s.done / s.jobs;
 const leastClass = (o: Outcome): number => least(Object.values(o.classes).map(part));
@@ -48,13 +69,17 @@
 
 async function main(o: Options): Promise<void> {
   const usual: Setup['options'] = schedulerOptions(defaults(), REPORT_MS / 1000);
-  const runner = await bundleScript('scripts/experiments/fleet-run.ts', 'fleet-run');
+  const runner = await bundleScript(runnerOf('.', RUNNER_SCRIPT), 'fleet-run');
   const now = await bundle('.', 'now-lib');
-  const sides: Side[] = [{ name: 'now', lib: now, options: usual }];
-  if (o.base !== undefined)
-    sides.push({ name: 'base', lib: await bundle(checkout(o.base), 'base-lib'), options: usual });
+  const sides: Side[] = [{ name: 'now', runner, lib: now, options: usual }];
+  if (o.base !== undefined) sides.push(await baseSide(o.base, usual));
   if (o.against !== undefined)
-    sides.push({ name: 'against', lib: now, options: { ...usual, ...(JSON.parse(o.against) as object) } });
+    sides.push({
+      name: 'against',
+      runner,
+      lib: now,
+      options: { ...usual, ...(JSON.parse(o.against) as object) },
+    });
   const todo = o.machines.flatMap((machines) =>
     o.days.flatMap((day) => o.seeds.flatMap((seed) => sides.map((side) => ({ machines, day, seed, side })))),
   );
@@ -69,7 +94,7 @@
         drainS: Number(o.length) * 0.6,
         options: t.side.options,
       };
-      const args = ['--max-old-space-size=6000', runner, t.side.lib, t.day, JSON.stringify(setup)];
+      const args = ['--max-old-space-size=6000', t.side.runner, t.side.lib, t.day, JSON.stringify(setup)];
       const { stdout } = await run(process.execPath, args, { maxBuffer: 1 << 26 });
       const p: Played = {
         side: t.side.name,
@@ -105,7 +130,7 @@
   .option('--seeds <n...>', 'seeds', ['1'])
   .option('--teams <n>', 'number of teams', '20')
   .option('--length <s>', 'seconds in which jobs arrive; the day goes on for 0.6 of that', '400')
-  .option('--base <revision>', 'an earlier revision, side by side')
+  .option('--base <revision>', 'an earlier revision, side by side, played by its own runner')
   .option('--against <json>', 'other options side by side, such as {"teamFloor":0}')
   .option('--jobs <n>', 'days at once', `${Math.max(1, Math.floor(availableParallelism() / 2))}`)
   .option('--plot <file>', 'an SVG of waits and shares', join(WORK, 'fleet.svg'))
--- a/scripts/experiments/hotpath-load.ts
+++ b/scripts/experiments/hotpath-load.ts
@@ -2,6 +2,7 @@
 // that what is measured is the core. Only time spent in it and in the codecs beside it is counted.
 
 import { defaults, schedulerOptions } from '../../src/cli/options.ts';
+import type * as autoscaler from '../../src/core/autoscaling/autoscaler.ts';
 import type { Effect, Input } from '../../src/core/base/io.ts';
 import type {
   CloudReply,
@@ -12,33 +13,31 @@
   StoreItem,
   StoreReply,
   StoreRequest,
+  Team,
 } from '../../src/core/base/model.ts';
-import type { Controller } from '../../src/core/controller.ts';
-import type * as listing from '../../src/core/heartbeats/task-list-delta.ts';
-import type { SchedulerOptions } from '../../src/core/scheduling/scheduler.ts';
+import type * as controller from '../../src/core/controller.ts';
+import type * as taskListDelta from '../../src/core/heartbeats/task-list-delta.ts';
+import type * as scheduler from '../../src/core/scheduling/scheduler.ts';
 import type * as parser from '../../src/http/parser.ts';
 import type * as jobCodec from '../../src/protocol/job.ts';
 import type * as peerCodec from '../../src/protocol/peer.ts';
 import type * as workerCodec from '../../src/protocol/worker.ts';
-import type { seededRandom } from '../../src/runtime/random.ts';
+import type * as random from '../../src/runtime/random.ts';
+import type { NodeId, TeamName, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
 
-/** What is taken of a version of the program; the same names must be there in both that are compared. */
-export interface Lib {
-  Controller: new (s: Settings, o: SchedulerOptions, r: ReturnType<typeof seededRandom>) => Controller;
-  Dispatch: { prototype: { pass(): boolean } };
-  Fleet: { prototype: { tick(recovered: boolean): void } };
-  HttpParser: typeof parser.HttpParser;
-  parseReport: typeof workerCodec.parseHeartbeat;
-  encodeWorkerAnswer: typeof workerCodec.encodeHeartbeatResponse;
-  parseJob: typeof jobCodec.parseJob;
-  encodeUserAnswer: typeof jobCodec.encodeUserResponse;
-  seeded: typeof seededRandom;
-  /** Absent in versions in which the owner alone speaks to workers. */
-  encodePeer?: typeof peerCodec.encodePeerMessage;
-  PeerDecoder?: typeof peerCodec.PeerDecoder;
-  compare?: typeof listing.diffTaskLists;
-}
+type Controller = controller.Controller;
+
+/** What is measured of a bundle of the library. */
+export type Lib = Pick<typeof controller, 'Controller'> &
+  Pick<typeof scheduler, 'Scheduler'> &
+  Pick<typeof autoscaler, 'Autoscaler'> &
+  Pick<typeof parser, 'HttpParser'> &
+  Pick<typeof workerCodec, 'parseHeartbeat' | 'encodeHeartbeatResponse'> &
+  Pick<typeof jobCodec, 'parseJob' | 'encodeUserResponse'> &
+  Pick<typeof peerCodec, 'encodePeerMessage' | 'PeerDecoder'> &
+  Pick<typeof taskListDelta, 'diffTaskLists'> &
+  Pick<typeof random, 'seededRandom'>;
 
 export type Kind = 'report' | 'submit' | 'poll' | 'write' | 'pass' | 'plan' | 'tick';
 export interface Figures {
@@ -77,28 +76,32 @@
   sent: Heartbeat | null;
 }
 
-const settingsFor = (node: string): Settings =>
-  ({
-    node,
-    zone: 'east',
-    listen: '10.0.0.1:80',
-    peerListen: '10.0.0.1:81',
-    peers: [],
-    cloudAddr: '10.0.0.9:1',
-    stateAddr: '10.0.0.8:1',
-    zones: ['east', 'west'],
-    teams: [
-      { name: 'a', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
-      { name: 'b', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
-    ],
-    objectives: [{ kind: 'wait', class: 'joint', withinS: 20, share: 0.9, times: null }],
-    workers: { reportS: REPORT_MS / 1000, leaseS: 24, gangWaitS: 35, gangPeerS: 8, cancelS: 49 },
-    state: { rps: 1000, writeRps: 600, valueKb: 8, txnOps: 24 },
-    writeRpsNow: 600,
-    cloud: { rps: 50, listLagS: 1 },
-    sockets: 10_000,
-    ramMb: null,
-  }) as unknown as Settings;
+const team = (name: string): Team => ({
+  name: name as TeamName,
+  cpus: 0,
+  cpusMax: 0,
+  gpus: 0,
+  gpusMax: 0,
+});
+
+const settingsFor = (node: string): Settings => ({
+  node: node as NodeId,
+  zone: 'east' as ZoneName,
+  listen: '10.0.0.1:80',
+  peerListen: '10.0.0.1:81',
+  peers: [],
+  cloudAddr: '10.0.0.9:1',
+  storeAddr: '10.0.0.8:1',
+  zones: ['east', 'west'] as ZoneName[],
+  teams: [team('a'), team('b')],
+  objectives: [{ kind: 'wait', class: 'joint', withinS: 20, share: 0.9, times: null }],
+  workers: { heartbeatS: REPORT_MS / 1000, leaseS: 24, gangWaitS: 35, gangPeerS: 8, cancelS: 49 },
+  store: { requestsPerS: 1000, writesPerS: 600, maxValueKb: 8, maxTransactionOps: 24 },
+  currentWritesPerS: 600,
+  cloud: { requestsPerS: 50, listLagS: 1 },
+  sockets: 10_000,
+  ramMb: null,
+});
 
 const none = (): Record<Kind, number> => ({
   report: 0,
@@ -121,7 +124,7 @@
   private log: { key: string; stamp: number }[] = [];
   private readonly workers = new Map<string, Worker>();
   private core: Controller;
-  private readonly random: ReturnType<typeof seededRandom>;
+  private readonly random: ReturnType<typeof random.seededRandom>;
   private readonly answers = new Map<number, (a: never) => void>();
   private req = 1;
   private made = 0;
@@ -137,15 +140,15 @@
     private readonly lib: Lib,
     private readonly machines: number,
   ) {
-    this.random = lib.seeded(7);
-    this.wrap(lib.Dispatch.prototype, 'pass', 'pass');
-    this.wrap(lib.Fleet.prototype, 'tick', 'plan');
+    this.random = lib.seededRandom(7);
+    this.wrap(lib.Scheduler.prototype, 'runCycle', 'pass');
+    this.wrap(lib.Autoscaler.prototype, 'tick', 'plan');
     this.core = this.start('n-0');
   }
 
   /** Time spent in a method is counted for itself, not for the input that led to it. */
-  private wrap(proto: object, name: string, kind: Kind): void {
-    const of = proto as Record<string, (...a: unknown[]) => unknown>;
+  private wrap<T extends object>(proto: T, name: keyof T & string, kind: Kind): void {
+    const of = proto as unknown as Record<string, (...a: unknown[]) => unknown>;
     const inner = of[name]!;
     const load = this;
     of[name] = function (...a: unknown[]) {
@@ -165,7 +168,7 @@
     const core = new this.lib.Controller(
       settingsFor(node),
       schedulerOptions(defaults(), REPORT_MS / 1000),
-      this.lib.seeded(3),
+      this.lib.seededRandom(3),
     );
     const tick = (): void => {
       if (this.core !== core) return;
@@ -224,11 +227,11 @@
       case 'probe':
         return later(2, () => ({ kind: 'worker', tag: e.tag, reply: { kind: 'no-answer' } }));
       case 'user-response': {
-        this.beside('submit', () => this.lib.encodeUserAnswer(e.response));
+        this.beside('submit', () => this.lib.encodeUserResponse(e.response));
         return this.answer(e.requestId, e.response);
       }
       case 'heartbeat-response': {
-        const body = this.beside('report', () => this.lib.encodeWorkerAnswer(e.response));
+        const body = this.beside('report', () => this.lib.encodeHeartbeatResponse(e.response));
         return this.answer(e.requestId, body);
       }
     }
@@ -347,7 +350,7 @@
       waiting: false,
       scheduled: 0,
       // With three controllers the owner keeps one worker in nine.
-      fronted: this.lib.compare !== undefined && this.workers.size % 9 !== 0,
+      fronted: this.workers.size % 9 !== 0,
       read: null,
       sent: null,
     };
@@ -391,17 +394,17 @@
     if (w.fronted) return this.passOn(w, requestId, JSON.parse(body));
     const parsed = this.beside('report', () => {
       const m = new this.lib.HttpParser('request', 65_536).feed(bytes)[0]!;
-      return this.lib.parseReport(JSON.parse(m.body.toString('utf8')));
+      return this.lib.parseHeartbeat(JSON.parse(m.body.toString('utf8')));
     });
     this.step(core, { kind: 'heartbeat', requestId, heartbeat: parsed }, 'report');
   }
 
   /** As the node that the worker speaks to does; only what the owner has to do with the frame is counted. */
   private passOn(w: Worker, id: number, body: unknown): void {
-    const { compare, encodePeer, PeerDecoder } = this.lib;
-    const r = this.lib.parseReport(body);
+    const { diffTaskLists, encodePeerMessage, PeerDecoder } = this.lib;
+    const r = this.lib.parseHeartbeat(body);
     const { machine, agentEpoch, seq, fencingToken, preemptionNoticeS } = r;
-    const change = w.read === null ? null : compare!(w.read.tasks, r.tasks);
+    const change = w.read === null ? null : diffTaskLists(w.read.tasks, r.tasks);
     w.sent = change === null ? r : { ...r, tasks: change.tasks };
     const heartbeat =
       change === null
@@ -416,17 +419,19 @@
             baseSeq: w.read!.seq,
             ...change,
           };
-    const frame = encodePeer!({ kind: 'forwarded-heartbeat', id, heartbeat });
-    const [message] = this.beside('report', () => new PeerDecoder!().feed(frame));
+    const frame = encodePeerMessage({ kind: 'forwarded-heartbeat', id, heartbeat });
+    const [message] = this.beside('report', () => new PeerDecoder().feed(frame));
     this.step(this.core, { kind: 'peer', node: 'n-9' as never, message: message! }, 'report');
   }
 
   private fronted(message: PeerMessage): void {
     if (message.kind !== 'forwarded-heartbeat-response') return;
-    this.beside('report', () => this.lib.encodePeer!(message));
+    this.beside('report', () => this.lib.encodePeerMessage(message));
     const a = message.response;
     const told =
-      a?.kind === 'commands' ? this.lib.encodeWorkerAnswer(a) : { status: a === null ? 421 : 409, body: '' };
+      a?.kind === 'commands'
+        ? this.lib.encodeHeartbeatResponse(a)
+        : { status: a === null ? 421 : 409, body: '' };
     this.answer(message.id, told);
   }
 
--- a/scripts/experiments/hotpath.ts
+++ b/scripts/experiments/hotpath.ts
@@ -1,53 +1,93 @@
 // Processor time of the core's inputs at 1,000, 3,000 and 10,000 machines, as a ratio to an earlier version of this
-// repository measured in the same run. Processes take turns, and the least of several is taken for each figure.
+// repository measured in the same run. Processes take turns, and the least of several is taken for each figure. Each
+// version is measured by the runner of its own revision, which knows the names of that revision's messages.
 import { execFileSync } from 'node:child_process';
 import { Command } from 'commander';
-import { bundle, bundleScript, checkout } from './bundle.ts';
+import { bundle, bundleScript, checkout, runnerOf } from './bundle.ts';
 import type { Figures, Kind } from './hotpath-load.ts';
 
-/** The version before the work on ever larger fleets began. */
-const BASE = '3e5f11a2bffde42ff19366f20bac6b895f26f225';
-function measure(runner: string, lib: string, machines: number, seconds: number): Figures {
-  const args = ['--expose-gc', '--max-old-space-size=4000', runner, lib, `${machines}`, `${seconds}`];
-  return JSON.parse(execFileSync(process.execPath, args, { encoding: 'utf8' })) as Figures;
-}
-
-const least = (a: Figures | null, b: Figures): Figures => {
-  if (a === null) return b;
-  const us = { ...a.us };
-  for (const k of Object.keys(us) as Kind[]) us[k] = Math.min(us[k], b.us[k]);
-  return { ...a, us, takeoverMs: Math.min(a.takeoverMs, b.takeoverMs) };
-};
-
-async function main(o: { base: string; sizes: string[]; times: string; seconds: string }): Promise<void> {
-  const runner = await bundleScript('scripts/experiments/hotpath-run.ts', 'run');
-  const libs = { base: await bundle(checkout(o.base), 'base-lib'), now: await bundle('.', 'now-lib') };
-  const at = new Map<string, Figures>();
-  for (let i = 0; i < Number(o.times); i++)
-    for (const size of o.sizes)
-      for (const v of ['base', 'now'] as const) {
-        const key = `${v} ${size}`;
-        at.set(key, least(at.get(key) ?? null, measure(runner, libs[v], Number(size), Number(o.seconds))));
+/** The version before names were changed throughout. */
+const DEFAULT_BASE = 'baf23d2';
+const RUNNER_SCRIPT = 'hotpath-run.ts';
+const RUNNER_HEAP_MB = 4000;
+const VERSIONS = ['base', 'now'] as const;
+
+interface Options {
+  base: string;
+  sizes: string[];
+  times: string;
+  seconds: string;
+}
+
+/** A version's library, and the script that measures it. */
+interface Version {
+  runner: string;
+  lib: string;
+}
+
+async function buildVersion(root: string, name: string): Promise<Version> {
+  return {
+    runner: await bundleScript(runnerOf(root, RUNNER_SCRIPT), `${name}-hotpath-run`),
+    lib: await bundle(root, `${name}-lib`),
+  };
+}
+
+function measure({ runner, lib }: Version, machines: string, seconds: string): Figures {
+  const nodeOptions = ['--expose-gc', `--max-old-space-size=${RUNNER_HEAP_MB}`];
+  const output = execFileSync(process.execPath, [...nodeOptions, runner, lib, machines, seconds], {
+    encoding: 'utf8',
+  });
+  return JSON.parse(output) as Figures;
+}
+
+/** The lower times of two measurements. */
+function leastOf(before: Figures | undefined, figures: Figures): Figures {
+  if (before === undefined) return figures;
+  const us = { ...before.us };
+  for (const kind of Object.keys(us) as Kind[]) us[kind] = Math.min(us[kind], figures.us[kind]);
+  return { ...before, us, takeoverMs: Math.min(before.takeoverMs, figures.takeoverMs) };
+}
+
+function formatFigures(key: string, figures: Figures): string {
+  const kinds = Object.keys(figures.us) as Kind[];
+  const times = kinds.map((kind) => `${kind}=${figures.us[kind].toFixed(1)}us x${figures.n[kind]}`).join(' ');
+  const takeover = `takeover=${figures.takeoverMs.toFixed(0)}ms in ${figures.takeoverS.toFixed(1)}s`;
+  return `${key}: ${times} ${takeover} heap=${figures.heapMb.toFixed(0)}MB`;
+}
+
+/** The time of an input; of scheduling cycles, whose number differs as well, that of all of them. */
+function comparableUs(figures: Figures, kind: Kind): number {
+  return kind === 'pass' ? figures.us[kind] * figures.n[kind] : figures.us[kind];
+}
+
+function formatSummary(sizes: readonly string[], figuresOf: ReadonlyMap<string, Figures>): string {
+  const middle = sizes[Math.min(1, sizes.length - 1)]!;
+  const base = figuresOf.get(`base ${middle}`)!;
+  const now = figuresOf.get(`now ${middle}`)!;
+  const ratio = (kind: Kind): string => (comparableUs(now, kind) / comparableUs(base, kind)).toFixed(2);
+  const largest = figuresOf.get(`now ${sizes.at(-1)}`)!;
+  const smallest = figuresOf.get(`now ${sizes[0]}`)!;
+  const growth = (largest.us.report / smallest.us.report).toFixed(2);
+  const takeover = (now.takeoverMs / base.takeoverMs).toFixed(2);
+  const ratios = `report=${ratio('report')} submit=${ratio('submit')} pass=${ratio('pass')} takeover=${takeover}`;
+  return `hotpath: ${ratios} (ratio to base) growth_10x=${growth}`;
+}
+
+async function main({ base, sizes, times, seconds }: Options): Promise<void> {
+  const versions = { base: await buildVersion(checkout(base), 'base'), now: await buildVersion('.', 'now') };
+  const figuresOf = new Map<string, Figures>();
+  for (let i = 0; i < Number(times); i++)
+    for (const size of sizes)
+      for (const name of VERSIONS) {
+        const key = `${name} ${size}`;
+        figuresOf.set(key, leastOf(figuresOf.get(key), measure(versions[name], size, seconds)));
       }
-  for (const [key, f] of at) {
-    const us = (Object.keys(f.us) as Kind[]).map((k) => `${k}=${f.us[k].toFixed(1)}us x${f.n[k]}`).join(' ');
-    process.stdout.write(
-      `${key}: ${us} takeover=${f.takeoverMs.toFixed(0)}ms in ${f.takeoverS.toFixed(1)}s heap=${f.heapMb.toFixed(0)}MB\n`,
-    );
-  }
-  const middle = o.sizes[Math.min(1, o.sizes.length - 1)]!;
-  const [b, n] = [at.get(`base ${middle}`)!, at.get(`now ${middle}`)!];
-  // Passes are a matter of how often as well: what they take in all counts.
-  const total = (f: Figures, k: Kind) => (k === 'pass' ? f.us[k] * f.n[k] : f.us[k]);
-  const ratio = (k: Kind) => (total(n, k) / total(b, k)).toFixed(2);
-  const growth = at.get(`now ${o.sizes.at(-1)}`)!.us.report / at.get(`now ${o.sizes[0]}`)!.us.report;
-  process.stdout.write(
-    `hotpath: report=${ratio('report')} submit=${ratio('submit')} pass=${ratio('pass')} takeover=${(n.takeoverMs / b.takeoverMs).toFixed(2)} (ratio to base) growth_10x=${growth.toFixed(2)}\n`,
-  );
+  for (const [key, figures] of figuresOf) process.stdout.write(`${formatFigures(key, figures)}\n`);
+  process.stdout.write(`${formatSummary(sizes, figuresOf)}\n`);
 }
 
 const program = new Command('hotpath')
-  .option('--base <revision>', 'version to compare with', BASE)
+  .option('--base <revision>', 'version to compare with, which is measured with its own runner', DEFAULT_BASE)
   .option('--sizes <n...>', 'numbers of machines, from least to greatest', ['1000', '3000', '10000'])
   .option('--times <n>', 'measurements of each', '3')
   .option('--seconds <s>', 'simulated seconds that are measured', '40')
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -18,7 +18,7 @@
 
 for (const day of DAYS)
   test(`a day of a whole fleet, ${day.name}: ${day.about}`, () => {
-    const o = new FleetWorld({ Controller, seeded: seededRandom }, day, setup).play();
+    const o = new FleetWorld({ Controller, seededRandom }, day, setup).play();
     assert.deepEqual(o.broken, []);
     for (const [name, s] of [...Object.entries(o.classes), ...Object.entries(o.teams)])
       assert.ok(s.done >= s.jobs * 0.5, `${name}: ${s.done} of ${s.jobs}`);
