--- a/test/support/behaviour-digest.ts
+++ b/test/support/behaviour-digest.ts
@@ -82,7 +82,7 @@
 export function listenToHistory(history: History, listener: MessageListener): void {
   const player = new HistoryPlayer(history, encoding(listener));
   player.play();
-  for (const bytes of storedBytes(player.w)) listener(player.w.now, 'stored', bytes);
+  for (const bytes of storedBytes(player.world)) listener(player.world.now, 'stored', bytes);
 }
 
 /** The digest of all histories drawn from a seed. */
--- /dev/null
+++ b/test/support/machine-faults.ts
@@ -0,0 +1,88 @@
+// Faults of machines, and of their heartbeats on the way.
+import { type FaultInjectors, NO_RECOVERY, recoverAll } from './fault-injection.ts';
+
+/** Machines that are cut off for longer have their leases end. */
+const LEASE_S = 10;
+const LONGEST_HANG_S = 9;
+/** Late copies of heartbeats arrive this much later, and up to so much more. */
+const LATE_HEARTBEAT_MS = 2000;
+const LATE_HEARTBEAT_SPREAD_MS = 20_000;
+
+/** Injectors by kind of fault. */
+export const MACHINE_FAULTS: FaultInjectors<
+  | 'late-reports'
+  | 'deaf'
+  | 'machine-cut'
+  | 'held-up'
+  | 'machine-hang'
+  | 'machine-restart'
+  | 'machine-die'
+  | 'kept-reports'
+  | 'mute'
+> = {
+  'late-reports': ({ run }, { share }) => {
+    run.world.copyMs = () =>
+      run.happens(share) ? LATE_HEARTBEAT_MS + run.random.below(LATE_HEARTBEAT_SPREAD_MS) : null;
+    return () => {
+      run.world.copyMs = null;
+    };
+  },
+
+  deaf: ({ run }, { count }) => {
+    const ids = run.busyMachines(count);
+    for (const id of ids) run.world.deaf.add(id);
+    return () => {
+      for (const id of ids) run.world.deaf.delete(id);
+    };
+  },
+
+  'machine-cut': ({ run, observer }, { count, hold, forS }) => {
+    const ids = run.busyMachines(count);
+    if (forS > LEASE_S) observer.onMachinesLost(ids);
+    return recoverAll(ids.map((id) => run.cutOff(id, run.names, hold ? 'hold' : 'drop')));
+  },
+
+  'held-up': ({ run }, { count, ms }) => {
+    const ids = run.busyMachines(count);
+    for (const id of ids) run.world.heldUpMs.set(id, ms);
+    return () => {
+      for (const id of ids) run.world.heldUpMs.delete(id);
+    };
+  },
+
+  'machine-hang': ({ run }, { count, forS }) => {
+    const hangMs = Math.min(forS, LONGEST_HANG_S) * 1000;
+    for (const id of run.busyMachines(count)) run.world.workers.get(id)!.hang(hangMs);
+    return NO_RECOVERY;
+  },
+
+  'machine-restart': ({ run }, { count }) => {
+    for (const id of run.busyMachines(count)) run.world.workers.get(id)!.restart();
+    return NO_RECOVERY;
+  },
+
+  'machine-die': ({ run, observer }, { count }) => {
+    const ids = run.busyMachines(count);
+    observer.onMachinesLost(ids);
+    for (const id of ids) run.world.workers.get(id)!.die();
+    return NO_RECOVERY;
+  },
+
+  'kept-reports': ({ run }, { share, afterMs }) => {
+    run.world.keptMs = afterMs;
+    // A fifth of the share: each is delivered to every node.
+    run.world.keepReport = () => run.random.below(1000) < share * 200;
+    return () => {
+      run.world.keepReport = null;
+    };
+  },
+
+  mute: ({ run }, { count }) => {
+    const ids = run.busyMachines(count);
+    for (const id of ids) run.world.mute.add(id);
+    run.met['mute-with-work'] += ids.length;
+    return () => {
+      for (const id of ids) run.world.mute.delete(id);
+    };
+  },
+};
