--- a/test/support/behaviour-digest.ts
+++ b/test/support/behaviour-digest.ts
@@ -43,21 +43,26 @@
 /** Digests a sequence of messages, each with its simulated time and its sender. */
 export class BehaviourDigest {
   private readonly hash: Hash = createHash('sha256');
+  /** Messages added so far. */
   messages = 0;
 
+  /** Adds a message with its simulated time and its sender. */
   add(nowMs: number, node: string, bytes: Buffer): void {
     this.messages++;
     this.hash.update(`${nowMs} ${node} ${bytes.length}\n`);
     this.hash.update(bytes);
   }
 
+  /** The digest of all that was added; nothing can be added afterwards. */
   hex(): string {
     return this.hash.digest('hex');
   }
 }
 
+/** Gets the bytes of each message that leaves a node, with its simulated time. */
 export type MessageListener = (nowMs: number, node: string, bytes: Buffer) => void;
 
+/** The histories of a seed. */
 export const drawHistories = (seed: number): History[] =>
   fc.sample(historyArbitrary, { ...SAMPLING, seed, numRuns: HISTORIES_PER_SEED });
 
--- a/test/support/checked-world.ts
+++ b/test/support/checked-world.ts
@@ -1,5 +1,6 @@
-// A world judged by the users' rules all the time, for stories of troubles that meet.
+// A simulated world that is checked by the users' rules all the time, for scenarios of faults that coincide.
 import assert from 'node:assert/strict';
+import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { JobSpec, UserRequest } from '../../src/core/base/model.ts';
 import type { JobId } from '../../src/types/index.ts';
 import {
@@ -11,44 +12,57 @@
   type TeamAmounts,
   UNLIMITED,
 } from './rule-checker.ts';
+import { LIMITED_TEAM, LIMITED_TEAM_CPUS } from './simulated-settings.ts';
 import type { SimulatedWorld } from './simulated-world.ts';
 
+/** How long after the confirmation tasks of a cancelled job may be on machines. */
 export const CANCEL_MS = 40_000;
 /** CPUs that each team of the world may use. */
-export const CPUS_MAX = new Map([['small', 6]]);
+export const CPUS_MAX = new Map([[LIMITED_TEAM, LIMITED_TEAM_CPUS]]);
+const LOOK_INTERVAL_MS = 500;
+const ASK_INTERVAL_MS = 1000;
+/** Without these a job's description is incomplete. */
+const REQUIRED_FIELDS = ['id', 'class', 'team', 'kind', 'tasks', 'cpus', 'memoryGb', 'image'] as const;
+
+/** What a team of the world may use. */
 export const limitOf = (team: string): TeamAmounts => ({
   ...UNLIMITED,
   cpus: CPUS_MAX.get(team) ?? UNLIMITED.cpus,
 });
-const LOOK_MS = 500;
 
-/** The leader alone is refused by the state service and cut from the other controllers; these machines stay with it. */
-export function cutLeader(w: SimulatedWorld, leader: string, machines: readonly string[] = []): void {
-  w.state.refused.add(leader);
-  for (const n of w.nodes.keys()) {
-    if (n === leader) continue;
-    w.cut(n, leader, 'drop');
-    for (const m of machines) w.cut(n, m, 'drop');
+/** The leader alone is refused by the key-value store and cut from the other nodes; these machines stay with it. */
+export function cutLeader(world: SimulatedWorld, leader: string, machines: readonly string[] = []): void {
+  world.state.refused.add(leader);
+  for (const node of world.nodes.keys()) {
+    if (node === leader) continue;
+    world.cut(node, leader, 'drop');
+    for (const machine of machines) world.cut(node, machine, 'drop');
   }
 }
 
-export function* onMachines(w: SimulatedWorld): Iterable<OnMachine> {
-  for (const m of w.workers.values()) {
-    if (m.over) continue;
-    for (const t of m.live()) yield { task: t.task, machine: m };
+/** The tasks that are on machines. */
+export function* onMachines(world: SimulatedWorld): Iterable<OnMachine> {
+  for (const machine of world.workers.values()) {
+    if (machine.over) continue;
+    for (const { task } of machine.live()) yield { task, machine };
   }
 }
 
-/** What machines have free that are up, reach a controller, hear it and run what they are given. */
-export function* rooms(w: SimulatedWorld): Iterable<Room> {
-  const nodes = [...w.nodes.keys()];
-  for (const m of w.workers.values()) {
-    if (!m.up || m.over || m.faulty || m.noticeS !== null || w.mute.has(m.id) || w.deaf.has(m.id)) continue;
-    if (nodes.every((n) => w.isCut(m.id, n))) continue;
-    const type = w.cloud.types.find((t) => t.name === m.type)!;
-    const room: Room = { machine: m, cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb };
-    for (const t of m.live()) {
-      const spec = w.jobs.get(t.job)?.spec;
+/** Whether the machine is up, reaches a node, hears it and runs what it is given. */
+function canTakeTasks(world: SimulatedWorld, machine: FakeWorker): boolean {
+  if (!machine.up || machine.over || machine.faulty || machine.noticeS !== null) return false;
+  if (world.mute.has(machine.id) || world.deaf.has(machine.id)) return false;
+  return ![...world.nodes.keys()].every((node) => world.isCut(machine.id, node));
+}
+
+/** What machines have free that can take tasks. */
+export function* rooms(world: SimulatedWorld): Iterable<Room> {
+  for (const machine of world.workers.values()) {
+    if (!canTakeTasks(world, machine)) continue;
+    const { cpus, gpus, memoryGb } = world.cloud.types.find((type) => type.name === machine.type)!;
+    const room: Room = { machine, cpus, gpus, memoryGb };
+    for (const { job } of machine.live()) {
+      const spec = world.jobs.get(job)?.spec;
       if (spec === undefined) continue;
       room.cpus -= spec.cpus;
       room.gpus -= spec.gpus;
@@ -59,16 +73,15 @@
 }
 
 /** Why a job can never run in this world, by its description alone. */
-export function unfit(w: SimulatedWorld, spec: JobSpec): string | null {
-  const fields = ['id', 'class', 'team', 'kind', 'tasks', 'cpus', 'memoryGb', 'image'] as const;
-  for (const f of fields) if (spec[f] === undefined) return `it has no ${f}`;
-  const fits = w.cloud.types.some(
-    (t) =>
-      (spec.machineTypes === null || spec.machineTypes.includes(t.name)) &&
-      (spec.zone === null || t.zones.includes(spec.zone)) &&
-      spec.cpus <= t.cpus &&
-      spec.gpus <= t.gpus &&
-      spec.memoryGb <= t.memoryGb,
+export function unfit(world: SimulatedWorld, spec: JobSpec): string | null {
+  for (const field of REQUIRED_FIELDS) if (spec[field] === undefined) return `it has no ${field}`;
+  const fits = world.cloud.types.some(
+    (type) =>
+      (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
+      (spec.zone === null || type.zones.includes(spec.zone)) &&
+      spec.cpus <= type.cpus &&
+      spec.gpus <= type.gpus &&
+      spec.memoryGb <= type.memoryGb,
   );
   if (!fits) return 'no machine is large enough';
   const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
@@ -77,6 +90,7 @@
   return null;
 }
 
+/** A world's rule checker, and users who go on asking. */
 export interface Judged {
   rules: RuleChecker;
   /** Nothing was broken, by the rules nor by the world's own checks. */
@@ -87,40 +101,41 @@
   insist(request: UserRequest): { over: boolean };
 }
 
-/** The rules of this world, told of all that happens in it; to be looked at by whoever plays it. */
-export function ruleCheckerFor(w: SimulatedWorld, limitAt: Limits['limitOf'] = limitOf): RuleChecker {
-  const limits = {
+/** The rules of this world, told of all that happens in it; whoever plays the world calls `look`. */
+export function ruleCheckerFor(world: SimulatedWorld, limitAt: Limits['limitOf'] = limitOf): RuleChecker {
+  const limits: Limits = {
     cancelMs: CANCEL_MS,
     limitOf: limitAt,
-    unfit: (s: JobSpec) => unfit(w, s),
-    rooms: () => rooms(w),
+    unfit: (spec) => unfit(world, spec),
+    rooms: () => rooms(world),
   };
-  w.rules = new RuleChecker(limits, new ScannedPlacements(() => onMachines(w)));
-  return w.rules;
+  world.rules = new RuleChecker(limits, new ScannedPlacements(() => onMachines(world)));
+  return world.rules;
 }
 
-export function judge(w: SimulatedWorld): Judged {
-  const rules = ruleCheckerFor(w);
+/** Has a world checked by its rules from now on. */
+export function judge(world: SimulatedWorld): Judged {
+  const rules = ruleCheckerFor(world);
   const look = (): void => {
-    rules.look(w.now);
-    w.after(LOOK_MS, look);
+    rules.look(world.now);
+    world.after(LOOK_INTERVAL_MS, look);
   };
   look();
   let turn = 0;
-  const names = (): string => {
-    const up = [...w.nodes.keys()];
-    return up[turn++ % Math.max(1, up.length)] ?? w.nodeNames[0]!;
+  const nextNode = (): string => {
+    const running = [...world.nodes.keys()];
+    return running[turn++ % Math.max(1, running.length)] ?? world.nodeNames[0]!;
   };
   const follow = (id: JobId): void => {
-    w.ask(names(), { op: 'status', id });
-    w.after(1000, () => follow(id));
+    world.ask(nextNode(), { op: 'status', id });
+    world.after(ASK_INTERVAL_MS, () => follow(id));
   };
   const insist = (request: UserRequest): { over: boolean } => {
     const state = { over: false };
     const again = (): void => {
-      const box = w.ask(names(), request);
-      w.after(1000, () => {
-        if (box.answer !== null && box.answer.kind !== 'retry') state.over = true;
+      const pending = world.ask(nextNode(), request);
+      world.after(ASK_INTERVAL_MS, () => {
+        if (pending.answer !== null && pending.answer.kind !== 'retry') state.over = true;
         else if (!state.over) again();
       });
     };
@@ -129,7 +144,7 @@
   };
   return {
     rules,
-    sound: () => assert.deepEqual([...rules.broken, ...w.broken], []),
+    sound: () => assert.deepEqual([...rules.broken, ...world.broken], []),
     follow,
     insist,
   };
--- a/test/support/golden-records.ts
+++ b/test/support/golden-records.ts
@@ -17,14 +17,29 @@
 import { Operator, team } from './operator.ts';
 import { job, SimulatedWorld } from './simulated-world.ts';
 
-/** Jobs named by one that awaits so many that its record takes further values. */
-const AWAITED = 120;
+/** Jobs named by one that depends on so many that its record takes further values. */
+const DEPENDENCIES = 120;
 const FAILOVER_S = 90;
+/** How often, and how many times, it is looked whether a record is marked. */
+const LOOK_INTERVAL_S = 0.01;
+const LOOKS = 100;
 
 /** The lines of the store: `[key, revision, value]` as JSON. */
 export function writeEveryKindOfRecord(): string[] {
   const world = new SimulatedWorld();
   world.run(4);
+  submitJobsOfEveryKind(world);
+  world.run(10);
+  world.ask('node-0', { op: 'cancel', id: 'run-cancelled' as JobId });
+  new Operator(world).change(team('small', { cpusMax: 4 }));
+  world.run(10);
+  submitDependentJobs(world);
+  world.run(30);
+  cancelUntilMarked(world, 'run-array' as JobId);
+  return storedBytes(world).map(String);
+}
+
+function submitJobsOfEveryKind(world: SimulatedWorld): void {
   world.runS = 40;
   world.submit(job('run-done', { tasks: 2 }));
   world.runOf.set('run-done', 2);
@@ -41,41 +56,42 @@
   world.submit(job('run-gang', { kind: 'gang', tasks: 2, oneZone: true, zone: 'north' as ZoneName }));
   world.submit(job('run-service', { kind: 'service', tasks: 2, spread: true, estimatedRunS: 0 }));
   world.submit(job('run-cancelled', { machineTypes: ['box' as TypeName] }));
-  world.run(10);
-  world.ask('node-0', { op: 'cancel', id: 'run-cancelled' as JobId });
-  new Operator(world).change(team('small', { cpusMax: 4 }));
-  world.run(10);
-  const awaited = Array.from({ length: AWAITED }, (_, i) => `run-${String(i).padStart(100, '0')}` as JobId);
-  for (const id of awaited) world.ask(world.owner!, { op: 'submit', spec: job(id, { cpus: 1 }) });
+}
+
+function submitDependentJobs(world: SimulatedWorld): void {
+  const dependsOn = Array.from(
+    { length: DEPENDENCIES },
+    (_, i) => `run-${String(i).padStart(100, '0')}` as JobId,
+  );
+  for (const id of dependsOn) world.ask(world.owner!, { op: 'submit', spec: job(id, { cpus: 1 }) });
   world.run(20);
-  world.submit(job('run-waiting', { dependsOn: awaited, team: 'small' as TeamName }));
+  world.submit(job('run-waiting', { dependsOn, team: 'small' as TeamName }));
   world.submit(job('run-after', { dependsOn: ['run-array'] as JobId[] }));
-  world.run(30);
+}
+
+/** Cancels a job and lets time pass until a record of it is marked as cancelled. */
+function cancelUntilMarked(world: SimulatedWorld, id: JobId): void {
   const isMarked = (): boolean =>
-    [...world.state.keys.values()].some((kept) => (kept.value as { c?: 1 }).c === 1);
-  world.ask(world.owner!, { op: 'cancel', id: 'run-array' as JobId });
-  for (let i = 0; i < 100 && !isMarked(); i++) world.run(0.01);
-  return storedBytes(world).map(String);
+    [...world.state.keys.values()].some((entry) => (entry.value as { c?: 1 }).c === 1);
+  world.ask(world.owner!, { op: 'cancel', id });
+  for (let i = 0; i < LOOKS && !isMarked(); i++) world.run(LOOK_INTERVAL_S);
 }
 
 /** The digest of what controllers send that begin with these records, while no machine of them is left. */
 export function digestAfterReading(lines: readonly string[]): { digest: string; messages: number } {
   const digest = new BehaviourDigest();
-  const world = new SimulatedWorld(
-    {},
-    undefined,
-    encoding((nowMs, node, bytes) => digest.add(nowMs, node, bytes)),
-  );
-  const kept = lines.map((line): [string, StoredEntry] => {
+  const listener = encoding((nowMs, node, bytes) => digest.add(nowMs, node, bytes));
+  const world = new SimulatedWorld({}, undefined, listener);
+  const entries = lines.map((line): [string, StoredEntry] => {
     const [key, revision, value] = JSON.parse(line) as [string, number, unknown];
     return [key, { value, revision, hold: null }];
   });
-  const leased = (key: string, value: unknown): boolean =>
+  const isLeaderRecord = (key: string, value: unknown): boolean =>
     key.startsWith('share/') && (value as { node?: string }).node !== undefined;
-  const last = Math.max(...kept.map(([, k]) => k.revision));
+  const lastRevision = Math.max(...entries.map(([, entry]) => entry.revision));
   world.state.restore(
-    last,
-    kept.filter(([key, k]) => !leased(key, k.value)),
+    lastRevision,
+    entries.filter(([key, entry]) => !isLeaderRecord(key, entry.value)),
     [],
   );
   world.run(FAILOVER_S);
