--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,12 +1,20 @@
 // The library's public entry.
-export { Client, type ClientOptions, type SubmitOptions, type Submitted } from './client.ts';
+export { Client } from './client.ts';
+export type { ClientOptions, JournalSummary, SubmitOptions, Submitted } from './client-options.ts';
 export { newId } from './request.ts';
-export type { TornTail as Torn } from './request-journal.ts';
+/** @deprecated Use TornTail. */
+export type { TornTail, TornTail as Torn } from './request-journal.ts';
+/** @deprecated Use JobPhase. */
+export type { JobPhase as Phase } from './types.ts';
+/** @deprecated Use InvalidRequestError. */
+/** @deprecated Use JournalError. */
 export {
+  InvalidRequestError,
   InvalidRequestError as BadRequest,
-  type JobPhase as Phase,
+  type JobPhase,
   type JobRequest,
   type JobState,
+  JournalError,
   JournalError as OutboxError,
   type Outcome,
 } from './types.ts';
--- a/packages/client/src/journal-frames.ts
+++ b/packages/client/src/journal-frames.ts
@@ -1,79 +1,110 @@
-// The form of the outbox file: a line that names it, then frames. A frame holds what was written together: either all of it
+// The format of the journal's file: a header line, then frames. A frame holds what was written together: either all of it
 // is there or none. Layout, numbers little-endian:
 //   4 bytes mark, 4 bytes length of the payload, 4 bytes CRC-32 of length and payload, payload (JSON: a list of entries)
 import crc from 'crc-32';
+import { SwiftfordError } from '../../../src/types/errors.ts';
 
-export const HEAD = Buffer.from('swiftford outbox 1\n');
-const MARK = Buffer.from([0xf7, 0x53, 0x46, 0x0a]);
-const OVERHEAD = 12;
-const MAX_PAYLOAD = 64 << 20;
+/** The header line of every journal. */
+export const HEADER = Buffer.from('swiftford outbox 1\n');
 
-export function encodeFrame(entries: readonly unknown[]): Buffer {
-  const payload = Buffer.from(JSON.stringify(entries));
-  const frame = Buffer.alloc(OVERHEAD + payload.length);
-  MARK.copy(frame);
-  frame.writeUInt32LE(payload.length, 4);
-  payload.copy(frame, OVERHEAD);
-  frame.writeUInt32LE(sum(frame, payload.length), 8);
-  return frame;
-}
+const MARK = Buffer.from([0xf7, 0x53, 0x46, 0x0a]);
+const LENGTH_OFFSET = 4;
+const CHECKSUM_OFFSET = 8;
+const PAYLOAD_OFFSET = 12;
+const MAX_PAYLOAD_BYTES = 64 << 20;
 
-const sum = (frame: Uint8Array, length: number): number =>
-  crc.buf(frame.subarray(OVERHEAD, OVERHEAD + length), crc.buf(frame.subarray(4, 8))) >>> 0;
+/** A frame is damaged. */
+export class DamagedFrameError extends SwiftfordError {
+  readonly code = 'DAMAGED_FRAME';
 
-/** The payload of a whole and undamaged frame at `at`, and where the next one begins. */
-function frameAt(bytes: Buffer, at: number): { payload: Buffer; end: number } | null {
-  if (at + OVERHEAD > bytes.length || !bytes.subarray(at, at + 4).equals(MARK)) return null;
-  const length = bytes.readUInt32LE(at + 4);
-  const end = at + OVERHEAD + length;
-  if (length > MAX_PAYLOAD || end > bytes.length) return null;
-  if (sum(bytes.subarray(at, end), length) !== bytes.readUInt32LE(at + 8)) return null;
-  return { payload: bytes.subarray(at + OVERHEAD, end), end };
+  /** `offset`: where the frame begins, in bytes. */
+  constructor(
+    readonly offset: number,
+    readonly reason: string,
+    cause?: unknown,
+  ) {
+    super(reason, { cause });
+  }
 }
 
-export interface ReadFrames {
+/** What was read from a file. */
+export interface DecodedFrames {
+  /** The entries of all whole frames, in order. */
   entries: unknown[];
-  /** Length of the part that is in order. */
+  /** Length in bytes of the part that is in order. */
   end: number;
 }
 
+/** The frame for entries that are written together. */
+export function encodeFrame(entries: readonly unknown[]): Buffer {
+  const payload = Buffer.from(JSON.stringify(entries));
+  const frame = Buffer.alloc(PAYLOAD_OFFSET + payload.length);
+  MARK.copy(frame);
+  frame.writeUInt32LE(payload.length, LENGTH_OFFSET);
+  payload.copy(frame, PAYLOAD_OFFSET);
+  frame.writeUInt32LE(checksum(frame, payload.length), CHECKSUM_OFFSET);
+  return frame;
+}
+
 /**
  * Reads a file. What does not make a frame at its end was being written when the process ended: its writer had not yet
- * been told that it is kept, so nothing depends on it, and it is left out. The same before another whole frame is damage:
- * `Damaged` says where, and nothing may be concluded from the rest.
+ * been told that it is on disk, so nothing depends on it, and it is left out. The same before another whole frame is
+ * damage: DamagedFrameError says where, and nothing may be concluded from the rest.
  */
-export function readFrames(bytes: Buffer): ReadFrames {
-  if (bytes.length < HEAD.length && HEAD.subarray(0, bytes.length).equals(bytes))
+export function readFrames(bytes: Buffer): DecodedFrames {
+  if (bytes.length < HEADER.length && HEADER.subarray(0, bytes.length).equals(bytes))
     return { entries: [], end: 0 };
-  if (!bytes.subarray(0, HEAD.length).equals(HEAD)) throw new DamagedFrameError(0, 'this is no outbox');
+  if (!bytes.subarray(0, HEADER.length).equals(HEADER)) throw new DamagedFrameError(0, 'this is no outbox');
   const entries: unknown[] = [];
-  let at = HEAD.length;
-  for (;;) {
-    const frame = frameAt(bytes, at);
-    if (frame === null) break;
-    entries.push(...parse(frame.payload, at));
-    at = frame.end;
+  let end = HEADER.length;
+  let frame = frameAt(bytes, end);
+  while (frame !== null) {
+    entries.push(...parsePayload(frame.payload, end));
+    end = frame.end;
+    frame = frameAt(bytes, end);
   }
-  // Also a length that was damaged to reach beyond the end must not hide what comes after it.
-  for (let i = bytes.indexOf(MARK, at + 1); i >= 0; i = bytes.indexOf(MARK, i + 1))
-    if (frameAt(bytes, i) !== null)
-      throw new DamagedFrameError(at, 'a record is damaged, and others follow it');
-  return { entries, end: at };
+  if (hasFrameAfter(bytes, end))
+    throw new DamagedFrameError(end, 'a record is damaged, and others follow it');
+  return { entries, end };
 }
 
-function parse(payload: Buffer, at: number): unknown[] {
-  try {
-    const list = JSON.parse(payload.toString('utf8'));
-    if (Array.isArray(list)) return list;
-  } catch {}
-  throw new DamagedFrameError(at, 'a record cannot be read');
+/** A length that was damaged to reach beyond the end must not hide what comes after it either. */
+function hasFrameAfter(bytes: Buffer, offset: number): boolean {
+  let mark = bytes.indexOf(MARK, offset + 1);
+  while (mark >= 0) {
+    if (frameAt(bytes, mark) !== null) return true;
+    mark = bytes.indexOf(MARK, mark + 1);
+  }
+  return false;
 }
 
-export class DamagedFrameError extends Error {
-  constructor(
-    readonly offset: number,
-    readonly reason: string,
-  ) {
-    super(reason);
+/** The payload of a whole and undamaged frame at `offset`, and where the next one begins. */
+function frameAt(bytes: Buffer, offset: number): { payload: Buffer; end: number } | null {
+  const payloadStart = offset + PAYLOAD_OFFSET;
+  if (payloadStart > bytes.length) return null;
+  if (!bytes.subarray(offset, offset + MARK.length).equals(MARK)) return null;
+  const length = bytes.readUInt32LE(offset + LENGTH_OFFSET);
+  const end = payloadStart + length;
+  if (length > MAX_PAYLOAD_BYTES || end > bytes.length) return null;
+  const frame = bytes.subarray(offset, end);
+  if (checksum(frame, length) !== frame.readUInt32LE(CHECKSUM_OFFSET)) return null;
+  return { payload: bytes.subarray(payloadStart, end), end };
+}
+
+function checksum(frame: Uint8Array, payloadLength: number): number {
+  const ofLength = crc.buf(frame.subarray(LENGTH_OFFSET, CHECKSUM_OFFSET));
+  return crc.buf(frame.subarray(PAYLOAD_OFFSET, PAYLOAD_OFFSET + payloadLength), ofLength) >>> 0;
+}
+
+function parsePayload(payload: Buffer, offset: number): unknown[] {
+  const unreadable = (cause?: unknown): DamagedFrameError =>
+    new DamagedFrameError(offset, 'a record cannot be read', cause);
+  let list: unknown;
+  try {
+    list = JSON.parse(payload.toString('utf8'));
+  } catch (error) {
+    throw unreadable(error);
   }
+  if (!Array.isArray(list)) throw unreadable();
+  return list;
 }
--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -1,4 +1,4 @@
-// A caller's job, with what was left out, in the form that the service takes; refused here if it can't be right.
+// A caller's job, completed with the defaults, in the form that the service takes; refused here if it cannot be right.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
 import { InvalidMessageError, isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
@@ -6,54 +6,79 @@
 import type { JobId, TeamName, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { InvalidRequestError, type JobRequest } from './types.ts';
 
-const FIELDS = new Set(
-  [
-    'team class kind priority tasks cpus gpus memoryGb image imageGb types zone oneZone spread spot estimateS',
-    'checkpointS saveS deadlineS awaits',
-  ].flatMap((s) => s.split(' ')),
-);
+/** Every field of a request; the type holds the list to `JobRequest`. */
+const FIELDS: Record<keyof JobRequest, true> = {
+  team: true,
+  class: true,
+  kind: true,
+  priority: true,
+  tasks: true,
+  cpus: true,
+  gpus: true,
+  memoryGb: true,
+  image: true,
+  imageGb: true,
+  types: true,
+  zone: true,
+  oneZone: true,
+  spread: true,
+  spot: true,
+  estimateS: true,
+  checkpointS: true,
+  saveS: true,
+  deadlineS: true,
+  awaits: true,
+};
 
-/** Unique over machines, processes and restarts: 122 random bits. */
+/** A new job id, unique over machines, processes and restarts: 122 random bits. */
 export const newId = (): string => `run-${randomUUID()}`;
 
-/** The body of the submission; throws BadRequest naming the field. */
+/** The body of the submission. Throws InvalidRequestError naming the field. */
 export function bodyOf(id: string, request: JobRequest): string {
-  const unknown = Object.keys(request).find((k) => !FIELDS.has(k));
-  if (unknown !== undefined) throw new InvalidRequestError(`${unknown}: there is no such field`);
-  if (!isJobId(id)) throw new InvalidRequestError(`${id}: a job id looks like run-000412`);
-  const r = request;
-  if (r.priority !== undefined && !Object.hasOwn(PRIORITIES, r.priority))
-    throw new InvalidRequestError(`priority must be one of ${Object.keys(PRIORITIES).join(', ')}`);
-  const spec: JobSpec = {
-    id: id as JobId,
-    class: r.class,
-    team: r.team as TeamName,
-    kind: r.kind ?? 'array',
-    priority: PRIORITIES[r.priority ?? 'normal']!,
-    tasks: r.tasks ?? 1,
-    cpus: r.cpus,
-    gpus: r.gpus ?? 0,
-    memoryGb: r.memoryGb,
-    image: r.image,
-    imageGb: r.imageGb,
-    machineTypes: (r.types ?? null) as TypeName[] | null,
-    zone: (r.zone ?? null) as ZoneName | null,
-    oneZone: r.oneZone ?? false,
-    spread: r.spread ?? false,
-    spot: r.spot ?? false,
-    estimatedRunS: r.estimateS,
-    checkpointIntervalS: r.checkpointS ?? 0,
-    checkpointDurationS: r.saveS ?? 0,
-    deadlineS: r.deadlineS ?? null,
-    ...(r.awaits === undefined || r.awaits.length === 0 ? {} : { dependsOn: r.awaits as JobId[] }),
-  };
-  const body = encodeJob(spec);
+  checkRequest(id, request);
+  const body = encodeJob(specOf(id as JobId, request));
   try {
-    // What the service would refuse as malformed is refused before it is kept.
+    // What the service would refuse as malformed is refused before it is recorded.
     parseJob(JSON.parse(body));
-  } catch (e) {
-    if (e instanceof InvalidMessageError) throw new InvalidRequestError(withOurFieldName(e.message));
-    throw e;
+  } catch (error) {
+    if (!(error instanceof InvalidMessageError)) throw error;
+    throw new InvalidRequestError(withOurFieldName(error.message), { cause: error });
   }
   return body;
 }
+
+function checkRequest(id: string, request: JobRequest): void {
+  const unknown = Object.keys(request).find((field) => !Object.hasOwn(FIELDS, field));
+  if (unknown !== undefined) throw new InvalidRequestError(`${unknown}: there is no such field`);
+  if (!isJobId(id)) throw new InvalidRequestError(`${id}: a job id looks like run-000412`);
+  const { priority } = request;
+  if (priority !== undefined && !Object.hasOwn(PRIORITIES, priority))
+    throw new InvalidRequestError(`priority must be one of ${Object.keys(PRIORITIES).join(', ')}`);
+}
+
+function specOf(id: JobId, request: JobRequest): JobSpec {
+  const { awaits } = request;
+  return {
+    id,
+    class: request.class,
+    team: request.team as TeamName,
+    kind: request.kind ?? 'array',
+    priority: PRIORITIES[request.priority ?? 'normal']!,
+    tasks: request.tasks ?? 1,
+    cpus: request.cpus,
+    gpus: request.gpus ?? 0,
+    memoryGb: request.memoryGb,
+    image: request.image,
+    imageGb: request.imageGb,
+    machineTypes: (request.types ?? null) as TypeName[] | null,
+    zone: (request.zone ?? null) as ZoneName | null,
+    oneZone: request.oneZone ?? false,
+    spread: request.spread ?? false,
+    spot: request.spot ?? false,
+    estimatedRunS: request.estimateS,
+    checkpointIntervalS: request.checkpointS ?? 0,
+    checkpointDurationS: request.saveS ?? 0,
+    deadlineS: request.deadlineS ?? null,
+    ...(awaits === undefined || awaits.length === 0 ? {} : { dependsOn: awaits as JobId[] }),
+  };
+}
--- /dev/null
+++ b/packages/client/src/session-driver.ts
@@ -0,0 +1,169 @@
+// Drives a session: carries out its effects with sockets, the journal and a timer, and feeds back what comes of them.
+import { type ClientReply, HttpClient } from '../../../src/http/client.ts';
+import { openJournalFile } from './journal-file.ts';
+import { RequestJournal } from './request-journal.ts';
+import { retryAfterS } from './retry-policy.ts';
+import { Session } from './session.ts';
+import type { Effect, Input, SendEffect, ServiceResponse } from './session-messages.ts';
+import type { JobState, JournalError, Outcome } from './types.ts';
+
+/** Whoever is told what becomes of the jobs of a session. */
+export interface SessionListener {
+  /** The service has accepted a job. */
+  onAccepted(id: string): void;
+  /** The service gave a new state of a job. */
+  onStateChanged(state: JobState): void;
+  /** A job has its outcome; called once for each job. */
+  onOutcome(outcome: Outcome): void;
+  /** The journal cannot be written: nothing more is sent. */
+  onFailure(error: JournalError): void;
+}
+
+/** How a session reaches the service. */
+export interface SessionDriverOptions {
+  /** Addresses, `host:port`. */
+  nodes: readonly string[];
+  /** Connections to each node. */
+  connections: number;
+}
+
+const MAX_RESPONSE_BYTES = 1 << 20;
+/** Longer timers would overflow; a wake too many does no harm. */
+const MAX_TIMER_MS = 1e9;
+const NEVER = Number.POSITIVE_INFINITY;
+
+/** A session with its connections, journal and timer. */
+export class SessionDriver {
+  private readonly session: Session;
+  private readonly connections = new Map<string, HttpClient>();
+  /** Outcomes that are published when the journal entry of this number is on disk. */
+  private readonly unpublished = new Map<number, Outcome>();
+  private openedJournal: RequestJournal | null = null;
+  private timer: NodeJS.Timeout | null = null;
+  private timerSetFor = NEVER;
+  private journalError: JournalError | null = null;
+  private stopped = false;
+
+  /** `listener`: is told what becomes of the jobs. */
+  constructor(
+    options: SessionDriverOptions,
+    private readonly listener: SessionListener,
+  ) {
+    const { nodes, connections } = options;
+    this.session = new Session({ nodes, perNode: connections, random: Math.random });
+    for (const node of nodes)
+      this.connections.set(node, new HttpClient(node, connections, MAX_RESPONSE_BYTES));
+  }
+
+  /** The journal; null without one. */
+  get journal(): RequestJournal | null {
+    return this.openedJournal;
+  }
+
+  /** Why nothing more is sent; null if all is well. */
+  get failure(): JournalError | null {
+    return this.journalError;
+  }
+
+  /** Whether `stop` was called. */
+  get isStopped(): boolean {
+    return this.stopped;
+  }
+
+  /** Opens the journal; throws JournalError. */
+  async openJournal(fileName: string): Promise<RequestJournal> {
+    const file = await openJournalFile(fileName);
+    try {
+      this.openedJournal = await RequestJournal.open(file, (error) => this.fail(error));
+      return this.openedJournal;
+    } catch (error) {
+      await file.close();
+      throw error;
+    }
+  }
+
+  /** Gives an input to the session, and carries out what it asks for. */
+  step(input: Input): void {
+    if (this.stopped || this.journalError !== null) return;
+    const effects = this.session.step(performance.now(), Date.now(), input);
+    for (const effect of effects) this.execute(effect);
+    this.armTimer();
+  }
+
+  /** From now on nothing is sent. */
+  stop(): void {
+    this.stopped = true;
+    if (this.timer !== null) clearTimeout(this.timer);
+  }
+
+  /** Closes connections and journal. */
+  async close(): Promise<void> {
+    for (const connection of this.connections.values()) connection.close();
+    await this.openedJournal?.close();
+  }
+
+  private fail(error: JournalError): void {
+    this.journalError = error;
+    this.listener.onFailure(error);
+  }
+
+  private armTimer(): void {
+    const { nextWake } = this.session;
+    if (nextWake === this.timerSetFor && this.timer !== null) return;
+    if (this.timer !== null) clearTimeout(this.timer);
+    this.timerSetFor = nextWake;
+    this.timer = null;
+    if (nextWake === NEVER) return;
+    const delayMs = Math.max(0, Math.ceil(nextWake - performance.now()));
+    this.timer = setTimeout(() => this.wake(), Math.min(MAX_TIMER_MS, delayMs));
+  }
+
+  private wake(): void {
+    this.timer = null;
+    this.step({ kind: 'wake' });
+  }
+
+  // ---- effects
+
+  private execute(effect: Effect): void {
+    switch (effect.kind) {
+      case 'persist':
+        return this.persist(effect);
+      case 'send':
+        return this.send(effect);
+      case 'accepted':
+        return this.listener.onAccepted(effect.id);
+      case 'state-changed':
+        return this.listener.onStateChanged(effect.state);
+      case 'outcome':
+        if (effect.after > 0) this.unpublished.set(effect.after, effect.outcome);
+        else this.listener.onOutcome(effect.outcome);
+    }
+  }
+
+  private persist({ seq, entry }: Extract<Effect, { kind: 'persist' }>): void {
+    const onPersisted = (): void => this.handlePersisted(seq);
+    if (this.openedJournal === null) queueMicrotask(onPersisted);
+    else this.openedJournal.append(entry, onPersisted);
+  }
+
+  private handlePersisted(seq: number): void {
+    const outcome = this.unpublished.get(seq);
+    this.unpublished.delete(seq);
+    if (outcome !== undefined) this.listener.onOutcome(outcome);
+    this.step({ kind: 'persisted', upTo: seq });
+  }
+
+  private send({ node, call, timeoutMs, tag }: SendEffect): void {
+    this.connections.get(node)!.call({ ...call, timeoutMs }, (reply) => {
+      const response = reply === null ? null : serviceResponse(reply);
+      this.step({ kind: 'response', tag, response });
+    });
+  }
+}
+
+const serviceResponse = (reply: ClientReply): ServiceResponse => ({
+  status: reply.status,
+  body: reply.body.toString('utf8'),
+  retryAfterS: retryAfterS(reply.headers.get('retry-after')),
+});
--- a/packages/client/test/request-journal.test.ts
+++ b/packages/client/test/request-journal.test.ts
@@ -1,113 +1,133 @@
-// What a script has asked for outlives it, whatever is left of the file.
+// What a script has asked for outlives it, whatever is left of the journal's file.
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
-import { HEAD } from '../src/journal-frames.ts';
+import { describe, it } from 'node:test';
+import { HEADER } from '../src/journal-frames.ts';
 import { RequestJournal } from '../src/request-journal.ts';
-import type { Entry } from '../src/session.ts';
+import type { JournalEntry } from '../src/session-messages.ts';
 import { JournalError } from '../src/types.ts';
 import { FakeDisk, settle } from './support.ts';
 
-const fail = (e: JournalError): void => assert.fail(e.message);
-const submit = (n: number): Entry => ({ op: 'submit', id: `run-${n}`, key: `k${n}`, body: `{"n":${n}}` });
+const failTest = (error: JournalError): void => assert.fail(error.message);
+const ignore = (): void => {};
+const submitEntry = (n: number): JournalEntry => ({
+  op: 'submit',
+  id: `run-${n}`,
+  key: `k${n}`,
+  body: `{"n":${n}}`,
+});
+const doneEntry = (id: string): JournalEntry => ({ op: 'over', id, outcome: { kind: 'done', id } });
 
-async function written(): Promise<FakeDisk> {
+function diskWith(bytes: FakeDisk['bytes']): FakeDisk {
   const disk = new FakeDisk();
-  const outbox = await RequestJournal.open(disk, fail);
+  disk.bytes = bytes;
+  return disk;
+}
+
+/** Four submissions, two of them accepted, one of those done. */
+async function writeJournal(): Promise<FakeDisk> {
+  const disk = new FakeDisk();
+  const journal = await RequestJournal.open(disk, failTest);
   for (let n = 0; n < 4; n++) {
-    outbox.keep(submit(n), () => {});
-    if (n % 2 === 0) outbox.keep({ op: 'accepted', id: `run-${n}` }, () => {});
+    journal.append(submitEntry(n), ignore);
+    if (n % 2 === 0) journal.append({ op: 'accepted', id: `run-${n}` }, ignore);
     await settle();
   }
-  outbox.keep({ op: 'over', id: 'run-2', outcome: { kind: 'done', id: 'run-2' } }, () => {});
+  journal.append(doneEntry('run-2'), ignore);
   await settle();
   return disk;
 }
-const asText = (o: RequestJournal): string[] => o.all().map((k) => JSON.stringify(k));
 
-test('a file cut at any byte gives back what came before, and can be written on', async () => {
-  const whole = (await written()).bytes;
-  let before = 0;
-  for (let cut = 0; cut <= whole.length; cut++) {
-    const disk = new FakeDisk();
-    disk.bytes = whole.subarray(0, cut);
-    const outbox = await RequestJournal.open(disk, fail);
-    const n = outbox.all().length;
-    assert.ok(n >= before && n <= 4, `${cut}: ${n} jobs`);
-    before = n;
-    assert.equal(
-      disk.bytes.length,
-      outbox.torn === null ? Math.max(cut, HEAD.length) : Math.max(HEAD.length, outbox.torn.offset),
-    );
-    outbox.keep(submit(9), () => {});
-    await settle();
-    const again = await RequestJournal.open(disk, fail);
-    assert.equal(again.torn, null);
-    assert.deepEqual(asText(again), [...asText(outbox)]);
-    assert.equal(again.find('k9')?.id, 'run-9');
-  }
-  assert.equal(before, 4);
-});
+const jobsAsText = (journal: RequestJournal): string[] => journal.all().map((job) => JSON.stringify(job));
 
-test('damage before the last record is an error that names file and byte, and the file stays as it is', async () => {
-  const whole = (await written()).bytes;
-  const last = await RequestJournal.open(Object.assign(new FakeDisk(), { bytes: whole }), fail);
-  let damaged = 0;
-  for (let at = 0; at < whole.length; at++) {
-    const disk = new FakeDisk();
-    disk.bytes = Buffer.from(whole);
-    disk.bytes[at] = disk.bytes[at]! ^ 0x41;
-    const copy = Buffer.from(disk.bytes);
-    try {
-      const outbox = await RequestJournal.open(disk, fail);
-      // Only the last record, which nobody may have been told of, can be taken for torn.
-      assert.ok(outbox.torn !== null && at >= outbox.torn.offset, `byte ${at} went unseen`);
-      assert.deepEqual(asText(outbox).slice(0, 2), asText(last).slice(0, 2));
-      assert.equal(outbox.get('run-3')?.body, '{"n":3}');
-    } catch (e) {
-      assert.ok(e instanceof JournalError && e.offset <= at && /outbox, byte \d+/.test(e.message), String(e));
-      assert.deepEqual(disk.bytes, copy);
-      damaged++;
+describe('RequestJournal', () => {
+  it('recovers what came before the cut from a file cut at any byte, and goes on writing to it', async () => {
+    const whole = (await writeJournal()).bytes;
+    let before = 0;
+    for (let cut = 0; cut <= whole.length; cut++) {
+      const disk = diskWith(whole.subarray(0, cut));
+      const journal = await RequestJournal.open(disk, failTest);
+      const count = journal.all().length;
+      assert.ok(count >= before && count <= 4, `${cut}: ${count} jobs`);
+      before = count;
+      assert.equal(
+        disk.bytes.length,
+        journal.torn === null ? Math.max(cut, HEADER.length) : Math.max(HEADER.length, journal.torn.offset),
+      );
+      journal.append(submitEntry(9), ignore);
+      await settle();
+      const reopened = await RequestJournal.open(disk, failTest);
+      assert.equal(reopened.torn, null);
+      assert.deepEqual(jobsAsText(reopened), [...jobsAsText(journal)]);
+      assert.equal(reopened.find('k9')?.id, 'run-9');
     }
-  }
-  assert.ok(damaged > whole.length / 2);
-});
+    assert.equal(before, 4);
+  });
 
-test('a full disk is an error that names the byte; what was kept stays, and nothing half written is left', async () => {
-  const disk = new FakeDisk();
-  const errors: JournalError[] = [];
-  const outbox = await RequestJournal.open(disk, (e) => errors.push(e));
-  let kept = 0;
-  outbox.keep(submit(1), () => kept++);
-  await settle();
-  const length = disk.bytes.length;
-  disk.room = 20;
-  for (const n of [2, 3]) outbox.keep(submit(n), () => kept++);
-  await settle();
-  disk.room = 1e6;
-  outbox.keep(submit(4), () => kept++);
-  await settle();
-  assert.equal(kept, 1, 'after an error nothing more is said to be kept');
-  assert.equal(errors.length, 1);
-  assert.equal(errors[0]!.message, `outbox, byte ${length}: the disk is full`);
-  assert.equal(disk.bytes.length, length);
-  assert.deepEqual(
-    (await RequestJournal.open(disk, fail)).all().map((k) => k.id),
-    ['run-1'],
-  );
-});
+  it('reports damage before the last record as an error that names file and byte, and leaves the file as it is', async () => {
+    const whole = (await writeJournal()).bytes;
+    const undamaged = await RequestJournal.open(diskWith(whole), failTest);
+    let damaged = 0;
+    for (let at = 0; at < whole.length; at++) {
+      const disk = diskWith(Buffer.from(whole));
+      disk.bytes[at] = disk.bytes[at]! ^ 0x41;
+      const copy = Buffer.from(disk.bytes);
+      try {
+        const journal = await RequestJournal.open(disk, failTest);
+        // Only the last record, which nobody may have been told of, can be taken for torn.
+        assert.ok(journal.torn !== null && at >= journal.torn.offset, `byte ${at} went unseen`);
+        assert.deepEqual(jobsAsText(journal).slice(0, 2), jobsAsText(undamaged).slice(0, 2));
+        assert.equal(journal.get('run-3')?.body, '{"n":3}');
+      } catch (error) {
+        assert.ok(
+          error instanceof JournalError && error.offset <= at && /outbox, byte \d+/.test(error.message),
+          String(error),
+        );
+        assert.deepEqual(disk.bytes, copy);
+        damaged++;
+      }
+    }
+    assert.ok(damaged > whole.length / 2);
+  });
 
-test('a file in which little is of use any more is written anew, with every key and outcome', async () => {
-  const disk = new FakeDisk();
-  const outbox = await RequestJournal.open(disk, fail, 20_000);
-  for (let n = 0; n < 60; n++) {
-    outbox.keep({ op: 'submit', id: `run-${n}`, key: `k${n}`, body: 'x'.repeat(2000) }, () => {});
-    if (n < 58)
-      outbox.keep({ op: 'over', id: `run-${n}`, outcome: { kind: 'done', id: `run-${n}` } }, () => {});
+  it('reports a full disk as an error that names the byte, keeps what was written and leaves no partial record', async () => {
+    const disk = new FakeDisk();
+    const errors: JournalError[] = [];
+    const journal = await RequestJournal.open(disk, (error) => errors.push(error));
+    let persisted = 0;
+    const countPersisted = (): void => {
+      persisted++;
+    };
+    journal.append(submitEntry(1), countPersisted);
     await settle();
-  }
-  assert.ok(disk.bytes.length < 45_000, `${disk.bytes.length}`);
-  const again = await RequestJournal.open(disk, fail);
-  assert.deepEqual(asText(again), asText(outbox));
-  assert.equal(again.find('k3')?.outcome?.kind, 'done');
-  assert.equal(again.find('k59')?.body?.length, 2000);
+    const length = disk.bytes.length;
+    disk.freeBytes = 20;
+    for (const n of [2, 3]) journal.append(submitEntry(n), countPersisted);
+    await settle();
+    disk.freeBytes = 1e6;
+    journal.append(submitEntry(4), countPersisted);
+    await settle();
+    assert.equal(persisted, 1, 'after an error nothing more is reported as written');
+    assert.equal(errors.length, 1);
+    assert.equal(errors[0]!.message, `outbox, byte ${length}: the disk is full`);
+    assert.equal(disk.bytes.length, length);
+    assert.deepEqual(
+      (await RequestJournal.open(disk, failTest)).all().map((job) => job.id),
+      ['run-1'],
+    );
+  });
+
+  it('compacts a file with little live data, and keeps every key and outcome', async () => {
+    const disk = new FakeDisk();
+    const journal = await RequestJournal.open(disk, failTest, 20_000);
+    for (let n = 0; n < 60; n++) {
+      journal.append({ op: 'submit', id: `run-${n}`, key: `k${n}`, body: 'x'.repeat(2000) }, ignore);
+      if (n < 58) journal.append(doneEntry(`run-${n}`), ignore);
+      await settle();
+    }
+    assert.ok(disk.bytes.length < 45_000, `${disk.bytes.length}`);
+    const reopened = await RequestJournal.open(disk, failTest);
+    assert.deepEqual(jobsAsText(reopened), jobsAsText(journal));
+    assert.equal(reopened.find('k3')?.outcome?.kind, 'done');
+    assert.equal(reopened.find('k59')?.body?.length, 2000);
+  });
 });
--- a/scripts/experiments/submission-load.ts
+++ b/scripts/experiments/submission-load.ts
@@ -37,18 +37,18 @@
   gc();
   const before = process.memoryUsage().heapUsed;
   const random = seededRandom(1);
-  const s = new Session({ nodes: ['a:1'], perNode: 8, chance: () => random.below(1000) / 1000 });
+  const s = new Session({ nodes: ['a:1'], perNode: 8, random: () => random.below(1000) / 1000 });
   let now = 0;
   const accepted = '{"nameId":"x","status":"pending"}';
   const feed = (effects: ReturnType<Session['step']>): void => {
     for (const e of effects) {
-      if (e.kind === 'keep') feed(s.step(now, now, { kind: 'kept', upTo: e.seq }));
+      if (e.kind === 'persist') feed(s.step(now, now, { kind: 'persisted', upTo: e.seq }));
       if (e.kind === 'send')
         feed(
           s.step(now, now, {
-            kind: 'answer',
+            kind: 'response',
             tag: e.tag,
-            reply: { status: 200, body: accepted, retryAfterS: null },
+            response: { status: 200, body: accepted, retryAfterS: null },
           }),
         );
     }
