--- a/src/core/heartbeats/circuit-breaker.ts
+++ b/src/core/heartbeats/circuit-breaker.ts
@@ -5,7 +5,7 @@
 const TIMEOUTS_TO_OPEN = 3;
 const OPEN_MS = 5000;
 
-/** Counts timeouts in a row; open, it says that nothing should be sent. */
+/** Counts timeouts in a row; while it is open, nothing should be sent. */
 export class CircuitBreaker {
   private consecutiveTimeouts = 0;
   private openUntil: Instant = LONG_AGO;
@@ -23,8 +23,9 @@
   }
 
   /**
-   * A request has not been answered in time; whether the breaker opens by it. It does not while the other side is
-   * active (`isPeerSilent` is false): one that is merely slow must not get all the work by another path as well.
+   * A request has not been answered in time; whether the breaker opens by it. It does not while the other
+   * side is active (`isPeerSilent` is false): one that is merely slow must not get all the work by another
+   * path as well.
    */
   recordTimeout(isPeerSilent: boolean): boolean {
     this.consecutiveTimeouts++;
--- a/src/core/heartbeats/connection-balancer.ts
+++ b/src/core/heartbeats/connection-balancer.ts
@@ -1,7 +1,8 @@
-// Balances the connections of agents over the controllers. Agents choose a node at random and move on when it ends, so
-// after a few ends most of them are at one node, which then lacks processor time and sockets. A node with many more than
-// the mean redirects some to the one with fewest, a few a second. The leader should have few: it processes the heartbeats
-// of all agents anyway, and a connection with its HTTP costs it several times as much as a forwarded heartbeat.
+// Balances the connections of agents over the controllers. Agents choose a node at random and move on when it
+// ends, so after a few ends most of them are at one node, which then lacks processor time and sockets. A node
+// with many more than the mean redirects some to the one with fewest, a few a second. The leader should have
+// few: it processes the heartbeats of all agents anyway, and a connection with its HTTP costs it several
+// times as much as a forwarded heartbeat.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
@@ -19,7 +20,9 @@
 const LEADER_REDIRECTED_PART_PER_S = 0.12;
 /** Weight of an agent that is connected to the leader; elsewhere 1. */
 const LEADER_AGENT_WEIGHT = 4;
-/** An agent that comes back after a redirect did not get through; it is not redirected again for this time. */
+/**
+ * An agent that comes back after a redirect did not get through; it is not redirected again for this time.
+ */
 const REDIRECT_PAUSE_MS = 120_000;
 
 interface PeerWeight {
@@ -53,7 +56,7 @@
     this.isLeader = isLeader;
   }
 
-  /** The load of this node, as its peers are told. */
+  /** The load of this node, as it is sent to its peers. */
   get weight(): number {
     return this.workers * this.agentWeight;
   }
--- a/src/core/heartbeats/heartbeat-forwarder.ts
+++ b/src/core/heartbeats/heartbeat-forwarder.ts
@@ -1,6 +1,7 @@
-// Agents spread over all controllers: a node that is not the leader keeps the agents that connect to it, forwards their
-// heartbeats over its link to the leader, most of them as a delta to the last one, and brings back the leader's responses.
-// It answers nothing by itself, so who renews a lease and who commands a machine stay with the leader (docs/safety.md).
+// Agents spread over all controllers: a node that is not the leader keeps the agents that connect to it,
+// forwards their heartbeats over its link to the leader, most of them as a delta to the last one, and brings
+// back the leader's responses. It answers nothing by itself, so who renews a lease and who commands a machine
+// stay with the leader (docs/safety.md).
 import {
   addMs,
   elapsedMs,
@@ -18,19 +19,26 @@
 import { type HeartbeatResponder, PendingHeartbeats } from './pending-heartbeats.ts';
 import { diffTaskLists, type TaskListDelta } from './task-list-delta.ts';
 
-/** Agents wait for 4 s. Until nearly then the next leader may come up, and a redirected agent may find nobody. */
+/**
+ * Agents wait for 4 s. Until nearly then the next leader may come up, and a redirected agent may find nobody.
+ */
 const RESPONSE_TIMEOUT_MS = 3800;
-/** While no leader is known, a heartbeat waits this long for the next one; its agent then tries another node. */
+/**
+ * While no leader is known, a heartbeat waits this long for the next one; its agent then tries another node.
+ */
 const DEFER_MS = 3800;
 /** The last answered heartbeat of an agent that no longer comes is forgotten after this time. */
 const BASELINE_TTL_MS = 60_000;
 const SWEEP_INTERVAL_MS = 10_000;
 /**
- * A leader that is silent for longer than its lease lasts, while the store still names it, is alive and only out of this
- * node's reach. Before that it has probably ended, and each agent redirected to it loses 5 s of its lease in vain.
+ * A leader that is silent for longer than its lease lasts, while the store still names it, is alive and only
+ * out of this node's reach. Before that it has probably ended, and each agent redirected to it loses 5 s of
+ * its lease in vain.
  */
 const OUT_OF_REACH_MS = 6000;
-/** A node that has just denied being the leader is not asked again for this time, unless it is elected anew. */
+/**
+ * A node that has just denied being the leader is not asked again for this time, unless it is elected anew.
+ */
 const DENIED_MS = 1000;
 
 /** A forwarded heartbeat that the leader has not answered. */
@@ -43,7 +51,10 @@
   isFull: boolean;
 }
 
-/** The last heartbeat of an agent that a leader has answered through this node; the next one may be a delta to it. */
+/**
+ * The last heartbeat of an agent that a leader has answered through this node; the next one may be a delta to
+ * it.
+ */
 interface Baseline {
   leader: NodeId;
   heartbeat: Heartbeat;
@@ -74,8 +85,9 @@
   }
 
   /**
-   * The link is up but silent, and was not used lately for that; or the node has denied being the leader, as it was
-   * restarted within a fraction of a second and its earlier lease still stands. Who leads is known within seconds.
+   * The link is up but silent, and was not used lately for that; or the node has denied being the leader, as
+   * it was restarted within a fraction of a second and its earlier lease still stands. Who leads is known
+   * within seconds.
    */
   leaderMayHaveEnded(leader: NodeId): boolean {
     return this.isDenied || (!this.isUsable && this.liveness.silentMs(leader) < OUT_OF_REACH_MS);
@@ -85,7 +97,9 @@
     return this.io.now < this.deniedUntil;
   }
 
-  /** Forwards a heartbeat to the leader. `deadline`: when its agent must be answered, if it has waited before. */
+  /**
+   * Forwards a heartbeat to the leader. `deadline`: when its agent must be answered, if it has waited before.
+   */
   forward(received: Heartbeat, leader: NodeId, respond: HeartbeatResponder, deadline: Instant = NEVER): void {
     const id = this.io.nextRequestId();
     const baseline = this.baselines.get(received.machine);
@@ -144,7 +158,9 @@
     this.deferred.add(heartbeat, respond, deadline);
   }
 
-  /** A leader can be reached, or this node has become it: deferred heartbeats are handled as if they came now. */
+  /**
+   * A leader can be reached, or this node has become it: deferred heartbeats are handled as if they came now.
+   */
   resumeDeferred(
     handle: (heartbeat: Heartbeat, respond: HeartbeatResponder, deadline: Instant) => void,
   ): void {
@@ -153,8 +169,8 @@
   }
 
   /**
-   * There is another leader: what the one before has not answered, and perhaps never will, waits for this one. The link
-   * to a leader that is frozen, or cut off, does not show it.
+   * There is another leader: what the one before has not answered, and perhaps never will, waits for this
+   * one. The link to a leader that is frozen, or cut off, does not show it.
    */
   onLeader(leader: LeaderRecord): void {
     if (leader.node === this.leader?.node && leader.revision === this.leader.revision) return;
@@ -190,7 +206,10 @@
       if (baseline.leader === node) this.baselines.delete(machine);
   }
 
-  /** Whether the peer has sent nothing for some seconds; those that agents connect to send something every second. */
+  /**
+   * Whether the peer has sent nothing for some seconds; those that agents connect to send something every
+   * second.
+   */
   isSilent(node: NodeId): boolean {
     return this.liveness.isSilent(node);
   }
@@ -201,8 +220,8 @@
   }
 
   /**
-   * Where to redirect an agent that cannot be served here: to a node that is certainly alive, rather than round nodes
-   * that may not be, at 5 s each. To the leader only if it may well answer there.
+   * Where to redirect an agent that cannot be served here: to a node that is certainly alive, rather than
+   * round nodes that may not be, at 5 s each. To the leader only if it may well answer there.
    */
   private redirectTarget(leader: NodeId | null): NodeId | null {
     const alivePeer = this.liveness.findAlivePeer(leader);
--- a/src/core/heartbeats/heartbeat-relay.ts
+++ b/src/core/heartbeats/heartbeat-relay.ts
@@ -1,5 +1,6 @@
-// Agents that cannot reach the leader: the node that they come back to relays their heartbeats over its link to the
-// leader. Agents accept a response with the leader's fencing token from any node, and drop it after 4 s like any other.
+// Agents that cannot reach the leader: the node that they come back to relays their heartbeats over its link
+// to the leader. Agents accept a response with the leader's fencing token from any node, and drop it after 4
+// s like any other.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat, HeartbeatResponse } from '../base/model.ts';
@@ -17,7 +18,9 @@
   deadline: Instant;
 }
 
-/** Decides for each heartbeat at a node that is not the leader whether to redirect its agent or to relay it. */
+/**
+ * Decides for each heartbeat at a node that is not the leader whether to redirect its agent or to relay it.
+ */
 export class HeartbeatRelay {
   private readonly redirectedAt = new Map<MachineId, Instant>();
   /** Since when each machine's heartbeats are relayed. */
@@ -29,7 +32,10 @@
     this.io = io;
   }
 
-  /** Redirects the agent to the leader, or relays its heartbeat if it has tried that in vain; `isLinked`: to the leader. */
+  /**
+   * Redirects the agent to the leader, or relays its heartbeat if it has tried that in vain; `isLinked`: to
+   * the leader.
+   */
   relay(
     heartbeat: Heartbeat,
     leader: LeaderRecord | null,
@@ -49,7 +55,10 @@
     });
   }
 
-  /** An agent with the leader's token has left it for want of responses; another was just redirected to it in vain. */
+  /**
+   * An agent with the leader's token has left it for want of responses; another was just redirected to it in
+   * vain.
+   */
   private cannotReachLeader(heartbeat: Heartbeat, leader: LeaderRecord): boolean {
     const { machine } = heartbeat;
     const { now } = this.io;
--- a/src/core/heartbeats/peer-liveness.ts
+++ b/src/core/heartbeats/peer-liveness.ts
@@ -1,4 +1,4 @@
-// When this node last heard of each of its peers, and when it last lost the link to one.
+// When each peer last sent something to this node, and when the link to it was last lost.
 import { elapsedMs, type Instant, LONG_AGO, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
@@ -9,7 +9,7 @@
 /** A peer whose link was lost within this time has probably ended: agents would find nobody there. */
 const DISCONNECTED_RECENTLY_MS = 5000;
 
-/** Tells from the activity of peers which of them are alive. */
+/** Decides from the activity of peers which of them are alive. */
 export class PeerLiveness {
   private readonly lastActivityAt = new Map<NodeId, Instant>();
   private readonly disconnectedAt = new Map<NodeId, Instant>();
--- a/src/core/heartbeats/task-list-delta.ts
+++ b/src/core/heartbeats/task-list-delta.ts
@@ -1,10 +1,12 @@
-// Deltas between the task lists of a machine's heartbeats. Most lists are the last one with a change or two: what has not
-// changed stays the same object, so that it need be neither forwarded nor reconciled again.
+// Deltas between the task lists of a machine's heartbeats. Most lists are the last one with a change or two:
+// what has not changed stays the same object, so that it need be neither forwarded nor reconciled again.
 import type { TaskStatus } from '../base/model.ts';
 
 /** What turns an earlier task list into a newer one. */
 export interface TaskListDelta {
-  /** Indexes in the earlier list of tasks that are not in the newer one, or not in the same state; ascending. */
+  /**
+   * Indexes in the earlier list of tasks that are not in the newer one, or not in the same state; ascending.
+   */
   removed: number[];
   /** Tasks that are new or have changed, with their indexes in the newer list; ascending. */
   changed: { at: number; task: TaskStatus }[];
@@ -13,8 +15,8 @@
 /** A newer task list with its delta to an earlier one. */
 export interface TaskListDiff extends TaskListDelta {
   /**
-   * The newer list; what it has in common with the earlier one are the same objects. If both are equal, the earlier list
-   * itself.
+   * The newer list; what it has in common with the earlier one are the same objects. If both are equal, the
+   * earlier list itself.
    */
   tasks: readonly TaskStatus[];
 }
--- a/src/core/machines/capacity-checks.ts
+++ b/src/core/machines/capacity-checks.ts
@@ -40,7 +40,9 @@
   );
 }
 
-/** Whether a task of the job fits after what runs on the machine and those queued tasks that go ahead of it. */
+/**
+ * Whether a task of the job fits after what runs on the machine and those queued tasks that go ahead of it.
+ */
 export function hasCapacityAhead(machine: MachineCapacity, job: Job): boolean {
   let cpus = machine.freeCpus;
   let gpus = machine.freeGpus;
@@ -55,8 +57,8 @@
 }
 
 /**
- * Whether a further task of the job may go to the zone; `used` counts its tasks by zone. A job with `oneZone` stays in
- * the zone that it has begun in, and one with `spread` puts at most half of its tasks into a zone.
+ * Whether a further task of the job may go to the zone; `used` counts its tasks by zone. A job with `oneZone`
+ * stays in the zone that it has begun in, and one with `spread` puts at most half of its tasks into a zone.
  */
 export function isZoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
   if (job.spec.oneZone) {
--- a/src/core/machines/capacity-index.ts
+++ b/src/core/machines/capacity-index.ts
@@ -1,5 +1,6 @@
-// Schedulable machines by free capacity, so that a place is found without a scan of all machines. Kept up to date as
-// assignments change: the work for a change or for a choice does not grow with the number of machines.
+// Schedulable machines by free capacity, so that a place is found without a scan of all machines. Kept up to
+// date as assignments change: the work for a change or for a choice does not grow with the number of
+// machines.
 import type { Random } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
 import { type CapacityBucket, type IndexPosition, type Machine, MachinePool } from './machine.ts';
@@ -83,7 +84,7 @@
     if (machines.size === 0) this.byImage.delete(image);
   }
 
-  /** The machine is gone, and its cache with it. */
+  /** The machine is removed, and its cache with it. */
   removeAllImages(machine: Machine): void {
     for (const image of machine.images.keys()) this.removeImage(machine, image);
   }
--- a/src/core/machines/heartbeat-processor.ts
+++ b/src/core/machines/heartbeat-processor.ts
@@ -1,4 +1,4 @@
-// Takes in heartbeats of machines: agent epochs, what the heartbeat says of the machine, reconciliation of its tasks.
+// Takes in heartbeats of machines: agent epochs, the state of the machine, reconciliation of its tasks.
 import { addMs, type FencingToken } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat } from '../base/model.ts';
@@ -70,7 +70,6 @@
 
   private recordHeartbeat(machine: Machine, heartbeat: Heartbeat): void {
     machine.seq = heartbeat.seq;
-    machine.seenFencingToken = heartbeat.fencingToken;
     machine.addr = heartbeat.addr;
     machine.isUp = true;
     machine.lastHeartbeat = this.io.now;
@@ -98,6 +97,7 @@
   const { agentEpoch, seq } = heartbeat;
   if (agentEpoch < machine.agentEpoch) return true;
   if (agentEpoch === machine.agentEpoch && seq <= machine.seq) return true;
-  // Delayed by a network partition: of an epoch that is over for certain, it lists tasks that are long gone.
+  // Delayed by a network partition: of an epoch that is over for certain, it lists tasks that have long
+  // ended.
   return agentEpoch <= machine.expiredEpoch;
 }
--- a/src/core/machines/lease-monitor.ts
+++ b/src/core/machines/lease-monitor.ts
@@ -1,4 +1,5 @@
-// Leases of machines: how long one lasts, and what happens to machines that are late or whose lease has expired.
+// Leases of machines: how long one lasts, and what happens to machines that are late or whose lease has
+// expired.
 import { addMs, elapsedMs, type Instant, LONG_AGO, NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -14,7 +15,7 @@
 export const MAX_HEARTBEAT_INTERVALS = 1.25;
 /** A heartbeat and its response may be on their way for this long. */
 export const HEARTBEAT_TRANSIT_MS = 1500;
-/** Agents that nobody has answered try all nodes in turn; they are back within these intervals and this time. */
+/** Agents without a response try all nodes in turn; they are back within these intervals and this time. */
 const RETURN_HEARTBEATS = 3;
 const RETURN_MARGIN_MS = 10_000;
 
@@ -55,12 +56,14 @@
     this.returnWithinMs = RETURN_HEARTBEATS * heartbeatS * 1000 + RETURN_MARGIN_MS;
   }
 
-  /** When everything on a machine that is answered now is gone for certain, unless it is answered again. */
+  /** When nothing runs on a machine that is answered now for certain, unless it is answered again. */
   get leaseExpiryFromNow(): Instant {
     return addMs(this.io.now, this.leaseMs);
   }
 
-  /** `isSoleLeader`: no other leader can exist; `mayCommand`: whether machines may be commanded at present. */
+  /**
+   * `isSoleLeader`: no other leader can exist; `mayCommand`: whether machines may be commanded at present.
+   */
   tick(machines: Iterable<Machine>, isSoleLeader: boolean, mayCommand: boolean): void {
     this.noteCommandsAllowed(mayCommand);
     for (const machine of machines) {
@@ -96,9 +99,9 @@
   }
 
   /**
-   * It was this leader that answered no heartbeat, for as long as the store was unavailable; its machines exist, with
-   * nothing on them, and come back in a new agent epoch. Released for silence, the whole fleet would have to be
-   * rented and booted anew.
+   * It was this leader that answered no heartbeat, for as long as the store was unavailable; its machines
+   * exist, with nothing on them, and come back in a new agent epoch. Released for silence, the whole fleet
+   * would have to be rented and booted anew.
    */
   private awaitReturn(machine: Machine): void {
     machine.isReconciled = false;
@@ -115,7 +118,10 @@
     this.updater.cordon(machine, CordonReason.silent);
   }
 
-  /** Its queued tasks could start only with its next heartbeat, which may never come: they go where they can start now. */
+  /**
+   * Its queued tasks could start only with its next heartbeat, which may never come: they go where they can
+   * start now.
+   */
   private markOverdue(machine: Machine): void {
     machine.isOverdue = true;
     if (machine.queue.length > 0) this.listener.requestCycle();
--- a/src/core/machines/machine-assignments.ts
+++ b/src/core/machines/machine-assignments.ts
@@ -1,6 +1,6 @@
-// Which tasks are queued for machines and assigned to them, and the sums that follow from it: used and queued capacity,
-// tasks of a job by zone, usage by team.
-import type { Attempt } from '../../types/index.ts';
+// Which tasks are queued for machines and assigned to them, and the sums that follow from it: used and queued
+// capacity, tasks of a job by zone, usage by team.
+import { type Attempt, taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type Job, type TaskAssignment, TaskPhase } from '../jobs/job.ts';
 import type { Quota } from '../teams/quota.ts';
@@ -36,7 +36,9 @@
     this.listener = dependencies.listener;
   }
 
-  /** Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served. */
+  /**
+   * Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served.
+   */
   enqueue(machine: Machine, queued: QueuedTask): void {
     let position = machine.queue.length;
     while (position > 0 && machine.queue[position - 1]!.job.priority < queued.job.priority) position--;
@@ -81,13 +83,13 @@
     const earlier = job.assignments.get(index);
     if (earlier !== undefined) {
       this.io.log('info', 'task listed by a second machine', {
-        task: `${job.id}/${index}`,
+        task: taskId(job.id, index),
         machines: [earlier.machine, machine.id],
       });
     }
     job.addAssignment(assignment);
     machine.isTaskListSettled = false;
-    machine.assignments.set(assignmentKey(`${job.id}/${index}`, attempt), assignment);
+    machine.assignments.set(assignmentKey(taskId(job.id, index), attempt), assignment);
     this.countUsed(machine, job, 1);
     this.capacityIndex.update(machine);
     return assignment;
@@ -96,11 +98,12 @@
   /** The task is certainly off the machine. */
   unassign(machine: Machine, assignment: TaskAssignment): void {
     const { job, index } = assignment;
-    const key = assignmentKey(`${job.id}/${index}`, assignment.attempt);
+    const key = assignmentKey(taskId(job.id, index), assignment.attempt);
     if (!machine.assignments.delete(key)) return;
     machine.isTaskListSettled = false;
     assignment.isGone = true;
-    // Reconciled under this term, the machine had listed the task or was sent it, since no other leader could assign it.
+    // Reconciled under this term, the machine had listed the task or was sent it, since no other leader could
+    // assign it.
     job.removeAssignment(assignment, machine.isReconciled);
     if (assignment.runningAt !== null) job.runningTasks--;
     this.countUsed(machine, job, -1);
@@ -112,10 +115,10 @@
     this.listener.requestCycle();
   }
 
-  /** Everything on the machine is certainly gone. */
+  /** No task is on the machine any more, for certain. */
   removeAll(machine: Machine): void {
     for (const assignment of [...machine.assignments.values()]) this.unassign(machine, assignment);
-    // Nobody is left to be told to forget them; kept, they would keep a lost machine from being returned.
+    // No agent is left to forget them; kept, they would keep a lost machine from being released.
     for (const exited of machine.exitedTasks.values()) exited.isGone = true;
     machine.exitedTasks.clear();
     this.dequeueAll(machine);
--- a/src/core/machines/machine-commands.ts
+++ b/src/core/machines/machine-commands.ts
@@ -1,4 +1,6 @@
-// The commands in a heartbeat response: forget what is recorded, stop what must not run, start what is queued.
+// The commands in a heartbeat response: forget what is recorded, stop what must not run, start what is
+// queued.
+import { taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command, Settings } from '../base/model.ts';
 import { type TaskAssignment, TaskPhase } from '../jobs/job.ts';
@@ -7,7 +9,7 @@
 import { HEARTBEAT_TRANSIT_MS, MAX_HEARTBEAT_INTERVALS } from './lease-monitor.ts';
 import type { Machine } from './machine.ts';
 import type { MachineAssignments } from './machine-assignments.ts';
-import type { ExitedTask, OrphanTask, QueuedTask } from './machine-tasks.ts';
+import type { ExitedTask, QueuedTask } from './machine-tasks.ts';
 
 /** Added to the time that a task needs for its checkpoint when it is stopped with grace. */
 const CHECKPOINT_MARGIN_S = 1;
@@ -48,7 +50,7 @@
   private startQueueHead(machine: Machine, { job, index, attempt }: QueuedTask): Command {
     this.assignments.takeQueueHead(machine);
     this.assignments.assign(machine, job, index, attempt, machine.seq);
-    const task = `${job.id}/${index}` as OrphanTask['task'];
+    const task = taskId(job.id, index);
     this.io.log('debug', 'task started', { task, machine: machine.id, attempt });
     return { op: 'start', task, attempt };
   }
@@ -68,10 +70,13 @@
     const { graceS } = assignment.stopping;
     // A task goes on saving undisturbed; only a stop without grace is repeated over it.
     if (assignment.state === 'saving' && graceS > 0) return;
-    commands.push({ op: 'stop', task: `${job.id}/${index}` as OrphanTask['task'], attempt, graceS });
+    commands.push({ op: 'stop', task: taskId(job.id, index), attempt, graceS });
   }
 
-  /** Whether this is the last heartbeat at which a task can still be told to save before its machine is preempted. */
+  /**
+   * Whether this is the last heartbeat whose response can still stop a task in time for its checkpoint before
+   * the preemption.
+   */
   private mustCheckpointNow(machine: Machine, assignment: TaskAssignment): boolean {
     const { checkpointIntervalS, checkpointDurationS } = assignment.job.spec;
     if (machine.preemptedAt === null || checkpointIntervalS === 0 || assignment.state !== 'running')
--- a/src/core/machines/machine-record.ts
+++ b/src/core/machines/machine-record.ts
@@ -1,4 +1,5 @@
-// The stored form of registered machines, under keys that begin with `m/`: many machines share one record, a line each.
+// The stored form of registered machines, under keys that begin with `m/`: many machines share one record, a
+// line each.
 import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
 import type { Machine } from './machine.ts';
 
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,5 +1,5 @@
-// Machines recorded in the store, so that the next leader knows all that tasks may be on. Many machines share a record:
-// at a write each, a boot wave of a thousand would take half a minute before anything could start.
+// Machines recorded in the store, so that the next leader knows all that tasks may be on. Many machines share
+// a record: at a write each, a boot wave of a thousand would take half a minute before anything could start.
 import { type Instant, LONG_AGO, type MachineId, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem } from '../base/model.ts';
@@ -20,13 +20,13 @@
 export { MACHINE_PREFIX, type RegisteredMachine } from './machine-record.ts';
 
 /**
- * New pages are begun no more often than this; machines that come up meanwhile share the next one. While much else
- * waits to be written, less often, as they go before it.
+ * New pages are begun no more often than this; machines that come up meanwhile share the next one. While much
+ * else waits to be written, less often, as they go before it.
  */
 const BATCH_INTERVAL_MS = 200;
 const BATCH_INTERVAL_MS_PER_WRITE = 10;
 const BATCH_INTERVAL_MAX_MS = 700;
-/** Machines that are gone leave the stored record after this time. */
+/** Machines that are unregistered leave the stored record after this time. */
 const REWRITE_DELAY_MS = 1000;
 /** Bytes of a stored value that are not lines of machines. */
 const RECORD_OVERHEAD_BYTES = 128;
@@ -80,7 +80,10 @@
     this.maxLineBytes = writer.maxValueBytes - RECORD_OVERHEAD_BYTES;
   }
 
-  /** Reads a page of an earlier term; `found` is called for its machines, except for those known from another page. */
+  /**
+   * Reads a page of an earlier term; `found` is called for its machines, except for those known from another
+   * page.
+   */
   load(
     item: StoreItem,
     isKnown: (id: MachineId) => boolean,
@@ -165,8 +168,8 @@
   }
 
   /**
-   * A page of an earlier term may be larger than a value may be by now: what does not fit is recorded on a new page
-   * before this one is written without it, so that no machine is missing in between.
+   * A page of an earlier term may be larger than a value may be by now: what does not fit is recorded on a
+   * new page before this one is written without it, so that no machine is missing in between.
    */
   private split(page: RegistryPage, keep: number): void {
     page.isSplitting = true;
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -1,4 +1,4 @@
-// The machines of a leader's term: which there are, what is on them, and when it is certainly gone.
+// The machines of a leader's term: which there are, what runs on them, and until when it may.
 import type { FencingToken, Instant, MachineId, Revision, ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command, Heartbeat, MachineType, Settings } from '../base/model.ts';
@@ -16,7 +16,7 @@
 import { type TaskListener, TaskReconciler } from './task-reconciler.ts';
 import { Tombstones } from './tombstones.ts';
 
-/** Who is told what happens to tasks and machines. */
+/** Is notified of what happens to tasks and machines. */
 export interface MachineTableListener extends TaskListener, CycleRequester {}
 
 /** What {@link MachineTable} depends on. */
@@ -34,7 +34,7 @@
 /** All machines of a term, and the only way to change what is known of one. */
 export class MachineTable implements MachineStateUpdater {
   readonly byId = new Map<MachineId, Machine>();
-  /** Machines that are gone for good; lists of the cloud may still show them. */
+  /** Machines that were removed for good; lists of the cloud may still show them. */
   readonly tombstones: Tombstones;
   /** The term's token; commands under an older one are refused by the agents. */
   readonly fencingToken: FencingToken;
@@ -133,7 +133,9 @@
     this.updateIndexes(machine);
   }
 
-  /** No new work for the machine; what runs there goes on. A machine that is cordoned keeps its first reason. */
+  /**
+   * No new work for the machine; what runs there goes on. A machine that is cordoned keeps its first reason.
+   */
   cordon(machine: Machine, reason: string): void {
     if (machine.drainReason !== null) return;
     machine.drainReason = reason;
@@ -144,8 +146,8 @@
   }
 
   /**
-   * Processes a heartbeat, or one that is the reply to a probe; returns the commands that answer it, or null if it is
-   * older than what is known.
+   * Processes a heartbeat, or one that is the reply to a probe; returns the commands that answer it, or null
+   * if it is older than what is known.
    */
   onHeartbeat(machine: Machine, heartbeat: Heartbeat, isProbeReply = false): Command[] | null {
     return this.heartbeats.process(machine, heartbeat, isProbeReply) ? this.commandsFor(machine) : null;
@@ -161,27 +163,31 @@
     return this.commands.startQueued(machine, mayStart);
   }
 
-  /** When everything on a machine that is answered now is gone for certain, unless it is answered again. */
+  /** When nothing runs on a machine that is answered now for certain, unless it is answered again. */
   get leaseExpiryFromNow(): Instant {
     return this.leases.leaseExpiryFromNow;
   }
 
-  /** The agent is answered with this node's fencing token: its lease runs from this heartbeat at the latest. */
+  /**
+   * The agent is answered with this node's fencing token: its lease runs from this heartbeat at the latest.
+   */
   renewLease(machine: Machine): void {
     machine.leaseExpiresAt = this.leaseExpiryFromNow;
   }
 
   /**
-   * Once the lease of a silent machine has expired, what was on it is free to start elsewhere. Only while no other
-   * leader can exist (`isSoleLeader`): one that took over meanwhile gets the machine's heartbeats and renews the lease,
-   * and its tasks go on.
+   * Once the lease of a silent machine has expired, what was on it is free to start elsewhere. Only while no
+   * other leader can exist (`isSoleLeader`): one that took over meanwhile gets the machine's heartbeats and
+   * renews the lease, and its tasks go on.
    */
   tick(isSoleLeader: boolean, mayCommand: boolean): void {
     this.leases.tick(this.byId.values(), isSoleLeader, mayCommand);
     this.tombstones.expire();
   }
 
-  /** Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served. */
+  /**
+   * Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served.
+   */
   enqueue(machine: Machine, queued: QueuedTask): void {
     this.assignments.enqueue(machine, queued);
   }
@@ -196,7 +202,7 @@
     this.assignments.dequeueAll(machine);
   }
 
-  /** Everything on the machine is certainly gone. */
+  /** No task is on the machine any more, for certain. */
   removeAllTasks(machine: Machine): void {
     this.assignments.removeAll(machine);
   }
--- a/src/core/machines/machine-tasks.ts
+++ b/src/core/machines/machine-tasks.ts
@@ -1,6 +1,5 @@
-// What a machine has to do with tasks: those queued for it, those that have exited on it, and those nobody knows.
-import type { Attempt, Instant, JobId } from '../../types/index.ts';
-import type { TaskStatus } from '../base/model.ts';
+// The tasks of a machine beside its assignments: queued ones, exited ones and orphans.
+import type { Attempt, Instant, JobId, TaskId } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 
 /** A task bound to a machine's queue; it starts there as soon as there is free capacity. */
@@ -12,9 +11,9 @@
   since: Instant;
 }
 
-/** An exited task that its machine still lists, until the machine is told to forget it. */
+/** An exited task that its machine still lists, until it is commanded to forget it. */
 export interface ExitedTask {
-  task: TaskStatus['task'];
+  task: TaskId;
   attempt: Attempt;
   job: JobId;
   index: number;
@@ -25,9 +24,11 @@
   isGone?: boolean;
 }
 
-/** A task that a machine lists although it belongs to no open job; it is stopped, and the machine forgets it. */
+/**
+ * A task that a machine lists although it belongs to no open job; it is stopped, and the machine forgets it.
+ */
 export interface OrphanTask {
-  task: TaskStatus['task'];
+  task: TaskId;
   attempt: Attempt;
 }
 
--- a/src/core/machines/machine-type-catalog.ts
+++ b/src/core/machines/machine-type-catalog.ts
@@ -1,5 +1,5 @@
-// The cloud's machine types: every node asks the cloud for them, and the leader keeps them in the store under keys that
-// begin with `t/`, so that the next leader can begin while the cloud's API is down.
+// The cloud's machine types: every node asks the cloud for them, and the leader keeps them in the store under
+// keys that begin with `t/`, so that the next leader can begin while the cloud's API is down.
 import { addMs, type Instant, LONG_AGO, type Revision, type TypeName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply, MachineType } from '../base/model.ts';
@@ -60,7 +60,7 @@
     else Object.assign(known, type);
   }
 
-  /** Takes a type from the store; what the cloud has said of it prevails. */
+  /** Takes a type from the store; one that the cloud has listed prevails. */
   restore(name: TypeName, type: MachineType): void {
     this.recorded.add(name);
     if (!this.types.has(name)) this.types.set(name, type);
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,6 +1,6 @@
-// One machine: what is known of its agent, the tasks on it and queued for it, and its place in the capacity index. The
-// pools of that index are here too, as machines and pools refer to one another.
-import type { Instant, JobId, MachineId, ZoneName } from '../../types/index.ts';
+// One machine: what is known of its agent, the tasks on it and queued for it, and its place in the capacity
+// index. The pools of that index are here too, as machines and pools refer to one another.
+import type { Instant, MachineId, ZoneName } from '../../types/index.ts';
 import type { Heartbeat, JobSpec, MachineType, TaskStatus } from '../base/model.ts';
 import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
 import type { TaskAssignment } from '../jobs/job.ts';
@@ -31,21 +31,26 @@
   lastTaskList: readonly TaskStatus[] | null = null;
   /** That heartbeat was the reply to a probe. */
   answeredProbe = false;
-  /** All that was listed is known, and nothing has come or gone since: the same list again says nothing new. */
+  /**
+   * All that was listed is known, and nothing has come or gone since: the same list again needs no
+   * reconciliation.
+   */
   isTaskListSettled = false;
-  /** The fencing token that the agent last said it had seen. */
-  seenFencingToken = 0;
-  /** The agent has seen this term's fencing token, and a heartbeat that it made after that has been processed. */
+  /**
+   * The agent has seen this term's fencing token, and a heartbeat that it made after that has been processed.
+   */
   isReconciled = false;
   /** It has sent a heartbeat, or the cloud lists it as running. */
   isUp = false;
-  /** Set once it is recorded in the store, so that the next leader knows to ask it. Nothing is started before. */
+  /**
+   * Set once it is recorded in the store, so that the next leader knows to ask it. Nothing is started before.
+   */
   registryPage: MachineRecordPage | null = null;
   /** The write that records it is under way. */
   isRegistering = false;
   /** It is being returned to the cloud. */
   isReleasing = false;
-  /** Its lease expired while no agent could be answered: it is taken to be gone if it is silent until then. */
+  /** Its lease expired while no agent could be answered: it counts as lost if it is silent until then. */
   expectedBackBy: Instant | null = null;
   /** Its heartbeat is late: nothing can be started on it before the next one. */
   isOverdue = false;
@@ -54,10 +59,10 @@
   orphans: OrphanTask[] = [];
   /** Tasks bound to it that have not started, in the order in which they will. */
   readonly queue: QueuedTask[] = [];
-  /** Exited tasks that it is told to forget once their results are recorded, by `assignmentKey`. */
+  /** Exited tasks that it is commanded to forget once their results are recorded, by `assignmentKey`. */
   readonly exitedTasks = new Map<string, ExitedTask>();
   lastHeartbeat: Instant;
-  /** When everything on it is gone for certain, unless a heartbeat of it is answered before. */
+  /** When nothing runs on it for certain, unless a heartbeat of it is answered before. */
   leaseExpiresAt: Instant;
   /** When the cloud takes it back, by its preemption notice. */
   preemptedAt: Instant | null = null;
@@ -68,9 +73,8 @@
   readonly images = new Map<string, number>();
   /** The image that was used last: most heartbeats name no other. */
   lastImage: string | null = null;
+  /** Failed tasks since the last success. */
   consecutiveFailures = 0;
-  /** Jobs whose tasks have failed on it since the last success. */
-  readonly failedJobs = new Set<JobId>();
   usedCpus = 0;
   usedGpus = 0;
   /** In GB. */
@@ -81,7 +85,7 @@
   queuedMemory = 0;
   /** Its place in the capacity index; null while it is not schedulable. */
   indexPosition: IndexPosition | null = null;
-  /** Counted in full against every team's limit, as nobody knows what runs on it. */
+  /** Counted in full against every team's limit, as it is unknown what runs on it. */
   countsAsUncertain = false;
 
   constructor(
@@ -98,11 +102,11 @@
   }
 
   /**
-   * Whether a heartbeat that is not newer than the last processed one may be answered all the same: the very same one
-   * that came by another path, or one that the reply to a probe has overtaken. Any other is a late copy that nobody
-   * waits for, or comes from an agent that was restarted and counts from the beginning. An answer would renew the lease
-   * of that agent while its tasks are taken to be running, and the node that forwards its heartbeats would send the
-   * next one as a delta to this one.
+   * Whether a heartbeat that is not newer than the last processed one may be answered all the same: the very
+   * same one that came by another path, or one that the reply to a probe has overtaken. Any other is a late
+   * copy that nobody waits for, or comes from an agent that was restarted and counts from the beginning. An
+   * answer would renew the lease of that agent while its tasks are taken to be running, and the node that
+   * forwards its heartbeats would send the next one as a delta to this one.
    */
   mayRespondTo(heartbeat: Heartbeat): boolean {
     if (heartbeat.agentEpoch !== this.agentEpoch) return false;
@@ -179,7 +183,9 @@
   }
 }
 
-/** Where a machine stands in the capacity index; kept with the machine so that its removal takes no search. */
+/**
+ * Where a machine stands in the capacity index; kept with the machine so that its removal takes no search.
+ */
 export interface IndexPosition {
   pool: MachinePool;
   bucket: CapacityBucket;
--- a/src/core/machines/task-reconciler.ts
+++ b/src/core/machines/task-reconciler.ts
@@ -1,6 +1,6 @@
-// Reconciles a machine's task list with what the leader knows: which tasks are on the machine, which have ended and why,
-// and what follows for their jobs and for the machine.
-import { addMs, parseTaskId } from '../../types/index.ts';
+// Reconciles a machine's task list with what the leader knows: which tasks are on the machine, which have
+// ended and why, and what follows for their jobs and for the machine.
+import { addMs, parseTaskId, taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { TaskStatus } from '../base/model.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -27,7 +27,7 @@
   exitedTask?: ExitedTask;
 }
 
-/** Who is told what becomes of tasks. */
+/** Is notified of what becomes of tasks. */
 export interface TaskListener {
   /** The task has begun to run. */
   onTaskStarted(assignment: TaskAssignment): void;
@@ -69,7 +69,7 @@
     for (const listed of tasks) this.reconcileTask(machine, listed, seq);
     this.unassignMissing(machine, seq);
     dropForgotten(machine, seq);
-    // A task sent since is missing from the list: its absence from the next one tells something.
+    // A task sent since is not in this list; whether it is in the next one shows if it has started.
     machine.isTaskListSettled =
       machine.exitedTasks.size === 0 &&
       machine.orphans.length === 0 &&
@@ -77,7 +77,7 @@
   }
 
   private reconcileTask(machine: Machine, listed: ListedTask, seq: number): void {
-    // Reconciled before in this term, and nothing has become of it since: that it is listed says all.
+    // Reconciled before in this term and still there: it only has to be marked as listed.
     const known = listed.reconciledBy === this ? (listed.assignment ?? listed.exitedTask) : undefined;
     if (known !== undefined && known.isGone !== true) {
       known.seenSeq = seq;
@@ -88,7 +88,10 @@
     else this.onPresent(machine, key, listed, listed.state, seq);
   }
 
-  /** Responses answer one heartbeat at a time: a later one without the task shows that it did not start, or is gone. */
+  /**
+   * Responses answer one heartbeat at a time: a later one without the task shows that it did not start, or is
+   * gone.
+   */
   private unassignMissing(machine: Machine, seq: number): void {
     for (const [key, assignment] of machine.assignments) {
       if (assignment.seenSeq === seq || assignment.sentSeq >= seq) continue;
@@ -118,7 +121,10 @@
     assignment.state = state;
   }
 
-  /** A task that the machine lists without the leader having assigned it in this term; null if it is an orphan. */
+  /**
+   * A task that the machine lists without the leader having assigned it in this term; null if it is an
+   * orphan.
+   */
   private adoptTask(machine: Machine, { task, attempt }: TaskStatus): TaskAssignment | null {
     const { job: jobId, index } = parseTaskId(task);
     const job = this.jobs.openJobs.get(jobId);
@@ -167,7 +173,8 @@
     }
     const { job: jobId, index } = parseTaskId(listed.task);
     const assignment = machine.assignments.get(key);
-    // Over already, as a gang is with its first task, the job may still be on this machine as far as is known.
+    // Over already, as a gang is with its first task, the job may still be on this machine as far as is
+    // known.
     const job = this.jobs.openJobs.get(jobId) ?? assignment?.job;
     const exitedTask: ExitedTask = {
       task: listed.task,
@@ -197,25 +204,23 @@
       job.failures = 0;
       job.failedOn.clear();
       machine.consecutiveFailures = 0;
-      machine.failedJobs.clear();
       if (assignment !== undefined) this.listener.onTaskCompleted(assignment);
     } else if (exitReason === 'error') this.recordFailure(machine, job, index);
     else if (exitReason === 'no_room' || exitReason === 'busy' || exitReason === 'unknown')
       this.io.log('info', 'start refused', { machine: machine.id, task, why: exitReason });
   }
 
-  /** A job that fails on many machines is backed off; a machine that fails many jobs is returned. */
+  /** A job that fails on many machines is backed off; a machine on which tasks fail is released. */
   private recordFailure(machine: Machine, job: Job, index: number): void {
     job.failures++;
     job.failedOn.add(machine.id);
     machine.consecutiveFailures++;
-    machine.failedJobs.add(job.id);
     const isJobFaulty = job.failedOn.size >= MACHINES_OF_FAULTY_JOB;
     const waitMs = isJobFaulty ? backoffMs(job.failures) : 0;
     job.retryAt = addMs(this.io.now, waitMs);
     this.io.log('info', 'task failed', {
       machine: machine.id,
-      task: `${job.id}/${index}`,
+      task: taskId(job.id, index),
       failures: job.failures,
       waitMs,
     });
--- a/src/core/machines/tombstones.ts
+++ b/src/core/machines/tombstones.ts
@@ -1,4 +1,4 @@
-// Machines that are gone for good, remembered for as long as lists of the cloud may still show them.
+// Machines that were removed for good, remembered for as long as lists of the cloud may still show them.
 import { elapsedMs, type Instant, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
--- a/test/heartbeat-forwarding.test.ts
+++ b/test/heartbeat-forwarding.test.ts
@@ -1,5 +1,5 @@
-// How heartbeats reach the leader from agents at other controllers: forwarding, deferral, redirects and balanced connections;
-// and the request budget of the store (docs/scale.md).
+// How heartbeats reach the leader from agents at other controllers: forwarding, deferral, redirects and
+// balanced connections; and the request budget of the store (docs/scale.md).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
@@ -86,7 +86,8 @@
     world.ask('node-0', { op: 'submit', spec: job('run-1') });
     world.run(2.5);
     assert.equal(startsIn(responses.at(-1)).length, 1, 'started in the response, which the agent never got');
-    // The agent lists what it listed before: that the task is missing must be noticed though the list has not changed.
+    // The agent lists what it listed before: that the task is missing must be noticed though the list has not
+    // changed.
     forward(unchangedSince(nextHeartbeat(), first.seq));
     world.run(2.5);
     assert.ok(world.logs.some((line) => line.includes('task not on its machine')));
@@ -255,7 +256,8 @@
   });
 
   it('a frozen leader and a partitioned node cost no agent its lease that the third node can reach', () => {
-    // Heartbeats are answered before the freeze, in flight during it, or sent after it: no moment may lose a lease.
+    // Heartbeats are answered before the freeze, in flight during it, or sent after it: no moment may lose a
+    // lease.
     for (const delayMs of [0, 250, 500, 750]) {
       const world = new SimulatedWorld({
         workers: { heartbeatS: 2, leaseS: 13, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
@@ -292,7 +294,10 @@
     const io = new ControllerIo(seededRandom(1));
     const [leader, third] = ['node-0', 'node-1'] as NodeId[];
     const heartbeat = { machine: 'i-1', agentEpoch: 1, seq: 1, tasks: [] } as unknown as Heartbeat;
-    /** Where an agent is redirected that nobody answers, both nodes having been silent for so many milliseconds. */
+    /**
+     * Where an agent is redirected that nobody answers, both nodes having been silent for so many
+     * milliseconds.
+     */
     const redirectTarget = (leaderSilentMs: number, thirdSilentMs: number): NodeId | null => {
       const forwarder = new HeartbeatForwarder(io);
       const beginStepAt = (ms: number) => io.beginStep(instant(100_000 + ms), 0 as WallTime);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,5 @@
-// What must hold at a thousand machines: sums agree with a recount, work per input is bounded, stored records are shared.
+// What must hold at a thousand machines: sums agree with a recount, work per input is bounded, stored records
+// are shared.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { LeaderTerm } from '../src/core/leader/leader-term.ts';
@@ -142,7 +143,8 @@
     assert.ok(world.until(() => world.owner !== undefined && leaderTermOf(world).failover.isLoaded, 20));
     const asker = [...world.nodes.keys()][0]!;
     for (let i = 0; i < 12; i++) assert.ok(world.until(() => world.isDone(`run-${i}`, asker), 200));
-    // Results that machines were told to forget are known by the bitmaps alone: without them they would run again.
+    // Results that machines were told to forget are known by the bitmaps alone: without them they would run
+    // again.
     assert.equal(totalStarts(), 12 * 8);
     assert.deepEqual(world.broken, []);
   });
