--- a/packages/local-cluster/src/cluster-storage.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -1,123 +1,145 @@
-// The lab's records on disk: what the state service holds, and what the outside world remembers of jobs. An embedded store
-// keeps them; a change is answered only when it is on disk, so that a lab that is killed comes back with all that its
-// controllers were told.
+// The local cluster's records on disk: the contents of the key-value store, and what machines were told of jobs. A change is
+// answered only when it is on disk, so that a cluster that is killed comes back with all that its controllers were told.
 import { ClassicLevel } from 'classic-level';
 import type { FakeStore, StoreChange, StoredEntry } from './fake-store.ts';
-import type { Description } from './task-runner.ts';
+import type { JobDescription } from './task-run.ts';
 
-type Op = { type: 'put'; key: string; value: unknown } | { type: 'del'; key: string };
+type BatchOperation = { type: 'put'; key: string; value: unknown } | { type: 'del'; key: string };
 
-/** Parts of the store, by the first letters of their keys. */
-const KEY = 'k/';
-const HOLD = 'h/';
-const JOB = 'j/';
-const DONE = 'd/';
-const REVISION = 'm/revision';
-const MADE = 'm/made';
+/** Prefixes of the database's keys. */
+const STORE_KEY_PREFIX = 'k/';
+const LEASE_PREFIX = 'h/';
+const JOB_PREFIX = 'j/';
+const DONE_TASK_PREFIX = 'd/';
+/** Single records. */
+const STORE_REVISION = 'm/revision';
+const MACHINES_RESERVED = 'm/made';
 /** Machine names are reserved so many at a time. */
-const NAMES = 1000;
+const RESERVED_AT_ONCE = 1000;
 
+/** What machines know of jobs and tasks from earlier runs of the cluster. */
+export interface RecordedWork {
+  /** Jobs by id, as their users described them. */
+  jobs: [string, JobDescription][];
+  /** Tasks that are done. */
+  doneTasks: string[];
+}
+
+/** An embedded database with write-behind: changes are collected and written in synced batches. */
 export class ClusterStorage {
-  private ops: Op[] = [];
+  private operations: BatchOperation[] = [];
   private writing: Promise<void> | null = null;
-  private waiting: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
   private failure: Error | null = null;
 
   private constructor(
-    private readonly db: ClassicLevel<string, unknown>,
-    private readonly onError: (e: Error) => void,
+    private readonly database: ClassicLevel<string, unknown>,
+    private readonly onError: (error: Error) => void,
   ) {}
 
-  /** `onError` hears the first error of writing; nothing is answered after it. */
-  static async open(dir: string, onError: (e: Error) => void): Promise<ClusterStorage> {
-    const db = new ClassicLevel<string, unknown>(dir, { valueEncoding: 'json' });
-    await db.open();
-    return new ClusterStorage(db, onError);
+  /** `onError` is called with the first error of writing; nothing is answered after it. */
+  static async open(dir: string, onError: (error: Error) => void): Promise<ClusterStorage> {
+    const database = new ClassicLevel<string, unknown>(dir, { valueEncoding: 'json' });
+    await database.open();
+    return new ClusterStorage(database, onError);
   }
 
-  /** Fills the state service with what was kept, and keeps what it does from now on. */
-  async attach(state: FakeStore): Promise<void> {
-    const keys: [string, StoredEntry][] = [];
-    const holds: [number, number][] = [];
-    for await (const [k, v] of this.part(KEY)) keys.push([k, v as StoredEntry]);
-    for await (const [k, v] of this.part(HOLD)) holds.push([Number(k), v as number]);
-    state.restore(((await this.db.get(REVISION)) as number | undefined) ?? 0, keys, holds);
-    state.onChange = (c) => this.change(c);
+  /** Fills the store with what is on disk, and records its changes from now on. */
+  async attach(store: FakeStore): Promise<void> {
+    const entries: [string, StoredEntry][] = [];
+    const leases: [number, number][] = [];
+    for await (const [key, value] of this.records(STORE_KEY_PREFIX))
+      entries.push([key, value as StoredEntry]);
+    for await (const [id, ttlMs] of this.records(LEASE_PREFIX)) leases.push([Number(id), ttlMs as number]);
+    const revision = await this.readNumber(STORE_REVISION);
+    store.restore(revision, entries, leases);
+    store.onChange = (change) => this.recordChange(change);
   }
 
   /** Jobs as their users described them, and tasks that are done. */
-  async world(): Promise<{ jobs: [string, Description][]; done: string[] }> {
-    const jobs: [string, Description][] = [];
-    const done: string[] = [];
-    for await (const [k, v] of this.part(JOB)) jobs.push([k, v as Description]);
-    for await (const [k] of this.part(DONE)) done.push(k);
-    return { jobs, done };
+  async recordedWork(): Promise<RecordedWork> {
+    const jobs: [string, JobDescription][] = [];
+    const doneTasks: string[] = [];
+    for await (const [job, description] of this.records(JOB_PREFIX))
+      jobs.push([job, description as JobDescription]);
+    for await (const [task] of this.records(DONE_TASK_PREFIX)) doneTasks.push(task);
+    return { jobs, doneTasks };
   }
 
-  private async *part(prefix: string): AsyncGenerator<[string, unknown]> {
-    for await (const [k, v] of this.db.iterator({ gte: prefix, lt: `${prefix}\uffff` }))
-      yield [k.slice(prefix.length), v];
+  private async *records(prefix: string): AsyncGenerator<[string, unknown]> {
+    const range = { gte: prefix, lt: `${prefix}\uffff` };
+    for await (const [key, value] of this.database.iterator(range)) yield [key.slice(prefix.length), value];
   }
 
-  private change(c: StoreChange): void {
-    if ('hold' in c) this.set(HOLD + c.hold, c.ttlMs);
-    else {
-      this.set(KEY + c.key, c.kept === null ? null : { ...c.kept });
-      this.set(REVISION, c.revision);
-    }
+  private async readNumber(key: string): Promise<number> {
+    return ((await this.database.get(key)) as number | undefined) ?? 0;
   }
 
-  describe(job: string, d: Description): void {
-    this.set(JOB + job, d);
+  private recordChange(change: StoreChange): void {
+    if ('hold' in change) return this.put(LEASE_PREFIX + change.hold, change.ttlMs);
+    this.put(STORE_KEY_PREFIX + change.key, change.kept === null ? null : { ...change.kept });
+    this.put(STORE_REVISION, change.revision);
   }
-  done(task: string): void {
-    this.set(DONE + task, 1);
+
+  /** Records what machines are told of a job. */
+  recordJob(job: string, description: JobDescription): void {
+    this.put(JOB_PREFIX + job, description);
   }
 
-  /** The number after which machines of this life are named; none of an earlier life is used again. */
-  async reserveNames(): Promise<number> {
-    const made = ((await this.db.get(MADE)) as number | undefined) ?? 0;
-    this.set(MADE, made + NAMES);
-    await this.kept();
-    return made;
+  /** Records that a task is done. */
+  recordDone(task: string): void {
+    this.put(DONE_TASK_PREFIX + task, 1);
   }
-  named(made: number): void {
-    if (made % NAMES === NAMES - 1) this.set(MADE, made + 1 + NAMES);
+
+  /** The number after which machines of this run are named; no number of an earlier run is used again. */
+  async reserveMachineNumbers(): Promise<number> {
+    const reserved = await this.readNumber(MACHINES_RESERVED);
+    this.put(MACHINES_RESERVED, reserved + RESERVED_AT_ONCE);
+    await this.flushed();
+    return reserved;
+  }
+
+  /** A machine got this number: further numbers are reserved before those at hand run out. */
+  machineNumberUsed(used: number): void {
+    if (used % RESERVED_AT_ONCE === RESERVED_AT_ONCE - 1)
+      this.put(MACHINES_RESERVED, used + 1 + RESERVED_AT_ONCE);
   }
 
-  private set(key: string, value: unknown): void {
-    this.ops.push(value === null ? { type: 'del', key } : { type: 'put', key, value });
+  /** Null deletes the record. */
+  private put(key: string, value: unknown): void {
+    this.operations.push(value === null ? { type: 'del', key } : { type: 'put', key, value });
   }
 
   /** Resolves when all that has changed so far is on disk; never after an error. */
-  kept(): Promise<void> {
-    if (this.ops.length === 0 && this.writing === null) return Promise.resolve();
+  flushed(): Promise<void> {
+    if (this.operations.length === 0 && this.writing === null) return Promise.resolve();
     return new Promise((resolve) => {
-      this.waiting.push(resolve);
+      this.waiters.push(resolve);
       this.writing ??= this.write();
     });
   }
 
   private async write(): Promise<void> {
-    while (this.waiting.length > 0 && this.failure === null) {
-      const { ops, waiting } = this;
-      this.ops = [];
-      this.waiting = [];
+    while (this.waiters.length > 0 && this.failure === null) {
+      const { operations, waiters } = this;
+      this.operations = [];
+      this.waiters = [];
       try {
-        // What belongs to one transaction is in one batch, as it was changed in one go.
-        if (ops.length > 0) await this.db.batch(ops, { sync: true });
-      } catch (e) {
-        this.failure = e as Error;
+        // What belongs to one transaction is in one batch, as it was changed in one turn of the event loop.
+        if (operations.length > 0) await this.database.batch(operations, { sync: true });
+      } catch (error) {
+        this.failure = error as Error;
         this.onError(this.failure);
         break;
       }
-      for (const done of waiting) done();
+      for (const resolve of waiters) resolve();
     }
     this.writing = null;
   }
 
+  /** Writes what is left, and closes the database. */
   async close(): Promise<void> {
-    if (this.failure === null) await this.kept();
-    await this.db.close();
+    if (this.failure === null) await this.flushed();
+    await this.database.close();
   }
 }
--- a/packages/local-cluster/src/controller-process.ts
+++ b/packages/local-cluster/src/controller-process.ts
@@ -6,22 +6,25 @@
 import type { ProcessGuard } from './process-guard.ts';
 import type { NodeAddress } from './settings-file.ts';
 
+/** The name of the controller with this index. */
+export const controllerName = (index: number): string => `node-${index}`;
+
 /** Free addresses for so many controllers, spread over the zones. */
 export async function nodeAddresses(count: number, zones: readonly string[]): Promise<NodeAddress[]> {
-  const out: NodeAddress[] = [];
-  for (let i = 0; i < count; i++)
-    out.push({
-      name: `node-${i}`,
-      location: zones[i % zones.length]!,
+  const addresses: NodeAddress[] = [];
+  for (let index = 0; index < count; index++)
+    addresses.push({
+      name: controllerName(index),
+      location: zones[index % zones.length]!,
       addr: `127.0.0.1:${await freePort()}`,
       peer: `127.0.0.1:${await freePort()}`,
     });
-  return out;
+  return addresses;
 }
 
 /**
  * Starts a controller with the settings file `NAME.json` of the directory; it logs to `NAME.log` there. `program`: the daemon
- * and its arguments before `serve`. It ends with the guard.
+ * and its arguments before `serve`. The controller ends with the guard.
  */
 export function spawnController(
   name: string,
--- /dev/null
+++ b/packages/local-cluster/src/errors.ts
@@ -0,0 +1,12 @@
+// Errors of the local cluster.
+import { SwiftfordError } from '../../../src/types/errors.ts';
+
+/** No controller became ready in time. */
+export class NotReadyError extends SwiftfordError {
+  readonly code = 'LOCAL_CLUSTER_NOT_READY';
+}
+
+/** A fault cannot be injected: what it names is not there. */
+export class FaultTargetError extends SwiftfordError {
+  readonly code = 'FAULT_TARGET_MISSING';
+}
--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -1,113 +1,76 @@
-// A worker's side of the protocol: reports, tokens, leases, sessions, commands. What runs, and what checks it, is its place's.
+// A worker's side of the protocol: heartbeats, fencing tokens, its lease, agent epochs and commands. What runs its tasks, and
+// what checks it, is up to its environment.
 import type {
   Command,
-  ExitReason,
   Heartbeat,
   HeartbeatResponse,
   ListedMachine,
-  TaskStatus,
   WorkerReply,
 } from '../../../src/core/base/model.ts';
-import {
-  type FencingToken,
-  type MachineId,
-  parseTaskId,
-  type TaskId,
-  type TypeName,
-  type ZoneName,
-} from '../../../src/types/index.ts';
-import type { SimulationClock } from './clock.ts';
-
-/** A task under way on a machine. */
-export interface RunningTask {
-  /** Asks it to end, with so many seconds to save; `ended` says whether its progress was saved. */
-  stop(graceS: number, ended: (saved: boolean) => void): void;
-  /** Ends it at once and for good, as when its machine is gone. */
-  kill(): void;
-}
+import type { FencingToken, MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { EnvironmentOf } from './worker-environment.ts';
+import { type StopCommand, type TaskOwner, type WorkerTask, WorkerTasks } from './worker-tasks.ts';
 
-export interface WorkerEnvironment extends SimulationClock {
-  /** How often workers report when nothing changes, and how long they go on unanswered. */
-  readonly reportMs: number;
-  readonly leaseMs: number;
-  /** Controllers, in the order in which workers try them. */
-  readonly nodeNames: readonly string[];
-  /** Null: no answer within the time, or nobody there. */
-  sendReport(
-    worker: FakeWorker,
-    node: string,
-    report: Heartbeat,
-    timeoutMs: number,
-    done: (a: HeartbeatResponse | null) => void,
-  ): void;
-  /** A task is put on a machine; the place may look whether it is allowed there. */
-  placed(worker: FakeWorker, task: TaskId): void;
-  /** Runs a task; `end` is called when it ends by itself, `is` when its state changes before (it begins as running). */
-  launch(
-    worker: FakeWorker,
-    task: TaskId,
-    attempt: number,
-    end: (why: ExitReason) => void,
-    is: (state: 'fetching' | 'waiting' | 'running') => void,
-  ): RunningTask;
-  /** The machine and all that is on it are no more. */
-  gone(worker: FakeWorker): void;
-}
+export type { RunningTask, TaskProgress } from './worker-environment.ts';
+
+/** The world of a worker. */
+export type WorkerEnvironment = EnvironmentOf<FakeWorker>;
 
-interface Running {
-  task: TaskId;
-  job: string;
-  attempt: number;
-  state: TaskStatus['state'];
-  why: TaskStatus['exitReason'];
-  saved: boolean;
-  work: RunningTask | null;
+/** How long a worker waits for the response to a heartbeat. */
+const RESPONSE_TIMEOUT_MS = 4000;
+/** The response to a machine with work comes at once, if nothing delays it. */
+const LATE_RESPONSE_MS = 1000;
+/** Pause before it tries the next node. */
+const NEXT_NODE_DELAY_MS = 1000;
+/** A change is reported no sooner after the last heartbeat. */
+const CHANGE_REPORT_MS = 500;
+
+/** A heartbeat whose response is awaited. */
+interface SentHeartbeat {
+  readonly number: number;
+  readonly agentEpoch: number;
+  readonly sentAt: number;
 }
-const WAIT_MS = 4000;
-/** An answer to a machine with work comes at once, if nothing holds it up. */
-const LATE_MS = 1000;
-/** Before it tries the next node. */
-const TURN_MS = 1000;
-/** A change is told no sooner after the last report. */
-const CHANGE_MS = 500;
-
-export class FakeWorker {
+
+/** The agent on one machine. Times are in milliseconds. */
+export class FakeWorker implements TaskOwner {
   addr: string;
-  /** When it was rented. */
-  private readonly since: number;
+  /** The agent epoch. */
   session = 1;
+  /** Of the last heartbeat, within the epoch. */
   seq = 0;
+  /** The newest fencing token that it has seen. */
   token = 0;
+  /** Whether the machine has booted. */
   up = false;
-  /** When it came up, in milliseconds. */
+  /** When it came up. */
   upSince = Number.NEGATIVE_INFINITY;
+  /** Whether the machine is no more. */
   dead = false;
+  /** Seconds of its preemption notice; null without one. */
   noticeS: number | null = null;
-  /** Every task started here fails at once. */
-  faulty = false;
-  readonly tasks = new Map<string, Running>();
-  readonly results = new Set<string>();
-  starts = 0;
-  /** Tasks that it ended because nobody had answered it. */
+  /** Tasks that it ended because its lease expired. */
   lostByLease = 0;
-  /** How often it went to another node, sent there or not. */
+  /** How often it went to another node, redirected or not. */
   moves = 0;
-  /** Stop commands for tasks that ran. */
-  readonly stops: { task: TaskId; graceS: number; at: number }[] = [];
-  private inFlight = false;
-  private leaseFrom = 0;
-  private reportNo = 0;
-  private changed = false;
-  private lastReport = 0;
-  private armedAt = Number.POSITIVE_INFINITY;
-  private hanging = false;
-  /** Answers that came while it hung; it reads them as it goes on. */
-  private unread: (() => void)[] = [];
-  /** Commands carried out long after the report that they answer. */
+  /** Commands carried out long after the heartbeat that they answer. */
   lateCommands = 0;
+  private readonly createdAt: number;
+  private readonly workerTasks: WorkerTasks<FakeWorker>;
+  private awaitsResponse = false;
+  /** When the heartbeat was sent whose response last renewed its lease. */
+  private leaseRenewedAt = 0;
+  private heartbeats = 0;
+  private hasChanges = false;
+  private lastHeartbeatAt = 0;
+  private timerSetFor = Number.POSITIVE_INFINITY;
+  private hanging = false;
+  /** Responses that came while it hung; it reads them as it goes on. */
+  private readonly unreadResponses: (() => void)[] = [];
 
+  /** `target`: index of the node that it reports to first. */
   constructor(
-    private readonly place: WorkerEnvironment,
+    private readonly environment: WorkerEnvironment,
     readonly id: MachineId,
     readonly type: TypeName,
     readonly zone: ZoneName,
@@ -115,9 +78,47 @@
     private target: number,
   ) {
     this.addr = `10.1.0.1:${id}`;
-    this.since = place.now;
+    this.createdAt = environment.now;
+    this.workerTasks = new WorkerTasks<FakeWorker>(environment, this);
+  }
+
+  // ---- what others see of it
+
+  /** Its tasks, by task and attempt. */
+  get tasks(): Map<string, WorkerTask> {
+    return this.workerTasks.tasks;
+  }
+
+  /** Tasks that it has completed. */
+  get results(): Set<string> {
+    return this.workerTasks.results;
+  }
+
+  /** How many tasks were started. */
+  get starts(): number {
+    return this.workerTasks.starts;
+  }
+
+  /** Stop commands for tasks that ran. */
+  get stops(): StopCommand[] {
+    return this.workerTasks.stops;
+  }
+
+  /** Every task started here fails at once. */
+  get faulty(): boolean {
+    return this.workerTasks.faulty;
+  }
+
+  set faulty(faulty: boolean) {
+    this.workerTasks.faulty = faulty;
+  }
+
+  /** Tasks that have not ended. */
+  live(): WorkerTask[] {
+    return this.workerTasks.live();
   }
 
+  /** Its line in the cloud's list of machines. */
   listed(now: number): ListedMachine {
     return {
       id: this.id,
@@ -126,113 +127,115 @@
       zone: this.zone,
       spot: this.spot,
       status: this.up ? 'running' : 'booting',
-      ageS: Math.max(1, (now - this.since) / 1000),
+      ageS: Math.max(1, (now - this.createdAt) / 1000),
     };
   }
+
   /** The node that it reports to. */
   get node(): string {
-    return this.place.nodeNames[this.target]!;
+    return this.environment.nodeNames[this.target]!;
   }
-  /** Nothing of it is left: it is gone, or nobody has answered it for so long that its lease is over, hanging or not. */
+
+  /** Nothing of it is left: the machine is no more, or its lease has expired, hanging or not. */
   get over(): boolean {
-    return this.dead || this.place.now - this.leaseFrom > this.place.leaseMs;
+    return this.dead || this.isLeaseExpired();
   }
-  /** When its lease ends if nobody answers it from now on, in milliseconds. */
+
+  /** When its lease expires if nobody answers it from now on. */
   get leaseEndsAt(): number {
-    return this.leaseFrom + this.place.leaseMs;
-  }
-  live(): Running[] {
-    return [...this.tasks.values()].filter((t) => t.state !== 'exited');
+    return this.leaseRenewedAt + this.environment.leaseMs;
   }
+
+  // ---- the machine
+
+  /** The machine is up. */
   boot(): void {
     if (this.dead) return;
     this.up = true;
-    this.upSince = this.place.now;
-    this.leaseFrom = this.place.now;
+    this.upSince = this.environment.now;
+    this.leaseRenewedAt = this.environment.now;
     this.act();
   }
+
+  /** The machine is no more. */
   die(): void {
     if (this.dead) return;
     this.dead = true;
-    this.drop();
-    this.place.gone(this);
+    this.workerTasks.clear();
+    this.environment.gone(this);
   }
 
-  private drop(): void {
-    for (const t of this.tasks.values()) if (t.state !== 'exited') t.work?.kill();
-    this.tasks.clear();
+  /** The agent does nothing for a while, and then goes on as if no time had passed. */
+  hang(ms: number): void {
+    this.hanging = true;
+    this.environment.after(ms, () => {
+      this.hanging = false;
+      for (const readResponse of this.unreadResponses.splice(0)) readResponse();
+      this.act();
+    });
   }
 
+  /** The machine was restarted within a moment: nothing is left on it, and it counts from the beginning. */
+  restart(): void {
+    this.workerTasks.clear();
+    this.results.clear();
+    this.session = 1;
+    this.seq = 0;
+    this.token = 0;
+    this.heartbeats++;
+    this.awaitsResponse = false;
+    this.leaseRenewedAt = this.environment.now;
+    this.hasChanges = true;
+    this.armTimer();
+  }
+
+  // ---- time
+
   /** When it has something to do next: nothing is polled, as a fleet of ten thousand would do little else. */
   private dueAt(): number {
-    const report = this.lastReport + (this.changed ? CHANGE_MS : this.place.reportMs);
-    return Math.min(
-      this.leaseFrom + this.place.leaseMs + 1,
-      this.inFlight ? Number.POSITIVE_INFINITY : report,
-    );
+    const expiry = this.leaseEndsAt + 1;
+    if (this.awaitsResponse) return expiry;
+    const intervalMs = this.hasChanges ? CHANGE_REPORT_MS : this.environment.reportMs;
+    return Math.min(expiry, this.lastHeartbeatAt + intervalMs);
   }
 
-  private arm(): void {
+  private armTimer(): void {
     if (this.dead || !this.up) return;
-    const at = Math.max(this.place.now, this.dueAt());
-    if (at >= this.armedAt) return;
-    this.armedAt = at;
-    this.place.after(at - this.place.now, () => {
-      if (this.armedAt !== at) return;
-      this.armedAt = Number.POSITIVE_INFINITY;
+    const at = Math.max(this.environment.now, this.dueAt());
+    if (at >= this.timerSetFor) return;
+    this.timerSetFor = at;
+    this.environment.after(at - this.environment.now, () => {
+      if (this.timerSetFor !== at) return;
+      this.timerSetFor = Number.POSITIVE_INFINITY;
       this.act();
     });
   }
 
   private act(): void {
-    if (this.dead) return;
-    if (this.hanging) return;
-    if (this.place.now - this.leaseFrom > this.place.leaseMs) this.newSession();
-    if (!this.inFlight && this.place.now >= this.dueAt()) this.reportNow();
-    this.arm();
-  }
-
-  /** It does nothing for a while, and then goes on as if no time had passed. */
-  hang(ms: number): void {
-    this.hanging = true;
-    this.place.after(ms, () => {
-      this.hanging = false;
-      for (const read of this.unread.splice(0)) read();
-      this.act();
-    });
+    if (this.dead || this.hanging) return;
+    if (this.isLeaseExpired()) this.beginEpoch();
+    if (!this.awaitsResponse && this.environment.now >= this.dueAt()) this.sendHeartbeat();
+    this.armTimer();
   }
 
-  /** Its machine was restarted within a moment: nothing is left on it, and it counts from the beginning. */
-  restart(): void {
-    this.drop();
-    this.results.clear();
-    this.session = 1;
-    this.seq = 0;
-    this.token = 0;
-    this.reportNo++;
-    this.inFlight = false;
-    this.leaseFrom = this.place.now;
-    this.changed = true;
-    this.arm();
+  private isLeaseExpired(): boolean {
+    return this.environment.now - this.leaseRenewedAt > this.environment.leaseMs;
   }
 
-  private newSession(): void {
+  /** Its lease has expired: its tasks may run elsewhere by now. */
+  private beginEpoch(): void {
     this.session++;
     this.lostByLease += this.live().length;
-    this.drop();
-    this.leaseFrom = this.place.now;
-    this.changed = true;
+    this.workerTasks.clear();
+    this.leaseRenewedAt = this.environment.now;
+    this.hasChanges = true;
   }
 
+  // ---- heartbeats
+
+  /** The next heartbeat. */
   report(): Heartbeat {
     this.seq++;
-    const tasks = [...this.tasks.values()].map((t) => ({
-      task: t.task,
-      attempt: t.attempt as never,
-      state: t.state,
-      exitReason: t.why,
-      checkpointed: t.saved,
-    }));
     return {
       machine: this.id,
       addr: this.addr,
@@ -243,120 +246,92 @@
       seq: this.seq,
       fencingToken: this.token as FencingToken,
       preemptionNoticeS: this.noticeS,
-      tasks,
+      tasks: this.workerTasks.statuses(),
     };
   }
 
-  private reportNow(): void {
-    const no = ++this.reportNo;
-    const session = this.session;
-    const sentAt = this.place.now;
-    this.inFlight = true;
-    this.changed = false;
-    this.lastReport = sentAt;
-    const r = this.report();
-    const read = (a: HeartbeatResponse | null): void => {
-      if (no !== this.reportNo || this.dead) return;
-      if (this.hanging) {
-        this.unread.push(() => {
-          // Read late, it still counts, but not after the time for which a worker waits.
-          read(this.place.now - sentAt <= WAIT_MS ? a : null);
-        });
-        return;
-      }
-      this.inFlight = false;
-      if (a === null) this.moveOn();
-      else if (a.kind === 'redirect') this.follow(a.node);
-      else if (session === this.session && a.fencingToken >= this.token) {
-        this.see(a.fencingToken);
-        this.leaseFrom = Math.max(this.leaseFrom, sentAt);
-        if (this.place.now - sentAt > LATE_MS) this.lateCommands += a.commands.length;
-        for (const c of a.commands) this.execute(c);
-      }
-      this.arm();
+  private sendHeartbeat(): void {
+    const sent = {
+      number: ++this.heartbeats,
+      agentEpoch: this.session,
+      sentAt: this.environment.now,
     };
-    this.place.sendReport(this, this.node, r, WAIT_MS, read);
+    this.awaitsResponse = true;
+    this.hasChanges = false;
+    this.lastHeartbeatAt = sent.sentAt;
+    const heartbeat = this.report();
+    this.environment.sendReport(this, this.node, heartbeat, RESPONSE_TIMEOUT_MS, (response) =>
+      this.handleResponse(sent, response),
+    );
+  }
+
+  private handleResponse(sent: SentHeartbeat, response: HeartbeatResponse | null): void {
+    if (sent.number !== this.heartbeats || this.dead) return;
+    if (this.hanging) {
+      this.unreadResponses.push(() => {
+        // Read late, it still counts, but not after the time for which a worker waits.
+        const inTime = this.environment.now - sent.sentAt <= RESPONSE_TIMEOUT_MS;
+        this.handleResponse(sent, inTime ? response : null);
+      });
+      return;
+    }
+    this.awaitsResponse = false;
+    if (response === null) this.tryNextNode();
+    else if (response.kind === 'redirect') this.followRedirect(response.node);
+    else if (sent.agentEpoch === this.session && response.fencingToken >= this.token)
+      this.applyResponse(sent, response.fencingToken, response.commands);
+    this.armTimer();
+  }
+
+  private applyResponse({ sentAt }: SentHeartbeat, fencingToken: number, commands: readonly Command[]): void {
+    this.adoptToken(fencingToken);
+    this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
+    if (this.environment.now - sentAt > LATE_RESPONSE_MS) this.lateCommands += commands.length;
+    this.executeAll(commands);
   }
 
-  private moveOn(): void {
+  private tryNextNode(): void {
     this.moves++;
-    this.target = (this.target + 1) % this.place.nodeNames.length;
-    this.lastReport = this.place.now - this.place.reportMs + TURN_MS;
+    this.target = (this.target + 1) % this.environment.nodeNames.length;
+    this.lastHeartbeatAt = this.environment.now - this.environment.reportMs + NEXT_NODE_DELAY_MS;
   }
-  private follow(node: string | null): void {
-    const i = this.place.nodeNames.indexOf(node ?? '');
-    if (i < 0 || i === this.target) return this.moveOn();
+
+  private followRedirect(node: string | null): void {
+    const index = this.environment.nodeNames.indexOf(node ?? '');
+    if (index < 0 || index === this.target) return this.tryNextNode();
     this.moves++;
-    this.target = i;
-    this.changed = true;
+    this.target = index;
+    this.hasChanges = true;
   }
-  private see(token: number): void {
-    if (token > this.token) this.changed = true;
+
+  private adoptToken(token: number): void {
+    if (token > this.token) this.hasChanges = true;
     this.token = token;
   }
 
-  orders(token: number, session: number, commands: Command[], reply: (r: WorkerReply) => void): void {
+  // ---- commands
+
+  /** Commands that a controller sends by itself; they are executed only under a current token and epoch. */
+  orders(token: number, session: number, commands: Command[], respond: (reply: WorkerReply) => void): void {
     if (this.dead || !this.up || this.hanging) return;
-    const ok = token >= this.token && session === this.session;
-    if (ok) {
-      this.see(token);
-      for (const c of commands) this.execute(c);
+    const executed = token >= this.token && session === this.session;
+    if (executed) {
+      this.adoptToken(token);
+      this.executeAll(commands);
     }
-    this.arm();
-    reply({ kind: 'heartbeat', heartbeat: this.report(), executed: ok });
+    this.armTimer();
+    respond({ kind: 'heartbeat', heartbeat: this.report(), executed });
   }
 
-  private execute(c: Command): void {
-    const key = `${c.task}@${c.attempt}`;
-    const t = this.tasks.get(key);
-    if (c.op === 'forget') {
-      if (t?.state === 'exited') this.tasks.delete(key);
-    } else if (c.op === 'stop') {
-      if (t !== undefined && t.state !== 'exited') {
-        this.stops.push({ task: c.task, graceS: c.graceS, at: this.place.now });
-        this.stop(t, c.graceS);
-      }
-    } else if (t === undefined) this.startTask(c.task, c.attempt, key);
-    this.changed = true;
+  taskChanged(): void {
+    this.hasChanges = true;
+    this.armTimer();
   }
 
-  private stop(t: Running, graceS: number): void {
-    // Told once more while it saves, it is ended.
-    if (t.state === 'saving' && graceS > 0) return;
-    t.state = 'saving';
-    t.work?.stop(graceS, (saved) => {
-      if (t.state === 'exited') return;
-      t.saved = saved;
-      this.exit(t, 'stopped');
-    });
-  }
-
-  private startTask(task: TaskId, attempt: number, key: string): void {
-    const job = parseTaskId(task).job;
-    const t: Running = { task, job, attempt, state: 'running', why: null, saved: false, work: null };
-    this.place.placed(this, task);
-    this.starts++;
-    this.tasks.set(key, t);
-    if (this.faulty) return this.exit(t, 'error');
-    if (this.results.has(task)) return this.exit(t, 'done');
-    const isOver = (): boolean => this.dead || this.tasks.get(key) !== t || t.state === 'exited';
-    const end = (why: ExitReason): void => {
-      if (isOver()) return;
-      if (why === 'done') this.results.add(task);
-      this.exit(t, why);
-    };
-    t.work = this.place.launch(this, task, attempt, end, (state) => {
-      if (isOver() || t.state === 'saving') return;
-      t.state = state;
-      this.changed = true;
-      this.arm();
-    });
-  }
-
-  private exit(t: Running, why: ExitReason): void {
-    t.state = 'exited';
-    t.why = why;
-    this.changed = true;
-    this.arm();
+  private executeAll(commands: readonly Command[]): void {
+    for (const command of commands) {
+      this.workerTasks.execute(command);
+      this.hasChanges = true;
+    }
   }
 }
--- a/packages/local-cluster/src/index.ts
+++ b/packages/local-cluster/src/index.ts
@@ -1,21 +1,35 @@
 // The package's public entry.
-
-export type { SimulationClock as Clock } from './clock.ts';
+export type { SimulationClock } from './clock.ts';
+export type { Controller } from './controller-group.ts';
 export { nodeAddresses, spawnController } from './controller-process.ts';
-export type { CloudEnvironment as CloudPlace, CloudMachine } from './fake-cloud.ts';
-export { FakeCloud } from './fake-cloud.ts';
-export { FakeStore as FakeState } from './fake-store.ts';
-export type { RunningTask as Work, WorkerEnvironment as WorkerPlace } from './fake-worker.ts';
-export { FakeWorker } from './fake-worker.ts';
-export { error, freePort, type Listening, listen, type Serve } from './json-server.ts';
-export { LocalCluster as Lab } from './local-cluster.ts';
+/** @deprecated Use CloudEnvironment. */
+export type { CloudEnvironment as CloudPlace } from './fake-cloud.ts';
+export { type CloudEnvironment, type CloudMachine, FakeCloud } from './fake-cloud.ts';
+/** @deprecated Use FakeStore. */
+export { FakeStore, FakeStore as FakeState } from './fake-store.ts';
+export { FakeWorker, type RunningTask, type WorkerEnvironment } from './fake-worker.ts';
+/** @deprecated Use errorResponse. */
+export {
+  errorResponse,
+  errorResponse as error,
+  freePort,
+  type Listening,
+  listen,
+  type RequestHandler,
+} from './json-server.ts';
+/** @deprecated Use LocalCluster. */
+export { LocalCluster, LocalCluster as Lab, type LocalClusterSetup } from './local-cluster.ts';
+/** @deprecated Use LocalClusterOptions and readLocalClusterOptions. */
 export {
   defaults,
   FAULTS,
   type Fault,
+  type LocalClusterOptions,
   type LocalClusterOptions as LabOptions,
+  readLocalClusterOptions,
   readLocalClusterOptions as readLabOptions,
 } from './options.ts';
 export { OutsideServices, type ServiceCounts } from './outside-services.ts';
-export { endGroup, ProcessGuard as Guard } from './process-guard.ts';
+/** @deprecated Use ProcessGuard. */
+export { endGroup, ProcessGuard, ProcessGuard as Guard } from './process-guard.ts';
 export { type NodeAddress, settingsFile } from './settings-file.ts';
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -1,430 +1,218 @@
-// A cluster on one machine: stand-ins of state service, cloud and workers on loopback, and controllers as real processes.
-import type { ChildProcess } from 'node:child_process';
-import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
+// A cluster on one machine: stand-ins of the key-value store, the cloud and workers on loopback, and controllers as real
+// processes.
+import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
-import { HttpClient } from '../../../src/http/client.ts';
-import { isJobId } from '../../../src/protocol/job.ts';
-import {
-  decodeCommands,
-  decodeHeartbeatResponse,
-  encodeHeartbeat,
-} from '../../../src/protocol/server-side.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
-import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { TaskId } from '../../../src/types/index.ts';
 import { ClusterStorage } from './cluster-storage.ts';
-import { nodeAddresses, spawnController } from './controller-process.ts';
-import type { CloudEnvironment, FakeCloud } from './fake-cloud.ts';
+import { type ClusterView, ControlApi, type ControllableCluster } from './control-api.ts';
+import { type Controller, ControllerGroup } from './controller-group.ts';
+import { nodeAddresses } from './controller-process.ts';
+import { NotReadyError } from './errors.ts';
+import type { FakeCloud } from './fake-cloud.ts';
 import type { FakeStore } from './fake-store.ts';
-import type { RunningTask, WorkerEnvironment } from './fake-worker.ts';
-import { FakeWorker } from './fake-worker.ts';
-import { error, type Listening, listen } from './json-server.ts';
-import { type Fault, type LocalClusterOptions, readFault } from './options.ts';
+import { FaultInjector } from './fault-injector.ts';
+import { type Listening, listen, type RequestHandler } from './json-server.ts';
+import { LocalMachines } from './local-machines.ts';
+import type { Fault, LocalClusterOptions } from './options.ts';
 import { OutsideServices } from './outside-services.ts';
-import { endGroup, ProcessGuard } from './process-guard.ts';
+import { ProcessGuard } from './process-guard.ts';
+import { RealClock } from './real-clock.ts';
 import { settingsFile } from './settings-file.ts';
-import { type Description, type Run, Tasks } from './task-runner.ts';
+import type { OutputStream } from './task-files.ts';
+import type { JobDescription, Run } from './task-run.ts';
 
-export interface LabSetup {
+/** Where and with what a local cluster runs. */
+export interface LocalClusterSetup {
   /** The daemon: program and arguments before `serve`. */
   program: string[];
   /** Where settings, logs and what tasks write are put. */
   dir: string;
-  /** Directory in which the state service's records are kept over restarts of the lab. */
+  /** Directory in which the store's records are kept over restarts of the cluster. */
   data?: string;
+  /** Called with each event, for people. */
   log: (line: string) => void;
 }
 
-interface Controller {
-  name: string;
-  addr: string;
-  process: ChildProcess | null;
-  restarts: number;
-}
-
-const RESTART_MS = 1500;
+const READY_WITHIN_MS = 30_000;
 
-export class LocalCluster implements CloudEnvironment, WorkerEnvironment {
-  readonly workers = new Map<string, FakeWorker>();
-  readonly reportMs: number;
-  readonly leaseMs: number;
-  readonly nodeNames: string[];
+/** A running cluster; `stop` ends all that it started. */
+export class LocalCluster implements ControllableCluster {
   readonly state: FakeStore;
   readonly cloud: FakeCloud;
-  private readonly services: OutsideServices;
-  readonly controllers: Controller[] = [];
-  private readonly guard = new ProcessGuard();
-  private readonly tasks: Tasks;
-  private readonly timers = new Set<NodeJS.Timeout>();
-  private readonly serving: Listening[] = [];
-  private readonly ends = new Map<FakeWorker, Listening>();
-  private readonly lines = new Map<string, HttpClient>();
-  private readonly random;
-  /** Zones that are cut off, until when, and whether what is sent to them and from them is held. */
-  private readonly cuts = new Map<string, { until: number; hold: boolean }>();
-  private stopping = false;
-  private data: ClusterStorage | null = null;
-  /** Address of the lab itself. */
+  /** Address of the cluster's own HTTP interface. */
   addr = '';
+  private readonly clock = new RealClock();
+  private readonly guard = new ProcessGuard();
+  private readonly controllerGroup: ControllerGroup;
+  private readonly machines: LocalMachines;
+  private readonly services: OutsideServices;
+  private readonly faults: FaultInjector;
+  private readonly servers: Listening[] = [];
+  private storage: ClusterStorage | null = null;
 
   private constructor(
     private readonly options: LocalClusterOptions,
-    private readonly setup: LabSetup,
+    private readonly setup: LocalClusterSetup,
   ) {
-    const { lab, workers } = options;
-    this.random = seededRandom(lab.seed);
-    this.reportMs = workers.report_s * 1000;
-    this.leaseMs = workers.lease_s * 1000;
-    this.nodeNames = Array.from({ length: lab.controllers }, (_, i) => `node-${i}`);
-    this.tasks = new Tasks(this, join(setup.dir, 'jobs'), this.guard, {
-      speed: lab.speed,
-      gangWaitS: workers.gang_wait_s,
-      gangPeerS: workers.gang_peer_s,
+    const { clock, guard } = this;
+    const { lab } = options;
+    const { dir, program, log } = setup;
+    const random = seededRandom(lab.seed);
+    const controllers = new ControllerGroup({
+      clock,
+      random,
+      guard,
+      count: lab.controllers,
+      program,
+      dir,
+      log,
     });
-    this.services = new OutsideServices(this, options, this.random, (answer) => this.whenKept(answer));
-    this.state = this.services.state;
-    this.cloud = this.services.cloud;
-  }
-
-  static async start(options: LocalClusterOptions, setup: LabSetup): Promise<LocalCluster> {
-    const lab = new LocalCluster(options, setup);
+    const machines = new LocalMachines({ options, clock, random, controllers, guard, dir });
+    const services = new OutsideServices(machines, options, random, (answer) => this.whenDurable(answer));
+    this.controllerGroup = controllers;
+    this.machines = machines;
+    this.services = services;
+    this.faults = new FaultInjector({ clock, zones: lab.zones, controllers, machines, services });
+    this.state = services.state;
+    this.cloud = services.cloud;
+  }
+
+  /** Starts a cluster; what was started is ended again if that fails. */
+  static async start(options: LocalClusterOptions, setup: LocalClusterSetup): Promise<LocalCluster> {
+    const cluster = new LocalCluster(options, setup);
     try {
-      await lab.begin();
-    } catch (e) {
-      await lab.stop();
-      throw e;
+      await cluster.begin();
+    } catch (error) {
+      await cluster.stop();
+      throw error;
     }
-    return lab;
+    return cluster;
   }
 
   private async begin(): Promise<void> {
-    const { dir } = this.setup;
+    const { dir, data } = this.setup;
     mkdirSync(dir, { recursive: true });
-    if (this.setup.data !== undefined) await this.remember(this.setup.data);
+    if (data !== undefined) await this.openStorage(data);
     const state = await this.serve(0, this.services.serveState);
     const cloud = await this.serve(0, this.services.serveCloud);
-    const at = await nodeAddresses(this.nodeNames.length, this.options.lab.zones);
-    for (const n of at) {
-      const file = join(dir, `${n.name}.json`);
-      writeFileSync(file, settingsFile(this.options, n, at, { state: state.addr, cloud: cloud.addr }));
-      const c: Controller = { name: n.name, addr: n.addr, process: null, restarts: 0 };
-      this.controllers.push(c);
-      this.lines.set(n.name, new HttpClient(n.addr, 64, 4 << 20));
-      this.startController(c);
-    }
-    this.addr = (await this.serve(this.options.lab.port, (m, p, b, a) => this.serveLab(m, p, b, a))).addr;
+    await this.startControllers({ state: state.addr, cloud: cloud.addr });
+    const api = await this.serve(this.options.lab.port, new ControlApi(this).serve);
+    this.addr = api.addr;
   }
 
-  private async remember(dir: string): Promise<void> {
+  private async openStorage(dir: string): Promise<void> {
     mkdirSync(dir, { recursive: true });
-    const data = await ClusterStorage.open(dir, (e) =>
-      this.setup.log(`records cannot be kept: ${e.message}`),
+    const storage = await ClusterStorage.open(dir, (error) =>
+      this.setup.log(`records cannot be kept: ${error.message}`),
     );
-    this.data = data;
-    await data.attach(this.state);
-    const { jobs, done } = await data.world();
-    for (const [id, d] of jobs) this.tasks.describe(id, d);
-    for (const t of done) this.tasks.remember(t as TaskId);
-    this.tasks.onDone = (t) => data.done(t);
-    this.cloud.made = await data.reserveNames();
-  }
-
-  /** Answers when what the answer tells of is on disk. */
-  private async whenKept(answer: () => void): Promise<void> {
-    if (this.data !== null) await this.data.kept();
-    if (!this.stopping) answer();
-  }
-
-  private async serve(port: number, handler: Parameters<typeof listen>[1]): Promise<Listening> {
-    const l = await listen(port, handler);
-    this.serving.push(l);
-    return l;
+    this.storage = storage;
+    await storage.attach(this.state);
+    const { jobs, doneTasks } = await storage.recordedWork();
+    const { tasks } = this.machines;
+    for (const [job, description] of jobs) tasks.describe(job, description);
+    for (const task of doneTasks) tasks.remember(task as TaskId);
+    tasks.onDone = (task) => storage.recordDone(task);
+    this.machines.onMachineCreated = () => storage.machineNumberUsed(this.cloud.made);
+    this.cloud.made = await storage.reserveMachineNumbers();
+  }
+
+  private async serve(port: number, handler: RequestHandler): Promise<Listening> {
+    const listening = await listen(port, handler);
+    this.servers.push(listening);
+    return listening;
+  }
+
+  private async startControllers(outside: { state: string; cloud: string }): Promise<void> {
+    const { options, setup } = this;
+    const addresses = await nodeAddresses(this.controllerGroup.names.length, options.lab.zones);
+    for (const address of addresses) {
+      const file = join(setup.dir, `${address.name}.json`);
+      writeFileSync(file, settingsFile(options, address, addresses, outside));
+      this.controllerGroup.start(address.name, address.addr);
+    }
   }
 
-  // ---- controllers
-
-  private startController(c: Controller): void {
-    if (this.stopping) return;
-    const { dir, program, log } = this.setup;
-    const child = spawnController(c.name, dir, program, this.guard);
-    c.process = child;
-    child.once('error', (e) => log(`${c.name} cannot be started: ${e.message}`));
-    child.once('exit', (code, signal) => {
-      c.process = null;
-      if (this.stopping) return;
-      log(`${c.name} has ended (${signal ?? code}) and is started again`);
-      c.restarts++;
-      this.after(RESTART_MS, () => this.startController(c));
-    });
+  /** Calls back when all changes so far are on disk. */
+  private async whenDurable(callback: () => void): Promise<void> {
+    if (this.storage !== null) await this.storage.flushed();
+    if (!this.clock.isStopped) callback();
   }
 
-  /** Resolves when a controller is ready for users. */
-  async ready(withinMs = 30_000): Promise<void> {
-    const until = this.now + withinMs;
-    while (this.now < until && !this.stopping) {
-      for (const c of this.controllers) if (await this.isReady(c)) return this.plan();
-      await new Promise<void>((r) => this.after(100, r));
-    }
-    throw new Error(`no controller is ready; see the logs in ${this.setup.dir}`);
+  /** Resolves when a controller is ready for users; throws NotReadyError if none is in time. */
+  async ready(withinMs = READY_WITHIN_MS): Promise<void> {
+    if (await this.controllerGroup.waitUntilReady(withinMs)) return this.scheduleFaults();
+    throw new NotReadyError(`no controller is ready; see the logs in ${this.setup.dir}`);
   }
 
-  /** Faults of the options, from the first time that the lab is ready. */
-  private plan(): void {
+  /** Faults of the options, from the first time that the cluster is ready. */
+  private scheduleFaults(): void {
     for (const { atS, fault } of this.options.faults.splice(0))
-      this.after(atS * 1000, () => {
+      this.clock.after(atS * 1000, () => {
         try {
           this.fault(fault);
-        } catch (e) {
-          this.setup.log((e as Error).message);
+        } catch (error) {
+          this.setup.log((error as Error).message);
         }
       });
   }
 
-  private isReady(c: Controller): Promise<boolean> {
-    return new Promise((resolve) =>
-      this.lines
-        .get(c.name)!
-        .call({ method: 'GET', path: '/ready', body: null, timeoutMs: 1000 }, (r) =>
-          resolve(r?.status === 200),
-        ),
-    );
-  }
-
-  // ---- the stand-ins on sockets
-
-  machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
-    const w = new FakeWorker(this, id, type, zone, spot, this.random.below(this.nodeNames.length));
-    this.workers.set(id, w);
-    this.data?.named(this.cloud.made);
-    listen(0, (method, path, body, answer) => this.serveWorker(w, method, path, body, answer)).then((l) => {
-      w.addr = l.addr;
-      if (w.dead || this.stopping) l.close();
-      else this.ends.set(w, l);
-    });
-    return w;
+  /** The controllers and their processes. */
+  get controllers(): readonly Controller[] {
+    return this.controllerGroup.controllers;
   }
 
-  private serveWorker(
-    w: FakeWorker,
-    method: string,
-    path: string,
-    body: unknown,
-    answer: (a: Answered) => void,
-  ): void {
-    if (!w.up) return answer(error(503, 'it is not up yet'));
-    if (method === 'GET' && path === '/inspect')
-      return answer({ status: 200, body: encodeHeartbeat(w.report()) });
-    if (method !== 'POST' || path !== '/orders') return answer(error(404, 'no such path'));
-    const { token, session, commands } = decodeCommands(body);
-    if (session === null) return answer(error(400, 'the session is missing'));
-    const cut = this.cutOf(w);
-    if (cut !== null) {
-      if (cut.hold) this.after(cut.until - this.now, () => w.orders(token, session, commands, () => {}));
-      return;
-    }
-    w.orders(token, session, commands, (r) => {
-      if (r.kind === 'heartbeat')
-        answer({ status: r.executed ? 200 : 409, body: encodeHeartbeat(r.heartbeat) });
-    });
-  }
-
-  // ---- what workers need
-
-  get now(): number {
-    return performance.timeOrigin + performance.now();
-  }
-
-  after(ms: number, run: () => void): void {
-    const timer = setTimeout(() => {
-      this.timers.delete(timer);
-      if (!this.stopping) run();
-    }, ms);
-    this.timers.add(timer);
-  }
-
-  sendReport(
-    worker: FakeWorker,
-    node: string,
-    report: Heartbeat,
-    timeoutMs: number,
-    done: (a: HeartbeatResponse | null) => void,
-  ): void {
-    const body = encodeHeartbeat(report);
-    const cut = this.cutOf(worker);
-    if (cut !== null) {
-      const late = { method: 'POST', path: '/checkin', body, timeoutMs };
-      if (cut.hold) this.after(cut.until - this.now, () => this.lines.get(node)!.call(late, () => {}));
-      return this.after(timeoutMs, () => done(null));
-    }
-    this.lines.get(node)!.call({ method: 'POST', path: '/checkin', body, timeoutMs }, (r) => {
-      let answer: HeartbeatResponse | null = null;
-      try {
-        if (r !== null) answer = decodeHeartbeatResponse(r.status, JSON.parse(r.body.toString('utf8')));
-      } catch {}
-      if (!this.stopping) done(answer);
-    });
-  }
-
-  private cutOf(worker: FakeWorker): { until: number; hold: boolean } | null {
-    const cut = this.cuts.get(worker.zone);
-    return cut !== undefined && this.now < cut.until ? cut : null;
-  }
-
-  placed(): void {}
-
-  launch(
-    worker: FakeWorker,
-    task: TaskId,
-    attempt: number,
-    end: (why: ExitReason) => void,
-    is: (state: 'fetching' | 'waiting' | 'running') => void,
-  ): RunningTask {
-    const type = this.options.types[worker.type]!;
-    const machine = { id: worker.id, fetchGbPerS: type.fetch_gb_per_s, cacheGb: type.cache_gb };
-    return this.tasks.launch(machine, task, attempt, end, is);
-  }
-
-  gone(worker: FakeWorker): void {
-    this.ends.get(worker)?.close();
-    this.ends.delete(worker);
+  /** The starts of tasks so far. */
+  get runs(): readonly Run[] {
+    return this.machines.tasks.runs;
   }
 
-  // ---- the lab's own address
-
-  private serveLab(method: string, path: string, body: unknown, answer: (a: Answered) => void): void {
-    const ok = (x: unknown): void => answer({ status: 200, body: JSON.stringify(x) });
-    const [, what, id, index] = path.split('?', 1)[0]!.split('/');
-    if (method === 'GET' && what === 'lab')
-      return ok({
-        controllers: this.controllers.map((c) => ({ name: c.name, addr: c.addr, up: c.process !== null })),
-        machines: this.workers.size,
-        dir: this.setup.dir,
-      });
-    if (method === 'PUT' && what === 'jobs' && isJobId(id ?? '')) {
-      this.tasks.describe(id!, body as Description);
-      this.data?.describe(id!, body as Description);
-      this.whenKept(() => ok({}));
-      return;
-    }
-    if (method === 'GET' && what === 'logs' && isJobId(id ?? '')) {
-      const stream = path.endsWith('?stderr') ? 'stderr' : 'stdout';
-      const file = this.tasks.logFile(`${id}/${index ?? '0'}` as TaskId, stream);
-      if (file === null) return answer(error(404, 'this task was not started here'));
-      try {
-        return ok({ text: readFileSync(file, 'utf8') });
-      } catch {
-        return ok({ text: '' });
-      }
-    }
-    if (method === 'POST' && what === 'faults') {
-      try {
-        return ok({ done: this.fault(readFault('fault', body)) });
-      } catch (e) {
-        return answer(error(400, (e as Error).message));
-      }
-    }
-    answer(error(404, 'no such path'));
+  /** What the store has under a key. */
+  recorded(key: string): unknown {
+    return this.state.keys.get(key)?.value;
   }
 
-  // ---- faults
+  // ---- for the HTTP interface
 
-  /** Does it and says what was done, in a sentence. */
-  fault(f: Fault): string {
-    const said = this.doFault(f);
-    this.setup.log(said);
-    return said;
-  }
-
-  private doFault(f: Fault): string {
-    const ms = f.seconds * 1000;
-    switch (f.kind) {
-      case 'kill-controller': {
-        const c = this.pick(f.name);
-        endGroup(c.process!.pid!);
-        return `${c.name} was killed`;
-      }
-      case 'freeze-controller': {
-        const c = this.pick(f.name);
-        const { pid } = c.process!;
-        endGroup(pid!, 'SIGSTOP');
-        this.after(ms, () => c.process?.pid === pid && endGroup(pid!, 'SIGCONT'));
-        return `${c.name} is stopped for ${f.seconds} s`;
-      }
-      case 'state-outage':
-        this.state.outage(f.seconds);
-        return `the state service is down for ${f.seconds} s`;
-      case 'state-silent':
-        this.services.silentUntil = this.now + ms;
-        return `the state service loses half of its answers for ${f.seconds} s`;
-      case 'cloud-outage':
-        this.cloud.down = true;
-        this.after(ms, () => {
-          this.cloud.down = false;
-        });
-        return `the cloud is down for ${f.seconds} s`;
-      case 'machine-death': {
-        const up = [...this.workers.values()].filter((w) => w.up && !w.dead);
-        const dying = up.sort((a, b) => (a.id < b.id ? -1 : 1)).slice(0, f.count);
-        for (const w of dying) this.takeAway(w);
-        return `${dying.length} machines are gone`;
-      }
-      case 'spot-wave': {
-        const spot = [...this.workers.values()].filter((w) => w.spot && w.up && !w.dead);
-        for (const w of spot) {
-          w.noticeS = f.seconds;
-          this.after(ms, () => this.takeAway(w));
-        }
-        return `${spot.length} spot machines are taken back in ${f.seconds} s`;
-      }
-      case 'zone-cut':
-      case 'zone-hold':
-        if (f.zone === undefined || !this.options.lab.zones.includes(f.zone))
-          throw new Error(`there is no zone ${f.zone}; ${this.options.lab.zones.join(', ')}`);
-        this.cuts.set(f.zone, { until: this.now + ms, hold: f.kind === 'zone-hold' });
-        return `zone ${f.zone} is cut off for ${f.seconds} s`;
-      case 'state-late':
-        this.services.lateUntil = this.now + ms;
-        return `the state service executes late and does not answer, for ${f.seconds} s`;
-    }
+  view(): ClusterView {
+    return {
+      controllers: this.controllers.map(({ name, addr, process: child }) => ({
+        name,
+        addr,
+        up: child !== null,
+      })),
+      machines: this.machines.workers.size,
+      dir: this.setup.dir,
+    };
   }
 
-  private pick(name: string | undefined): Controller {
-    const up = this.controllers.filter((c) => c.process !== null && (name === undefined || c.name === name));
-    if (up.length === 0) throw new Error(`${name ?? 'no controller'} is not up`);
-    return up[this.random.below(up.length)]!;
+  describeJob(job: string, description: JobDescription, onDurable: () => void): void {
+    this.machines.tasks.describe(job, description);
+    this.storage?.recordJob(job, description);
+    this.whenDurable(onDurable);
   }
 
-  private takeAway(w: FakeWorker): void {
-    w.die();
-    this.workers.delete(w.id);
+  logFile(task: TaskId, stream: OutputStream): string | null {
+    return this.machines.tasks.logFile(task, stream);
   }
 
-  // ---- for checks
-
-  get runs(): readonly Run[] {
-    return this.tasks.runs;
+  /** Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not there. */
+  fault(fault: Fault): string {
+    const done = this.faults.inject(fault);
+    this.setup.log(done);
+    return done;
   }
 
-  /** What the state service holds under a key. */
-  recorded(key: string): unknown {
-    return this.state.keys.get(key)?.value;
-  }
+  // ---- the end
 
-  /** Ends everything that was started, by id. */
+  /** Ends everything that was started. */
   async stop(): Promise<void> {
-    this.stopping = true;
-    for (const t of this.timers) clearTimeout(t);
-    for (const w of [...this.workers.values()]) w.die();
-    const ended = this.controllers.map(
-      (c) => new Promise<void>((r) => (c.process === null ? r() : c.process.once('exit', () => r()))),
-    );
-    for (const c of this.controllers) if (c.process?.pid !== undefined) endGroup(c.process.pid);
-    await Promise.all(ended);
-    for (const l of this.lines.values()) l.close();
-    for (const s of this.serving) s.close();
-    await this.data?.close();
+    this.clock.stop();
+    this.machines.stop();
+    await this.controllerGroup.stop();
+    this.controllerGroup.close();
+    for (const server of this.servers) server.close();
+    await this.storage?.close();
     this.guard.close();
   }
 }
-
-type Answered = { status: number; body: string } | null;
--- /dev/null
+++ b/packages/local-cluster/src/local-machines.ts
@@ -0,0 +1,197 @@
+// The machines of a local cluster: workers with sockets of their own, whose zones can be cut off from the controllers.
+import { join } from 'node:path';
+import type { Random } from '../../../src/core/base/io.ts';
+import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
+import type { ClientReply } from '../../../src/http/client.ts';
+import {
+  decodeCommands,
+  decodeHeartbeatResponse,
+  encodeHeartbeat,
+} from '../../../src/protocol/server-side.ts';
+import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { ControllerGroup } from './controller-group.ts';
+import type { CloudEnvironment } from './fake-cloud.ts';
+import { FakeWorker, type RunningTask, type TaskProgress, type WorkerEnvironment } from './fake-worker.ts';
+import { errorResponse, type Listening, listen, type Respond } from './json-server.ts';
+import type { LocalClusterOptions } from './options.ts';
+import type { ProcessGuard } from './process-guard.ts';
+import type { RealClock } from './real-clock.ts';
+import { TaskRunner } from './task-runner.ts';
+
+/** What the machines need around them. */
+export interface LocalMachinesDependencies {
+  readonly options: LocalClusterOptions;
+  readonly clock: RealClock;
+  readonly random: Random;
+  readonly controllers: ControllerGroup;
+  readonly guard: ProcessGuard;
+  /** Directory of the cluster. */
+  readonly dir: string;
+}
+
+/** A zone that is cut off. */
+interface NetworkPartition {
+  /** Milliseconds. */
+  readonly until: number;
+  /** Messages are delivered at the end instead of being dropped. */
+  readonly delaysMessages: boolean;
+}
+
+/** Workers by machine id, and the tasks that they run. */
+export class LocalMachines implements CloudEnvironment, WorkerEnvironment {
+  readonly workers = new Map<string, FakeWorker>();
+  readonly reportMs: number;
+  readonly leaseMs: number;
+  readonly nodeNames: readonly string[];
+  readonly tasks: TaskRunner;
+  /** Called when a machine was made. */
+  onMachineCreated: () => void = () => {};
+  private readonly listeners = new Map<FakeWorker, Listening>();
+  private readonly partitions = new Map<string, NetworkPartition>();
+
+  constructor(private readonly dependencies: LocalMachinesDependencies) {
+    const { options, controllers, guard, dir } = dependencies;
+    const { lab, workers } = options;
+    this.reportMs = workers.report_s * 1000;
+    this.leaseMs = workers.lease_s * 1000;
+    this.nodeNames = controllers.names;
+    this.tasks = new TaskRunner(this, join(dir, 'jobs'), guard, {
+      speed: lab.speed,
+      gangWaitS: workers.gang_wait_s,
+      gangPeerS: workers.gang_peer_s,
+    });
+  }
+
+  get now(): number {
+    return this.dependencies.clock.now;
+  }
+
+  after(ms: number, run: () => void): void {
+    this.dependencies.clock.after(ms, run);
+  }
+
+  /** Workers that are up. */
+  running(): FakeWorker[] {
+    return [...this.workers.values()].filter((worker) => worker.up && !worker.dead);
+  }
+
+  /** The machine is gone, without notice. */
+  remove(worker: FakeWorker): void {
+    worker.die();
+    this.workers.delete(worker.id);
+  }
+
+  /** Cuts a zone off from the controllers for so many milliseconds. */
+  partition(zone: string, ms: number, delaysMessages: boolean): void {
+    this.partitions.set(zone, { until: this.now + ms, delaysMessages });
+  }
+
+  /** All machines are gone. */
+  stop(): void {
+    for (const worker of [...this.workers.values()]) worker.die();
+  }
+
+  // ---- for the cloud
+
+  machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
+    const { random, clock } = this.dependencies;
+    const firstNode = random.below(this.nodeNames.length);
+    const worker = new FakeWorker(this, id, type, zone, spot, firstNode);
+    this.workers.set(id, worker);
+    this.onMachineCreated();
+    listen(0, (method, path, body, respond) => this.serve(worker, { method, path, body }, respond)).then(
+      (listening) => {
+        worker.addr = listening.addr;
+        if (worker.dead || clock.isStopped) listening.close();
+        else this.listeners.set(worker, listening);
+      },
+    );
+    return worker;
+  }
+
+  // ---- for controllers
+
+  private serve(
+    worker: FakeWorker,
+    { method, path, body }: { method: string; path: string; body: unknown },
+    respond: Respond,
+  ): void {
+    if (!worker.up) return respond(errorResponse(503, 'it is not up yet'));
+    if (method === 'GET' && path === '/inspect')
+      return respond({ status: 200, body: encodeHeartbeat(worker.report()) });
+    if (method !== 'POST' || path !== '/orders') return respond(errorResponse(404, 'no such path'));
+    this.serveCommands(worker, body, respond);
+  }
+
+  private serveCommands(worker: FakeWorker, body: unknown, respond: Respond): void {
+    const { token, session, commands } = decodeCommands(body);
+    if (session === null) return respond(errorResponse(400, 'the session is missing'));
+    const partition = this.partitionOf(worker);
+    if (partition !== null) {
+      if (partition.delaysMessages)
+        this.after(partition.until - this.now, () => worker.orders(token, session, commands, () => {}));
+      return;
+    }
+    worker.orders(token, session, commands, (reply) => {
+      if (reply.kind === 'heartbeat')
+        respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
+    });
+  }
+
+  // ---- for workers
+
+  sendReport(
+    worker: FakeWorker,
+    node: string,
+    report: Heartbeat,
+    timeoutMs: number,
+    done: (response: HeartbeatResponse | null) => void,
+  ): void {
+    const { controllers, clock } = this.dependencies;
+    const call = { method: 'POST', path: '/checkin', body: encodeHeartbeat(report), timeoutMs };
+    const partition = this.partitionOf(worker);
+    if (partition !== null) {
+      if (partition.delaysMessages)
+        this.after(partition.until - this.now, () => controllers.call(node, call, () => {}));
+      return this.after(timeoutMs, () => done(null));
+    }
+    controllers.call(node, call, (reply) => {
+      const response = heartbeatResponse(reply);
+      if (!clock.isStopped) done(response);
+    });
+  }
+
+  private partitionOf(worker: FakeWorker): NetworkPartition | null {
+    const partition = this.partitions.get(worker.zone);
+    return partition !== undefined && this.now < partition.until ? partition : null;
+  }
+
+  placed(): void {}
+
+  launch(
+    worker: FakeWorker,
+    task: TaskId,
+    attempt: number,
+    end: (why: ExitReason) => void,
+    is: (state: TaskProgress) => void,
+  ): RunningTask {
+    const type = this.dependencies.options.types[worker.type]!;
+    const machine = { id: worker.id, fetchGbPerS: type.fetch_gb_per_s, cacheGb: type.cache_gb };
+    return this.tasks.launch(machine, task, attempt, end, is);
+  }
+
+  gone(worker: FakeWorker): void {
+    this.listeners.get(worker)?.close();
+    this.listeners.delete(worker);
+  }
+}
+
+/** Null: no answer, or none that can be read. */
+function heartbeatResponse(reply: ClientReply | null): HeartbeatResponse | null {
+  if (reply === null) return null;
+  try {
+    return decodeHeartbeatResponse(reply.status, JSON.parse(reply.body.toString('utf8')));
+  } catch {
+    return null;
+  }
+}
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -1,7 +1,6 @@
-// State service and cloud behind sockets: their limits, delays and lost answers, around the stand-ins that do the work.
-
+// The key-value store and the cloud behind sockets: rate limits, latencies and lost answers around the stand-ins.
 import type { Random } from '../../../src/core/base/io.ts';
-import type { CloudReply, MachineType, StoreReply } from '../../../src/core/base/model.ts';
+import type { MachineType } from '../../../src/core/base/model.ts';
 import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
 import {
   decodeCloudRequest,
@@ -12,20 +11,29 @@
 import type { Instant, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { type CloudEnvironment, FakeCloud } from './fake-cloud.ts';
 import { FakeStore } from './fake-store.ts';
-import { error, type Serve } from './json-server.ts';
+import { errorResponse, type RequestHandler, type Respond } from './json-server.ts';
 import type { LocalClusterOptions } from './options.ts';
 
-/** What the services have been asked for since they began. */
+/** What the services were asked for since they began. */
 export interface ServiceCounts {
   stateRequests: number;
   /** Puts and deletes. */
   stateChanges: number;
-  /** Requests to the state service that were over one of its limits. */
+  /** Requests to the store that were over one of its limits. */
   stateRefused: number;
   cloudCalls: number;
   cloudRefused: number;
 }
 
+type StoreCall = NonNullable<ReturnType<typeof decodeStoreRequest>>;
+
+/** Seconds of its rate that the cloud's bucket holds. */
+const CLOUD_BURST_S = 2;
+/** Boots take this part of their nominal time at least, and up to so many percentage points more. */
+const MIN_BOOT_FRACTION = 0.6;
+const BOOT_SPREAD_PERCENT = 90;
+
+/** Handlers for the store and the cloud. */
 export class OutsideServices {
   readonly state: FakeStore;
   readonly cloud: FakeCloud;
@@ -36,82 +44,108 @@
     cloudCalls: 0,
     cloudRefused: 0,
   };
-  /** Until when half of the state service's answers are lost, and until when it executes late. Milliseconds. */
-  silentUntil = 0;
-  lateUntil = 0;
-  private readonly requests: TokenBucket;
-  private readonly writes: TokenBucket;
-  private readonly calls: TokenBucket;
+  /** Until when half of the store's answers are lost, in milliseconds. */
+  storeSilentUntil = 0;
+  /** Until when the store executes late and does not answer, in milliseconds. */
+  storeLateUntil = 0;
+  private readonly storeRequestLimit: TokenBucket;
+  private readonly storeWriteLimit: TokenBucket;
+  private readonly cloudLimit: TokenBucket;
 
+  /** `whenDurable` calls back when what was changed so far may be answered. */
   constructor(
-    private readonly place: CloudEnvironment,
+    private readonly environment: CloudEnvironment,
     private readonly options: LocalClusterOptions,
     private readonly random: Random,
-    /** Calls back when what was changed so far may be told. */
-    private readonly whenKept: (answer: () => void) => void,
+    private readonly whenDurable: (answer: () => void) => void,
   ) {
-    const { lab, state, cloud } = options;
-    this.requests = new TokenBucket(state.rps, state.rps);
-    this.writes = new TokenBucket(state.write_rps, state.write_rps);
-    this.calls = new TokenBucket(cloud.rps, 2 * cloud.rps);
-    this.state = new FakeStore(place);
+    const { state, cloud } = options;
+    this.storeRequestLimit = new TokenBucket(state.rps, state.rps);
+    this.storeWriteLimit = new TokenBucket(state.write_rps, state.write_rps);
+    this.cloudLimit = new TokenBucket(cloud.rps, CLOUD_BURST_S * cloud.rps);
+    this.state = new FakeStore(environment);
     this.state.limits = { valueBytes: state.value_kb * 1024, txnOps: state.txn_ops };
-    this.cloud = new FakeCloud(place);
+    this.cloud = new FakeCloud(environment);
+    this.configureCloud();
+  }
+
+  private configureCloud(): void {
+    const { lab, cloud, types } = this.options;
     this.cloud.lagMs = cloud.list_lag_s * 1000;
-    this.cloud.types = Object.entries(options.types).map(
-      ([name, t]): MachineType => ({
-        name: name as TypeName,
-        cpus: t.cpus,
-        gpus: t.gpus,
-        memoryGb: t.memory_gb,
-        cacheGb: t.cache_gb,
-        fetchGbPerS: t.fetch_gb_per_s,
-        price: t.price,
-        spotPrice: t.spot_price,
-        bootS: t.boot_s,
-        zones: lab.zones as ZoneName[],
-      }),
-    );
-    this.cloud.room = (type, _zone, spot) => options.types[type]?.[spot ? 'spot' : 'count'] ?? 0;
+    this.cloud.types = Object.entries(types).map(([name, type]) => machineType(name, type, lab.zones));
+    this.cloud.room = (type, _zone, spot) => types[type]?.[spot ? 'spot' : 'count'] ?? 0;
     this.cloud.bootMs = (type) =>
-      ((options.types[type]!.boot_s * 1000) / lab.speed) * (0.6 + random.below(90) / 100);
+      ((types[type]!.boot_s * 1000) / lab.speed) *
+      (MIN_BOOT_FRACTION + this.random.below(BOOT_SPREAD_PERCENT) / 100);
   }
 
-  readonly serveState: Serve = (method, path, body, answer) => {
+  /** Requests to the key-value store. */
+  readonly serveState: RequestHandler = (method, path, body, respond) => {
     const call = decodeStoreRequest(method, path, body);
-    if (call === null) return answer(error(404, 'no such path'));
-    const { op, page } = call;
-    const { place } = this;
-    const now = place.now as Instant;
+    if (call === null) return respond(errorResponse(404, 'no such path'));
+    const { op } = call;
     const changes = op.kind === 'compare-and-swap' ? op.puts.length + op.deletes.length : 0;
     this.counts.stateRequests++;
-    if (!this.state.down && (!this.requests.take(now) || (changes > 0 && !this.writes.take(now, changes)))) {
+    if (!this.state.down && this.isOverStoreLimit(changes)) {
       this.counts.stateRefused++;
-      return answer(error(429, 'too many requests'));
+      return respond(errorResponse(429, 'too many requests'));
     }
     this.counts.stateChanges += changes;
-    if (place.now < this.lateUntil && op.kind !== 'watch')
-      return place.after(this.lateUntil - place.now, () => this.state.serve('', op, () => {}));
-    const silent = place.now < this.silentUntil && this.random.below(2) === 0;
-    this.state.serve('', op, (r: StoreReply) => {
-      if (silent) return;
-      const said = encodeStoreReply(op, r, page, this.state.revision);
-      this.whenKept(() => place.after(this.options.state.latency_ms, () => answer(said)));
+    const lateMs = this.storeLateUntil - this.environment.now;
+    if (lateMs > 0 && op.kind !== 'watch')
+      return this.environment.after(lateMs, () => this.state.serve('', op, () => {}));
+    this.executeStoreCall(call, respond);
+  };
+
+  private isOverStoreLimit(changes: number): boolean {
+    const now = this.environment.now as Instant;
+    if (!this.storeRequestLimit.take(now)) return true;
+    return changes > 0 && !this.storeWriteLimit.take(now, changes);
+  }
+
+  private executeStoreCall({ op, page }: StoreCall, respond: Respond): void {
+    const isSilent = this.environment.now < this.storeSilentUntil && this.random.below(2) === 0;
+    this.state.serve('', op, (reply) => {
+      if (isSilent) return;
+      const response = encodeStoreReply(op, reply, page, this.state.revision);
+      this.respondAfter(this.options.state.latency_ms, () => respond(response));
     });
     this.state.served.length = 0;
-  };
+  }
 
-  readonly serveCloud: Serve = (method, path, body, answer) => {
+  /** Requests to the cloud. */
+  readonly serveCloud: RequestHandler = (method, path, body, respond) => {
     const call = decodeCloudRequest(method, path, body);
-    if (call === null) return answer(error(404, 'no such path'));
+    if (call === null) return respond(errorResponse(404, 'no such path'));
     this.counts.cloudCalls++;
-    if (!this.calls.take(this.place.now as Instant)) {
+    if (!this.cloudLimit.take(this.environment.now as Instant)) {
       this.counts.cloudRefused++;
-      return answer(error(429, 'too many requests'));
+      return respond(errorResponse(429, 'too many requests'));
     }
-    const r: CloudReply = this.cloud.serve(call.op);
+    const reply = this.cloud.serve(call.op);
     this.cloud.released.length = 0;
-    const said = encodeCloudReply(call.op, r, call.page);
-    this.whenKept(() => this.place.after(this.options.cloud.latency_ms, () => answer(said)));
+    const response = encodeCloudReply(call.op, reply, call.page);
+    this.respondAfter(this.options.cloud.latency_ms, () => respond(response));
   };
+
+  private respondAfter(latencyMs: number, respond: () => void): void {
+    this.whenDurable(() => this.environment.after(latencyMs, respond));
+  }
 }
+
+const machineType = (
+  name: string,
+  options: LocalClusterOptions['types'][string],
+  zones: readonly string[],
+): MachineType => ({
+  name: name as TypeName,
+  cpus: options.cpus,
+  gpus: options.gpus,
+  memoryGb: options.memory_gb,
+  cacheGb: options.cache_gb,
+  fetchGbPerS: options.fetch_gb_per_s,
+  price: options.price,
+  spotPrice: options.spot_price,
+  bootS: options.boot_s,
+  zones: zones as ZoneName[],
+});
--- a/packages/local-cluster/src/process-guard.ts
+++ b/packages/local-cluster/src/process-guard.ts
@@ -1,52 +1,59 @@
-// Ends what the lab has started when the lab itself is gone, however it went: a small process of its own that reads the
-// process groups to end from a pipe, and ends those that are left when the pipe is closed.
+// Ends the processes that were started when their parent is gone, however it ended: a small process of its own reads the
+// process groups to end from a pipe, and kills those that are left when the pipe is closed.
 import { type ChildProcess, spawn } from 'node:child_process';
 
-const WATCH = `
-const left = new Set();
+const WATCHER_PROGRAM = `
+const groups = new Set();
 let text = '';
-process.stdin.on('data', (d) => {
-  text += d;
+process.stdin.on('data', (data) => {
+  text += data;
   const lines = text.split('\\n');
   text = lines.pop();
-  for (const l of lines) l[0] === '+' ? left.add(+l.slice(1)) : left.delete(+l.slice(1));
+  for (const line of lines) {
+    const pid = +line.slice(1);
+    if (line[0] === '+') groups.add(pid);
+    else groups.delete(pid);
+  }
 });
 process.stdin.on('end', () => {
-  for (const pid of left) try { process.kill(-pid, 'SIGKILL'); } catch {}
+  for (const pid of groups) try { process.kill(-pid, 'SIGKILL'); } catch {}
 });
-for (const s of ['SIGINT', 'SIGTERM', 'SIGHUP']) process.on(s, () => {});
+for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP']) process.on(signal, () => {});
 `;
 
+/** Kills the process groups that were added when this process ends or `close` is called. */
 export class ProcessGuard {
-  private readonly watch: ChildProcess;
+  private readonly watcher: ChildProcess;
 
   constructor() {
-    this.watch = spawn(process.execPath, ['-e', WATCH], {
+    this.watcher = spawn(process.execPath, ['-e', WATCHER_PROGRAM], {
       detached: true,
       stdio: ['pipe', 'ignore', 'ignore'],
     });
-    this.watch.stdin!.on('error', () => {});
-    this.watch.unref();
-    (this.watch.stdin as unknown as { unref(): void }).unref();
+    this.watcher.stdin!.on('error', () => {});
+    this.watcher.unref();
+    (this.watcher.stdin as unknown as { unref(): void }).unref();
   }
 
-  /** A child that leads a group of its own (`detached`); it is watched until it ends. */
+  /** `child` leads a process group of its own (`detached`); it is guarded until it ends. */
   add(child: ChildProcess): void {
     const { pid } = child;
     if (pid === undefined) return;
-    this.watch.stdin!.write(`+${pid}\n`);
+    this.watcher.stdin!.write(`+${pid}\n`);
     child.once('exit', () => {
       // What the child itself has started goes with it.
       endGroup(pid);
-      this.watch.stdin!.write(`-${pid}\n`);
+      this.watcher.stdin!.write(`-${pid}\n`);
     });
   }
 
+  /** Ends what is left, and the guard itself. */
   close(): void {
-    this.watch.stdin!.end();
+    this.watcher.stdin!.end();
   }
 }
 
+/** Sends a signal to a process group, by the id of its leader; nothing happens if it has ended. */
 export function endGroup(pid: number, signal: NodeJS.Signals = 'SIGKILL'): void {
   try {
     process.kill(-pid, signal);
--- a/packages/local-cluster/src/settings-file.ts
+++ b/packages/local-cluster/src/settings-file.ts
@@ -1,8 +1,10 @@
-// The settings file of one controller of a lab, as the platform would write it.
+// The settings file of one controller of a local cluster, as the platform would write it.
 import type { LocalClusterOptions } from './options.ts';
 
+/** Where a controller is reached. */
 export interface NodeAddress {
   name: string;
+  /** Its zone. */
   location: string;
   /** Where users and workers reach it. */
   addr: string;
@@ -10,37 +12,50 @@
   peer: string;
 }
 
-/** `outside`: addresses of the state service and the cloud. */
+/** Where the outside systems are reached. */
+export interface OutsideAddresses {
+  /** The key-value store. */
+  state: string;
+  cloud: string;
+}
+
+/** The text of the settings file of `node`. `sockets`: how many connections it may open. */
 export function settingsFile(
   options: LocalClusterOptions,
   node: NodeAddress,
   all: readonly NodeAddress[],
-  outside: { state: string; cloud: string },
+  outside: OutsideAddresses,
   sockets = 2000,
 ): string {
-  const { lab, workers, state, cloud, teams } = options;
-  const others = all.filter((x) => x.name !== node.name);
+  const others = all.filter((other) => other.name !== node.name);
   const settings = {
     node: node.name,
     location: node.location,
     bind: node.addr,
     internal_addr: node.peer,
-    others: others.map((x) => ({ node: x.name, location: x.location, peer_addr: x.peer })),
+    others: others.map(({ name, location, peer }) => ({ node: name, location, peer_addr: peer })),
     outside,
-    params: {
-      zones: lab.zones,
-      teams: Object.entries(teams).map(([name, t]) => ({ name, ...t })),
-      objectives: [],
-      workers,
-      state: {
-        rps: state.rps,
-        write_rps: state.write_rps,
-        value_kb: state.value_kb,
-        txn_ops: state.txn_ops,
-      },
-      cloud: { rps: cloud.rps, list_lag_s: cloud.list_lag_s },
-      limits: { sockets },
-    },
+    params: platformParameters(options, sockets),
   };
   return JSON.stringify(settings, null, 1);
 }
+
+function platformParameters(
+  { lab, workers, state, cloud, teams }: LocalClusterOptions,
+  sockets: number,
+): object {
+  return {
+    zones: lab.zones,
+    teams: Object.entries(teams).map(([name, quota]) => ({ name, ...quota })),
+    objectives: [],
+    workers,
+    state: {
+      rps: state.rps,
+      write_rps: state.write_rps,
+      value_kb: state.value_kb,
+      txn_ops: state.txn_ops,
+    },
+    cloud: { rps: cloud.rps, list_lag_s: cloud.list_lag_s },
+    limits: { sockets },
+  };
+}
--- a/test/local-cluster.test.ts
+++ b/test/local-cluster.test.ts
@@ -4,15 +4,18 @@
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { test } from 'node:test';
-import { Client } from '../packages/client/src/index.ts';
-import { Lab, readLabOptions } from '../packages/local-cluster/src/index.ts';
-import { Tasks } from '../packages/local-cluster/src/task-runner.ts';
+import { after, describe, it, type TestContext } from 'node:test';
+import { Client, type JobRequest } from '../packages/client/src/index.ts';
+import { LocalCluster, readLocalClusterOptions } from '../packages/local-cluster/src/index.ts';
+import { TaskRunner } from '../packages/local-cluster/src/task-runner.ts';
 import { InvalidSettingsError } from '../src/protocol/settings.ts';
 import type { TaskId } from '../src/types/index.ts';
 
+const PROGRAM = 'target/main.js';
 const dir = mkdtempSync(join(tmpdir(), 'swiftford-lab-'));
-test.after(() => rmSync(dir, { recursive: true, force: true }));
+after(() => rmSync(dir, { recursive: true, force: true }));
+
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 const exists = (pid: number): boolean => {
   try {
@@ -22,226 +25,253 @@
     return false;
   }
 };
-const eventually = async (what: () => boolean, ms = 20_000): Promise<void> => {
-  for (const end = Date.now() + ms; !what() && Date.now() < end; )
-    await new Promise((r) => setTimeout(r, 20));
-  assert.ok(what());
-};
 
-test('a command runs in a lab through the end of a controller, once, with its output kept, and nothing is left', async () => {
-  const lab = await Lab.start(
-    readLabOptions('t', {
-      lab: [{ port: 0, speed: 20 }],
-      workers: [{ report_s: 0.5 }],
-      cloud: [{ list_lag_s: 0 }],
-    }),
-    { program: [process.execPath, 'target/main.js'], dir: join(dir, 'lab'), log: () => {} },
-  );
-  const pids: number[] = lab.controllers.map((c) => c.process!.pid!);
-  try {
-    await lab.ready();
-    const file = join(dir, 'job.json');
-    const base = { team: 'demo', class: 'x', cpus: 1, memoryGb: 1, image: 'i', imageGb: 1, estimateS: 1 };
-    const count = join(dir, 'count');
-    writeFileSync(
-      file,
-      JSON.stringify([
-        {
-          ...base,
-          name: 'first',
-          tasks: 3,
-          command: `echo $SWIFTFORD_TASK of $SWIFTFORD_TASKS; echo x >> ${count}; sleep 2`,
-        },
-        {
-          ...base,
-          name: 'gang',
-          kind: 'gang',
-          tasks: 2,
-          command: 'sleep 0.$SWIFTFORD_TASK; echo $SWIFTFORD_PEERS | tr : "\\n" | wc -l',
-        },
-        { ...base, name: 'last', awaits: ['first'], command: ['sh', '-c', `wc -l < ${count}`] },
-      ]),
-    );
-    const child = spawn(process.execPath, ['target/main.js', 'run', file, '--lab', lab.addr, '--json']);
-    let out = '';
-    child.stdout.on('data', (d) => {
-      out += d;
-    });
-    const ended = new Promise<number | null>((r) => child.once('exit', (code) => r(code)));
-    await eventually(() => lab.runs.length >= 3);
-    lab.fault({ kind: 'kill-controller', seconds: 1, count: 1 });
-    assert.equal(await ended, 0, out);
-    await eventually(() => lab.controllers.every((c) => c.process !== null));
-    pids.push(...lab.controllers.map((c) => c.process!.pid!));
-    const ids = new Map(
-      out
-        .trim()
-        .split('\n')
-        .map((l) => [JSON.parse(l).name, JSON.parse(l).id]),
-    );
-    const read = (name: string, task: number): string =>
-      readFileSync(
-        join(
-          dir,
-          'lab/jobs',
-          ids.get(name),
-          `${task}.${lab.runs.find((r) => r.task === `${ids.get(name)}/${task}`)!.attempt}/stdout`,
-        ),
-        'utf8',
-      ).trim();
-    assert.equal(read('first', 2), '2 of 3');
-    assert.equal(read('gang', 1), '2');
-    assert.equal(read('last', 0), '3', 'each task ran once, and before what awaits it');
-    assert.equal((lab.recorded(`f/${ids.get('last')}`) as { s: string }).s, 'done');
-  } finally {
-    await lab.stop();
-  }
-  for (const pid of pids) assert.ok(!exists(pid), `${pid} is left`);
-});
+async function eventually(condition: () => boolean, withinMs = 20_000): Promise<void> {
+  const deadline = Date.now() + withinMs;
+  while (!condition() && Date.now() < deadline) await sleep(20);
+  assert.ok(condition());
+}
 
-async function startLab(port: number, log: string) {
-  const child: ChildProcess = spawn(
-    process.execPath,
-    ['target/main.js', 'lab', '--port', String(port), '--dir', join(dir, log), '--data', join(dir, 'data')],
-    { stdio: ['ignore', 'pipe', 'inherit'] },
-  );
-  let out = '';
-  child.stdout!.on('data', (d) => {
-    out += d;
+/** A program that was started, with what it has written to its standard output. */
+interface RunningProgram {
+  readonly child: ChildProcess;
+  readonly output: () => string;
+  /** Resolves with the exit code when the output is complete. */
+  readonly closed: Promise<number | null>;
+}
+
+function startProgram(args: string[]): RunningProgram {
+  const child = spawn(process.execPath, [PROGRAM, ...args], { stdio: ['ignore', 'pipe', 'inherit'] });
+  let output = '';
+  child.stdout!.on('data', (data) => {
+    output += data;
   });
-  await eventually(() => /try: /.test(out));
-  const nodes = [...out.matchAll(/node-\d {2}(\S+)/g)].map((m) => m[1]!);
-  return { child, nodes };
+  const closed = new Promise<number | null>((resolve) => child.once('close', (code) => resolve(code)));
+  return { child, output: () => output, closed };
 }
 
-test('a lab that is killed leaves nothing running, and goes on from its records: what was done is not done again', async () => {
-  const port = 20_000 + (process.pid % 20_000);
-  const first = await startLab(port, 'one');
-  const pids = join(dir, 'pids');
-  const base = { team: 'demo', class: 'x', cpus: 1, memoryGb: 1, image: 'i', imageGb: 0, estimateS: 1 };
-  const file = join(dir, 'kept.json');
-  const submit = async (job: object, verb: string): Promise<string> => {
-    writeFileSync(file, JSON.stringify({ ...base, ...job }));
-    const child = spawn(process.execPath, [
-      'target/main.js',
-      verb,
-      file,
-      '--lab',
-      `127.0.0.1:${port}`,
-      '--json',
-    ]);
-    let out = '';
-    child.stdout.on('data', (d) => {
-      out += d;
-    });
-    await new Promise((r) => child.once('close', r));
-    return JSON.parse(out).id;
-  };
-  const done = await submit({ name: 'done', command: `echo once >> ${dir}/once` }, 'run');
-  const long = await submit(
-    { name: 'long', command: `echo $$ >> ${pids}; sleep 4; echo end >> ${dir}/ends` },
-    'submit',
-  );
-  const started = (): number[] =>
-    existsSync(pids) ? readFileSync(pids, 'utf8').trim().split('\n').map(Number) : [];
-  await eventually(() => started().length === 1);
-  first.child.kill('SIGKILL');
-  await eventually(() => !exists(started()[0]!));
-  const gone = await Client.open({ nodes: first.nodes });
-  const o = await gone.run(base, { acceptWithinS: 2 });
-  assert.ok(
-    o.kind === 'gave-up' && o.accepted === null && /did not answer/.test(o.reason),
-    JSON.stringify(o),
-  );
-  await gone.close();
-  const second = await startLab(port, 'two');
-  const client = await Client.open({ nodes: second.nodes });
-  assert.deepEqual(await client.wait(done), { kind: 'done', id: done });
-  assert.deepEqual(await client.wait(long), { kind: 'done', id: long });
-  await client.close();
-  assert.deepEqual(
-    [readFileSync(join(dir, 'once'), 'utf8'), readFileSync(join(dir, 'ends'), 'utf8')],
-    ['once\n', 'end\n'],
-  );
-  assert.equal(started().length, 2);
-  second.child.kill('SIGTERM');
-  const code = await new Promise((r) => second.child.once('exit', r));
-  assert.equal(code, 0);
+/** A request for the `demo` team, which every cluster has by default. */
+const demoRequest = (imageGb: number): JobRequest => ({
+  team: 'demo',
+  class: 'x',
+  cpus: 1,
+  memoryGb: 1,
+  image: 'i',
+  imageGb,
+  estimateS: 1,
 });
 
-test('gangs begin together, complete together and notice a loss; images are fetched once; a stopped command has saved or not', async () => {
-  let now = 0;
-  const due: { at: number; run: () => void }[] = [];
-  const clock = {
-    get now() {
-      return now;
-    },
-    after: (ms: number, run: () => void) => void due.push({ at: now + ms, run }),
-  };
-  const pass = (ms: number): void => {
-    for (const end = now + ms; now < end; now += 100)
-      for (const d of due.filter((x) => x.at <= now)) {
-        due.splice(due.indexOf(d), 1);
-        d.run();
+/** A clock that tests move. */
+class ManualClock {
+  now = 0;
+  private readonly timers: { at: number; run: () => void }[] = [];
+
+  after(ms: number, run: () => void): void {
+    this.timers.push({ at: this.now + ms, run });
+  }
+
+  advance(ms: number): void {
+    const end = this.now + ms;
+    for (; this.now < end; this.now += 100) {
+      const due = this.timers.filter((timer) => timer.at <= this.now);
+      for (const timer of due) {
+        this.timers.splice(this.timers.indexOf(timer), 1);
+        timer.run();
       }
-  };
-  const tasks = new Tasks(clock, dir, null as never, { speed: 1, gangWaitS: 20, gangPeerS: 4 });
-  tasks.describe('run-g', { kind: 'gang', tasks: 2, image: 'i', imageGb: 4, runS: 10, command: null });
-  tasks.describe('run-a', { kind: 'array', tasks: 9, image: 'i', imageGb: 4, runS: 10, command: null });
-  const log: string[] = [];
-  const launch = (task: string, attempt: number, machine: string) =>
-    tasks.launch(
-      { id: machine, fetchGbPerS: 1, cacheGb: 10 },
-      task as TaskId,
-      attempt,
-      (why) => log.push(`${task} ${why}`),
-      (s) => log.push(`${task} ${s}`),
+    }
+  }
+}
+
+describe('A local cluster', () => {
+  it('runs commands through the end of a controller, once, keeps their output, and leaves no process behind', async () => {
+    const cluster = await LocalCluster.start(
+      readLocalClusterOptions('t', {
+        lab: [{ port: 0, speed: 20 }],
+        workers: [{ report_s: 0.5 }],
+        cloud: [{ list_lag_s: 0 }],
+      }),
+      { program: [process.execPath, PROGRAM], dir: join(dir, 'lab'), log: () => {} },
+    );
+    const controllerPids = (): number[] => cluster.controllers.map((controller) => controller.process!.pid!);
+    const pids = controllerPids();
+    try {
+      await cluster.ready();
+      const runsFile = join(dir, 'count');
+      const jobFile = join(dir, 'job.json');
+      const request = demoRequest(1);
+      writeFileSync(
+        jobFile,
+        JSON.stringify([
+          {
+            ...request,
+            name: 'first',
+            tasks: 3,
+            command: `echo $SWIFTFORD_TASK of $SWIFTFORD_TASKS; echo x >> ${runsFile}; sleep 2`,
+          },
+          {
+            ...request,
+            name: 'gang',
+            kind: 'gang',
+            tasks: 2,
+            command: 'sleep 0.$SWIFTFORD_TASK; echo $SWIFTFORD_PEERS | tr : "\\n" | wc -l',
+          },
+          { ...request, name: 'last', awaits: ['first'], command: ['sh', '-c', `wc -l < ${runsFile}`] },
+        ]),
+      );
+      const program = startProgram(['run', jobFile, '--lab', cluster.addr, '--json']);
+      await eventually(() => cluster.runs.length >= 3);
+      cluster.fault({ kind: 'kill-controller', seconds: 1, count: 1 });
+      assert.equal(await program.closed, 0, program.output());
+      await eventually(() => cluster.controllers.every((controller) => controller.process !== null));
+      pids.push(...controllerPids());
+      const lines = program.output().trim().split('\n');
+      const results = lines.map((line) => JSON.parse(line) as { name: string; id: string });
+      const ids = new Map(results.map(({ name, id }) => [name, id]));
+      const outputOf = (name: string, index: number): string => {
+        const id = ids.get(name)!;
+        const run = cluster.runs.find(({ task }) => task === `${id}/${index}`)!;
+        return readFileSync(join(dir, 'lab/jobs', id, `${index}.${run.attempt}/stdout`), 'utf8').trim();
+      };
+      assert.equal(outputOf('first', 2), '2 of 3');
+      assert.equal(outputOf('gang', 1), '2');
+      assert.equal(outputOf('last', 0), '3', 'each task ran once, and before what awaits it');
+      assert.equal((cluster.recorded(`f/${ids.get('last')}`) as { s: string }).s, 'done');
+    } finally {
+      await cluster.stop();
+    }
+    for (const pid of pids) assert.ok(!exists(pid), `${pid} is left`);
+  });
+
+  /** `swiftford lab` with records that outlive it, and the addresses of its controllers. */
+  async function startCluster(t: TestContext, port: number, name: string) {
+    const program = startProgram([
+      'lab',
+      '--port',
+      String(port),
+      '--dir',
+      join(dir, name),
+      '--data',
+      join(dir, 'data'),
+    ]);
+    t.after(() => program.child.kill('SIGKILL'));
+    await eventually(() => /try: /.test(program.output()));
+    const nodes = [...program.output().matchAll(/node-\d {2}(\S+)/g)].map((match) => match[1]!);
+    return { child: program.child, nodes };
+  }
+
+  /** Runs `swiftford submit` or `run` with one job, and returns its id. */
+  async function submitWith(verb: 'submit' | 'run', job: object, port: number): Promise<string> {
+    const file = join(dir, 'kept.json');
+    writeFileSync(file, JSON.stringify({ ...demoRequest(0), ...job }));
+    const program = startProgram([verb, file, '--lab', `127.0.0.1:${port}`, '--json']);
+    await program.closed;
+    return JSON.parse(program.output()).id;
+  }
+
+  it('that is killed leaves no process behind, and goes on from its records without repeating what was done', async (t) => {
+    const port = 20_000 + (process.pid % 20_000);
+    const first = await startCluster(t, port, 'one');
+    const pidsFile = join(dir, 'pids');
+    const doneJob = { name: 'done', command: `echo once >> ${dir}/once` };
+    const done = await submitWith('run', doneJob, port);
+    const longJob = {
+      name: 'long',
+      command: `echo $$ >> ${pidsFile}; sleep 4; echo end >> ${dir}/ends`,
+    };
+    const long = await submitWith('submit', longJob, port);
+    const startedPids = (): number[] =>
+      existsSync(pidsFile) ? readFileSync(pidsFile, 'utf8').trim().split('\n').map(Number) : [];
+    await eventually(() => startedPids().length === 1);
+    first.child.kill('SIGKILL');
+    await eventually(() => !exists(startedPids()[0]!));
+    const clientOfKilled = await Client.open({ nodes: first.nodes });
+    const outcome = await clientOfKilled.run(demoRequest(0), { acceptWithinS: 2 });
+    assert.ok(
+      outcome.kind === 'gave-up' && outcome.accepted === null && /did not answer/.test(outcome.reason),
+      JSON.stringify(outcome),
     );
-  launch('run-g/0', 1, 'm1');
-  pass(5000);
-  assert.deepEqual(log.splice(0), ['run-g/0 fetching', 'run-g/0 waiting']);
-  launch('run-g/1', 1, 'm1');
-  assert.deepEqual(log.splice(0), ['run-g/1 waiting', 'run-g/0 running', 'run-g/1 running']);
-  pass(11_000);
-  assert.deepEqual(log.splice(0).sort(), ['run-g/0 done', 'run-g/1 done']);
-  tasks.describe('run-h', { kind: 'gang', tasks: 2, image: 'i', imageGb: 4, runS: 10, command: null });
-  const a = launch('run-h/0', 1, 'm1');
-  launch('run-h/1', 1, 'm1');
-  a.kill();
-  pass(4000);
-  assert.deepEqual(log.splice(0).at(-1), 'run-h/1 peers');
-  launch('run-h/0', 2, 'm1');
-  pass(21_000);
-  assert.deepEqual(log.splice(0), ['run-h/0 waiting', 'run-h/0 alone']);
-  const saved: boolean[] = [];
-  const b = launch('run-a/0', 1, 'm1');
-  b.stop(5, (s) => saved.push(s));
-  pass(15_000);
-  assert.deepEqual([saved, log.splice(0)], [[false], ['run-a/0 running']]);
+    await clientOfKilled.close();
+    const second = await startCluster(t, port, 'two');
+    const client = await Client.open({ nodes: second.nodes });
+    assert.deepEqual(await client.wait(done), { kind: 'done', id: done });
+    assert.deepEqual(await client.wait(long), { kind: 'done', id: long });
+    await client.close();
+    assert.deepEqual(
+      [readFileSync(join(dir, 'once'), 'utf8'), readFileSync(join(dir, 'ends'), 'utf8')],
+      ['once\n', 'end\n'],
+    );
+    assert.equal(startedPids().length, 2);
+    second.child.kill('SIGTERM');
+    const code = await new Promise((resolve) => second.child.once('exit', resolve));
+    assert.equal(code, 0);
+  });
+});
+
+describe('TaskRunner', () => {
+  it('begins and completes gangs together, notices a loss, fetches images once, and tells whether a stopped task has saved', () => {
+    const clock = new ManualClock();
+    const runner = new TaskRunner(clock, dir, null as never, { speed: 1, gangWaitS: 20, gangPeerS: 4 });
+    const simulated = { image: 'i', imageGb: 4, runS: 10, command: null };
+    runner.describe('run-g', { kind: 'gang', tasks: 2, ...simulated });
+    runner.describe('run-a', { kind: 'array', tasks: 9, ...simulated });
+    const log: string[] = [];
+    const launch = (task: string, attempt: number, machine: string) =>
+      runner.launch(
+        { id: machine, fetchGbPerS: 1, cacheGb: 10 },
+        task as TaskId,
+        attempt,
+        (reason) => log.push(`${task} ${reason}`),
+        (progress) => log.push(`${task} ${progress}`),
+      );
+    launch('run-g/0', 1, 'm1');
+    clock.advance(5000);
+    assert.deepEqual(log.splice(0), ['run-g/0 fetching', 'run-g/0 waiting']);
+    launch('run-g/1', 1, 'm1');
+    assert.deepEqual(log.splice(0), ['run-g/1 waiting', 'run-g/0 running', 'run-g/1 running']);
+    clock.advance(11_000);
+    assert.deepEqual(log.splice(0).sort(), ['run-g/0 done', 'run-g/1 done']);
+    runner.describe('run-h', { kind: 'gang', tasks: 2, ...simulated });
+    const lost = launch('run-h/0', 1, 'm1');
+    launch('run-h/1', 1, 'm1');
+    lost.kill();
+    clock.advance(4000);
+    assert.deepEqual(log.splice(0).at(-1), 'run-h/1 peers');
+    launch('run-h/0', 2, 'm1');
+    clock.advance(21_000);
+    assert.deepEqual(log.splice(0), ['run-h/0 waiting', 'run-h/0 alone']);
+    const saved: boolean[] = [];
+    const stopped = launch('run-a/0', 1, 'm1');
+    stopped.stop(5, (hasSaved) => saved.push(hasSaved));
+    clock.advance(15_000);
+    assert.deepEqual([saved, log.splice(0)], [[false], ['run-a/0 running']]);
+  });
 });
 
-test('what a lab is like is checked with names and bounds', () => {
-  assert.throws(
-    () => readLabOptions('f.hcl', { lab: [{ sped: 2 }] }),
-    (e) => e instanceof InvalidSettingsError && /f.hcl: lab.sped: unknown name/.test(e.message),
-  );
-  assert.throws(() => readLabOptions('f.hcl', { type: { x: [{ cpus: -1, memory_gb: 1 }] } }), /type.x.cpus/);
-  const bad = { fault: { 'kill-controler': [{ at_s: 1 }] } };
-  assert.throws(() => readLabOptions('f.hcl', bad), /f.hcl: fault/);
-  const { faults } = readLabOptions('f', {
-    fault: {
-      'zone-cut': [
-        { at_s: 3, zone: 'a' },
-        { at_s: 9, zone: 'b' },
+describe('The options of a local cluster', () => {
+  it('are checked with names and bounds', () => {
+    assert.throws(
+      () => readLocalClusterOptions('f.hcl', { lab: [{ sped: 2 }] }),
+      (error) => error instanceof InvalidSettingsError && /f.hcl: lab.sped: unknown name/.test(error.message),
+    );
+    const negative = { type: { x: [{ cpus: -1, memory_gb: 1 }] } };
+    assert.throws(() => readLocalClusterOptions('f.hcl', negative), /type.x.cpus/);
+    const unknownFault = { fault: { 'kill-controler': [{ at_s: 1 }] } };
+    assert.throws(() => readLocalClusterOptions('f.hcl', unknownFault), /f.hcl: fault/);
+    const { faults } = readLocalClusterOptions('f', {
+      fault: {
+        'zone-cut': [
+          { at_s: 3, zone: 'a' },
+          { at_s: 9, zone: 'b' },
+        ],
+      },
+    });
+    assert.deepEqual(
+      faults.map(({ atS, fault }) => [atS, fault.kind, fault.zone, fault.seconds]),
+      [
+        [3, 'zone-cut', 'a', 10],
+        [9, 'zone-cut', 'b', 10],
       ],
-    },
+    );
+    assert.equal(readLocalClusterOptions('f', { team: { a: [{ cpus_max: 3 }] } }).teams.a?.cpus_max, 3);
   });
-  assert.deepEqual(
-    faults.map((f) => [f.atS, f.fault.kind, f.fault.zone, f.fault.seconds]),
-    [
-      [3, 'zone-cut', 'a', 10],
-      [9, 'zone-cut', 'b', 10],
-    ],
-  );
-  assert.equal(readLabOptions('f', { team: { a: [{ cpus_max: 3 }] } }).teams.a?.cpus_max, 3);
 });
