--- a/packages/client/src/client-options.ts
+++ b/packages/client/src/client-options.ts
@@ -3,21 +3,33 @@
 
 /** How a client reaches the service. */
 export interface ClientOptions {
-  /** Addresses of nodes or of their load balancer, `host:port`. Each is asked, and avoided for a while when it fails. */
+  /**
+   * Addresses of nodes or of their load balancer, `host:port`. Each is asked, and avoided for a while when it
+   * fails.
+   */
   nodes: string[];
-  /** File of the journal, in which jobs are recorded before they are sent; without it a script that ends forgets them. */
+  /**
+   * File of the journal, in which jobs are recorded before they are sent; without it a script that ends
+   * forgets them.
+   */
   outbox?: string;
   /** Connections to each node; default 8. */
   connections?: number;
   /** Submissions that may wait for acceptance before `submit` itself waits; default 1000. */
   pending?: number;
-  /** Called before a new job is recorded and sent, as to upload what its tasks need; the job is not sent if it fails. */
+  /**
+   * Called before a new job is recorded and sent, as to upload what its tasks need; the job is not sent if it
+   * fails.
+   */
   prepare?: (id: string, request: JobRequest, key: string | null) => Promise<void>;
 }
 
 /** How one job is submitted and waited for. */
 export interface SubmitOptions {
-  /** The caller's own name for this job, the same whenever the script runs. With an outbox: submitted once under it. */
+  /**
+   * The caller's own name for this job, the same whenever the script runs. With an outbox: submitted once
+   * under it.
+   */
   key?: string;
   /** Id of the job; by default a new one. */
   id?: string;
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -46,7 +46,10 @@
     this.driver = new SessionDriver(options, this.registry);
   }
 
-  /** Reads the journal, if there is one, and resumes the jobs in it. Throws InvalidRequestError or JournalError. */
+  /**
+   * Reads the journal, if there is one, and resumes the jobs in it. Throws InvalidRequestError or
+   * JournalError.
+   */
   static async open(options: ClientOptions): Promise<Client> {
     const invalid = options.nodes.find((node) => !NODE_ADDRESS.test(node));
     if (options.nodes.length === 0 || invalid !== undefined)
@@ -83,8 +86,8 @@
   }
 
   /**
-   * Submits a job and returns when it is accepted or has ended otherwise. Waits while too many others are not accepted
-   * yet. With a `key` that the journal knows, resumes that job whatever the request says.
+   * Submits a job and returns when it is accepted or has ended otherwise. Waits while too many others are not
+   * accepted yet. With a `key` that the journal knows, resumes that job whatever the request says.
    */
   async submit(request: JobRequest, options: SubmitOptions = {}): Promise<Submitted> {
     this.checkUsable();
@@ -114,7 +117,10 @@
     return handle.outcome!;
   }
 
-  /** States as they change, the last one included; returns the outcome. A state that is overtaken may be left out. */
+  /**
+   * States as they change, the last one included; returns the outcome. A state that is overtaken may be left
+   * out.
+   */
   async *watch(id: string, options: WaitOptions = {}): AsyncGenerator<JobState, Outcome> {
     const handle = this.track(id, options);
     let last: JobState | null = null;
@@ -126,7 +132,9 @@
     }
   }
 
-  /** Asks for the end of a job and returns what the service settled on: cancelled, or done if that came first. */
+  /**
+   * Asks for the end of a job and returns what the service settled on: cancelled, or done if that came first.
+   */
   async cancel(id: string, options: WaitOptions = {}): Promise<Outcome> {
     this.track(id, options).cancelRequested = true;
     this.driver.step({ kind: 'cancel', id });
@@ -134,8 +142,9 @@
   }
 
   /**
-   * Jobs by name, of which each may await others by their names. Each is submitted as soon as all that it awaits are
-   * accepted, and refused unsent if one of them is not. Names are keys of the journal, after `options.key` and a slash.
+   * Jobs by name, of which each may await others by their names. Each is submitted as soon as all that it
+   * awaits are accepted, and refused unsent if one of them is not. Names are keys of the journal, after
+   * `options.key` and a slash.
    */
   async pipeline<N extends string>(
     jobs: Record<N, JobRequest>,
@@ -149,7 +158,10 @@
     return new Pipeline(client, jobs, options).run();
   }
 
-  /** Ends all waiting here (AbortError). Jobs that were sent go on; those in the journal are resumed next time. */
+  /**
+   * Ends all waiting here (AbortError). Jobs that were sent go on; those in the journal are resumed next
+   * time.
+   */
   async close(): Promise<void> {
     this.driver.stop();
     this.registry.close();
--- a/packages/client/src/dependency-order.ts
+++ b/packages/client/src/dependency-order.ts
@@ -1,4 +1,5 @@
-// Jobs that await one another by name, in an order in which each comes after what it awaits (a topological sort).
+// Jobs that await one another by name, in an order in which each comes after what it awaits (a topological
+// sort).
 import { InvalidRequestError } from './types.ts';
 
 type Visit = 'open' | 'ordered';
@@ -10,7 +11,8 @@
 }
 
 /**
- * The names of `awaits` in order. Throws InvalidRequestError for an unknown name or a cycle, which it spells out.
+ * The names of `awaits` in order. Throws InvalidRequestError for an unknown name or a cycle, which it spells
+ * out.
  */
 export function inOrder(awaits: ReadonlyMap<string, readonly string[]>): string[] {
   const sort = new TopologicalSort(awaits);
--- /dev/null
+++ b/packages/client/src/deprecated.ts
@@ -0,0 +1,19 @@
+// Earlier names of exports, for scripts that were written with them.
+import type { TornTail } from './request-journal.ts';
+import { InvalidRequestError, type JobPhase, JournalError } from './types.ts';
+
+/** @deprecated Use InvalidRequestError. */
+export const BadRequest = InvalidRequestError;
+/** @deprecated Use InvalidRequestError. */
+export type BadRequest = InvalidRequestError;
+
+/** @deprecated Use JournalError. */
+export const OutboxError = JournalError;
+/** @deprecated Use JournalError. */
+export type OutboxError = JournalError;
+
+/** @deprecated Use JobPhase. */
+export type Phase = JobPhase;
+
+/** @deprecated Use TornTail. */
+export type Torn = TornTail;
--- a/packages/client/src/job-handle.ts
+++ b/packages/client/src/job-handle.ts
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Resolves when the condition holds. Rejects with the error of the job, the reason of the signal, or an AbortError if the
-   * client is closed.
+   * Resolves when the condition holds. Rejects with the error of the job, the reason of the signal, or an
+   * AbortError if the client is closed.
    */
   waitUntil(condition: () => boolean, signal: AbortSignal | undefined): Promise<void> {
     return new Promise((resolve, reject) => {
--- a/packages/client/src/journal-file.ts
+++ b/packages/client/src/journal-file.ts
@@ -15,8 +15,8 @@
 const LOCK_RETRY_MS = 500;
 
 /**
- * Opens or creates the file. Waits up to 7 s for the lock of a process that was killed. Throws JournalError if the file
- * cannot be opened or another process holds its lock.
+ * Opens or creates the file. Waits up to 7 s for the lock of a process that was killed. Throws JournalError
+ * if the file cannot be opened or another process holds its lock.
  */
 export async function openJournalFile(file: string): Promise<JournalFile> {
   const lock = await FileLock.acquire(file);
@@ -138,8 +138,8 @@
 
   check(): void {
     if (this.lock.isLost) throw new LockLostError('another process has taken it over');
-    // A process that was stopped for longer than its lock lasts may wake up in here, before the lock's own timer has
-    // looked: what it would write now might follow the records of another.
+    // A process that was stopped for longer than its lock lasts may wake up in here, before the lock's own
+    // timer has looked: what it would write now might follow the records of another.
     if (this.lock.identity() !== this.ownLock)
       throw new LockLostError('its lock was lost while this process did not run');
   }
--- a/packages/client/src/journal-frames.ts
+++ b/packages/client/src/journal-frames.ts
@@ -1,6 +1,7 @@
-// The format of the journal's file: a header line, then frames. A frame holds what was written together: either all of it
-// is there or none. Layout, numbers little-endian:
-//   4 bytes mark, 4 bytes length of the payload, 4 bytes CRC-32 of length and payload, payload (JSON: a list of entries)
+// The format of the journal's file: a header line, then frames. A frame holds what was written together:
+// either all of it is there or none. Layout, numbers little-endian:
+//   mark: 4 bytes; length of the payload: 4 bytes; CRC-32 of length and payload: 4 bytes;
+//   payload: JSON, a list of entries
 import crc from 'crc-32';
 import { SwiftfordError } from '../../../src/types/errors.ts';
 
@@ -47,9 +48,9 @@
 }
 
 /**
- * Reads a file. What does not make a frame at its end was being written when the process ended: its writer had not yet
- * been told that it is on disk, so nothing depends on it, and it is left out. The same before another whole frame is
- * damage: DamagedFrameError says where, and nothing may be concluded from the rest.
+ * Reads a file. What does not make a frame at its end was being written when the process ended: its writer
+ * did not yet know that it is on disk, so nothing depends on it, and it is left out. The same before
+ * another whole frame is damage: DamagedFrameError says where, and nothing may be concluded from the rest.
  */
 export function readFrames(bytes: Buffer): DecodedFrames {
   if (bytes.length < HEADER.length && HEADER.subarray(0, bytes.length).equals(bytes))
--- a/packages/client/src/node-health.ts
+++ b/packages/client/src/node-health.ts
@@ -1,5 +1,6 @@
-// Which node is asked next. A node that refuses connections or does not answer is avoided for a while, longer each time,
-// and then probed with a single request (a circuit breaker). Time and randomness come from the caller.
+// Which node is asked next. A node that refuses connections or does not answer is avoided for a while, longer
+// each time, and then probed with a single request (a circuit breaker). Time and randomness come from the
+// caller.
 
 interface NodeState {
   readonly addr: string;
@@ -30,8 +31,9 @@
   }
 
   /**
-   * The node for a request, which counts as open until `recordAnswer` or `recordFailure`. Null: every node has as many as it
-   * may, or is avoided. `avoid`: the node that has just failed this request, which goes to another one if there is one.
+   * The node for a request, which counts as open until `recordAnswer` or `recordFailure`. Null: every node
+   * has as many as it may, or is avoided. `avoid`: the node that has just failed this request, which goes to
+   * another one if there is one.
    */
   acquire(now: number, avoid: string | null = null): string | null {
     const available = this.nodes.filter((node) => this.isAvailable(node, now));
@@ -52,7 +54,8 @@
   private choose(candidates: NodeState[]): NodeState | undefined {
     const fewest = Math.min(...candidates.map((node) => node.open));
     const idlest = candidates.filter((node) => node.open === fewest && node.failures === 0);
-    // A node that may be back is tried first, so that it is not avoided longer than needed; by one request only.
+    // A node that may be back is tried first, so that it is not avoided longer than needed; by one request
+    // only.
     const recovering = candidates.find((node) => node.failures > 0);
     return recovering ?? idlest[Math.floor(this.random() * idlest.length)];
   }
--- a/packages/client/src/pipeline.ts
+++ b/packages/client/src/pipeline.ts
@@ -22,7 +22,10 @@
   private readonly ids: ReadonlyMap<string, string>;
   private readonly submissions = new Map<string, Promise<Submitted>>();
 
-  /** Throws InvalidRequestError if a job cannot be right, or awaits itself or an unknown one; nothing was sent then. */
+  /**
+   * Throws InvalidRequestError if a job cannot be right, or awaits itself or an unknown one; nothing was sent
+   * then.
+   */
   constructor(
     private readonly client: PipelineClient,
     private readonly jobs: Record<N, JobRequest>,
--- a/packages/client/src/request-dispatcher.ts
+++ b/packages/client/src/request-dispatcher.ts
@@ -1,5 +1,5 @@
-// Decides which requests are sent now and to which node: cancellations before submissions before status polls, within
-// the connections of the nodes and the budget for retries.
+// Decides which requests are sent now and to which node: cancellations before submissions before status
+// polls, within the connections of the nodes and the budget for retries.
 import { NodeHealth } from './node-health.ts';
 import { RetryBudget } from './retry-policy.ts';
 import type { Effect } from './session-messages.ts';
@@ -94,7 +94,9 @@
     job.requestTag = null;
   }
 
-  /** Takes note of an answer, or of none, and gives the request that it belongs to; null for an unknown tag. */
+  /**
+   * Takes note of an answer, or of none, and gives the request that it belongs to; null for an unknown tag.
+   */
   complete(tag: number, answered: boolean, now: number): InFlightRequest | null {
     const request = this.inFlight.get(tag);
     if (request === undefined) return null;
--- a/packages/client/src/request-journal.ts
+++ b/packages/client/src/request-journal.ts
@@ -1,11 +1,15 @@
-// A write-ahead journal of what a script has asked for, so that the same script, started again after it was killed, resumes
-// with the same ids. Entries that come together are written and synced together (group commit).
+// A write-ahead journal of what a script has asked for, so that the same script, started again after it was
+// killed, resumes with the same ids. Entries that come together are written and synced together (group
+// commit).
 import { SwiftfordError } from '../../../src/types/errors.ts';
 import { DamagedFrameError, encodeFrame, HEADER, readFrames } from './journal-frames.ts';
 import type { JournalEntry, JournaledJob } from './session-messages.ts';
 import { JournalError } from './types.ts';
 
-/** The file as the journal uses it; journal-file.ts has the real one. Errors are those of Node, with their `code`. */
+/**
+ * The file as the journal uses it; journal-file.ts has the real one. Errors are those of Node, with their
+ * `code`.
+ */
 export interface JournalFile {
   /** Name for error messages. */
   readonly name: string;
@@ -67,8 +71,8 @@
   ) {}
 
   /**
-   * Reads the file; throws JournalError if that fails. `onError` is called with the first error of writing; from then on
-   * nothing more is written.
+   * Reads the file; throws JournalError if that fails. `onError` is called with the first error of writing;
+   * from then on nothing more is written.
    */
   static async open(
     file: JournalFile,
--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -1,4 +1,5 @@
-// A caller's job, completed with the defaults, in the form that the service takes; refused here if it cannot be right.
+// A caller's job, completed with the defaults, in the form that the service takes; refused here if it cannot
+// be right.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
 import { InvalidMessageError, isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
--- a/packages/client/src/retry-policy.ts
+++ b/packages/client/src/retry-policy.ts
@@ -1,6 +1,7 @@
-// When a request is sent again, and how many retries there may be. Without a `Retry-After`, the delay is a random part of a
-// bound that doubles (exponential backoff with full jitter). Retries spend from a budget that successes fill, so that a
-// client with a thousand jobs does not ask ten times as much of a service in trouble as of a healthy one.
+// When a request is sent again, and how many retries there may be. Without a `Retry-After`, the delay is a
+// random part of a bound that doubles (exponential backoff with full jitter). Retries spend from a budget
+// that successes fill, so that a client with a thousand jobs does not ask ten times as much of a service in
+// trouble as of a healthy one.
 
 /** Bound of the first delay. */
 const FIRST_BACKOFF_MS = 1000;
@@ -9,7 +10,9 @@
 const MIN_DELAY_MS = 1000;
 /** `2 **` this many doublings is above every bound; more would overflow. */
 const MAX_DOUBLINGS = 20;
-/** What `Retry-After` asks for is spread by up to this part, as the service gives the same to many clients. */
+/**
+ * What `Retry-After` asks for is spread by up to this part, as the service gives the same to many clients.
+ */
 const RETRY_AFTER_JITTER = 0.1;
 
 const MIN_POLL_MS = 1000;
@@ -18,8 +21,8 @@
 const POLL_AGE_FRACTION = 0.05;
 
 /**
- * Delay in milliseconds before attempt `attempts + 1`. `retryAfterS`: what the service asked for, null for nothing;
- * `random`: numbers from 0 to below 1.
+ * Delay in milliseconds before attempt `attempts + 1`. `retryAfterS`: what the service asked for, null for
+ * nothing; `random`: numbers from 0 to below 1.
  */
 export function backoffMs(attempts: number, retryAfterS: number | null, random: () => number): number {
   if (retryAfterS !== null)
@@ -35,7 +38,9 @@
   return interval * (0.9 + random() * 0.2);
 }
 
-/** Seconds of a `Retry-After` header; null if there is none that can be read. Dates are not in the protocol. */
+/**
+ * Seconds of a `Retry-After` header; null if there is none that can be read. Dates are not in the protocol.
+ */
 export function retryAfterS(value: string | undefined): number | null {
   if (value === undefined || !/^\d{1,6}$/.test(value.trim())) return null;
   return Number(value);
--- a/packages/client/src/schedule.ts
+++ b/packages/client/src/schedule.ts
@@ -1,5 +1,6 @@
-// Items by the time at which something is due for them. With 100,000 open jobs an input looks at those that are due, not at
-// all of them. An item whose time changes is added again; its outdated entries are skipped when they come up.
+// Items by the time at which something is due for them. With 100,000 open jobs an input looks at those that
+// are due, not at all of them. An item whose time changes is added again; its outdated entries are skipped
+// when they come up.
 import TinyQueue from 'tinyqueue';
 
 interface Timer<T> {
@@ -47,7 +48,10 @@
     return top?.at ?? Number.POSITIVE_INFINITY;
   }
 
-  /** Takes out one item that is due; null if none is. Those of the same time come in the order in which they were set. */
+  /**
+   * Takes out one item that is due; null if none is. Those of the same time come in the order in which they
+   * were set.
+   */
   takeDue(now: number): T | null {
     if (this.next > now) return null;
     const { item } = this.heap.pop()!;
--- a/packages/client/src/session-driver.ts
+++ b/packages/client/src/session-driver.ts
@@ -1,4 +1,5 @@
-// Drives a session: carries out its effects with sockets, the journal and a timer, and feeds back what comes of them.
+// Drives a session: carries out its effects with sockets, the journal and a timer, and feeds back what comes
+// of them.
 import { type ClientReply, HttpClient } from '../../../src/http/client.ts';
 import { openJournalFile } from './journal-file.ts';
 import { RequestJournal } from './request-journal.ts';
--- a/packages/client/src/session-messages.ts
+++ b/packages/client/src/session-messages.ts
@@ -1,10 +1,11 @@
-// What goes in and out of a session: inputs, effects, and the entries of the journal that outlive the process.
+// What goes in and out of a session: inputs, effects, and the entries of the journal that outlive the
+// process.
 import type { UserCall } from '../../../src/protocol/user.ts';
 import type { JobState, Outcome } from './types.ts';
 
 /**
- * One entry of the request journal, in the form in which it is stored. A job without an `over` entry is resumed by whoever
- * opens the journal next.
+ * One entry of the request journal, in the form in which it is stored. A job without an `over` entry is
+ * resumed by whoever opens the journal next.
  */
 export type JournalEntry =
   | { op: 'submit'; id: string; key: string | null; body: string }
@@ -33,7 +34,7 @@
   retryAfterS: number | null;
 }
 
-/** What a session is told. */
+/** What happens to a session. */
 export type Input =
   /** `acceptMs` and `endMs`: how long the caller waits for acceptance and for the end. */
   | { kind: 'submit'; id: string; key: string | null; body: string; acceptMs: number; endMs: number }
@@ -55,7 +56,10 @@
   | { kind: 'send'; tag: number; node: string; call: UserCall; timeoutMs: number }
   | { kind: 'accepted'; id: string }
   | { kind: 'state-changed'; state: JobState }
-  /** To be published once entry `after` is on disk (0: at once), so that a later run cannot find another outcome. */
+  /**
+   * To be published once entry `after` is on disk (0: at once), so that a later run cannot find another
+   * outcome.
+   */
   | { kind: 'outcome'; outcome: Outcome; after: number };
 
 /** A request to a node. */
--- a/packages/client/src/session.ts
+++ b/packages/client/src/session.ts
@@ -1,8 +1,10 @@
-// The library's state machine: takes what callers ask, what the service answers and the time, and returns what to persist,
-// to send and to publish. No I/O, clock or randomness of its own. What it promises (docs/client.md):
+// The library's state machine: takes what callers ask, what the service answers and the time, and returns
+// what to persist, to send and to publish. No I/O, clock or randomness of its own. What it promises
+// (docs/client.md):
 // - A job is sent only after its id and body are on disk, and always under the same id.
 // - It has one request under way at a time of which the answer counts, so none replaces a newer one.
-// - It ends with one outcome, which is what the service settled on, or the statement that the caller's time was over.
+// - It ends with one outcome, which is what the service settled on, or the statement that the caller's time
+//   was over.
 import { InvalidMessageError } from '../../../src/protocol/job.ts';
 import { decodeJobStatus, decodeReason, type JobStatusView } from '../../../src/protocol/user.ts';
 import { type DispatcherOptions, RequestDispatcher } from './request-dispatcher.ts';
@@ -135,7 +137,10 @@
     return this.lastSeq;
   }
 
-  /** Nothing of the job is sent before the entry is on disk: what the service knows, a later run of the script knows too. */
+  /**
+   * Nothing of the job is sent before the entry is on disk: what the service knows, a later run of the script
+   * knows too.
+   */
   private persistFirst(job: TrackedJob, entry: JournalEntry): void {
     job.journalSeq = this.persist(entry);
     this.unpersisted.push(job);
--- a/packages/client/src/tracked-job.ts
+++ b/packages/client/src/tracked-job.ts
@@ -78,8 +78,8 @@
   job.stage === 'submitting' ? job.acceptDeadline : job.endDeadline;
 
 /**
- * What is asked for next. A job that may have been sent is submitted until that is settled, also if it is to be cancelled:
- * a cancellation that overtook a submission still under way would cancel nothing.
+ * What is asked for next. A job that may have been sent is submitted until that is settled, also if it is to
+ * be cancelled: a cancellation that overtook a submission still under way would cancel nothing.
  */
 export function nextOperation(job: TrackedJob): Operation {
   if (job.stage === 'submitting') return 'submit';
--- a/packages/client/src/types.ts
+++ b/packages/client/src/types.ts
@@ -1,8 +1,11 @@
-// What users of the library see: jobs, their states, outcomes and errors. Durations are in seconds, times in milliseconds
-// of the time of day.
+// What users of the library see: jobs, their states, outcomes and errors. Durations are in seconds, times in
+// milliseconds of the time of day.
 import { SwiftfordError, type SwiftfordErrorOptions } from '../../../src/types/errors.ts';
 
-/** What every task of a job needs and how it runs. Amounts are decimal numbers; left out, a field has the value named. */
+/**
+ * What every task of a job needs and how it runs. Amounts are decimal numbers; left out, a field has the
+ * value named.
+ */
 export interface JobRequest {
   /** Team whose quota applies. */
   team: string;
@@ -58,11 +61,14 @@
 export type Outcome =
   | { kind: 'done'; id: string }
   | { kind: 'cancelled'; id: string }
-  /** The service will never run it. `status` is that of the answer; null if it was not sent, as what it awaits failed. */
+  /**
+   * The service will never run it. `status` is that of the answer; null if it was not sent, as what it awaits
+   * failed.
+   */
   | { kind: 'refused'; id: string; status: number | null; reason: string }
   /**
-   * The time that the caller gave was over at `at`. `accepted`: whether the service has accepted the job, null if that is not
-   * known. An accepted job goes on; `resume` says how to get to know its end.
+   * The time that the caller gave was over at `at`. `accepted`: whether the service has accepted the job,
+   * null if that is not known. An accepted job goes on; `resume` says how to get to know its end.
    */
   | { kind: 'gave-up'; id: string; at: number; reason: string; accepted: boolean | null; resume: string };
 
--- a/packages/client/test/support.ts
+++ b/packages/client/test/support.ts
@@ -1,4 +1,5 @@
-// A service as its users see it, a disk that loses what was not synced, and a script on them, on a clock of the test's.
+// A service as its users see it, a disk that loses what was not synced, and a script on them, on a clock of
+// the test's.
 import { encodeUserResponse, parseJob } from '../../../src/protocol/job.ts';
 import type { JobId } from '../../../src/types/index.ts';
 import { bodyOf, newId } from '../src/request.ts';
@@ -111,7 +112,10 @@
   }
 }
 
-/** What the network does with a request; `answer` asks the service, now or later, and `respond` delivers a response. */
+/**
+ * What the network does with a request; `answer` asks the service, now or later, and `respond` delivers a
+ * response.
+ */
 export type Network = (
   send: SendEffect,
   answer: () => ServiceResponse,
--- a/packages/local-cluster/src/cluster-storage.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -1,5 +1,6 @@
-// The local cluster's records on disk: the contents of the key-value store, and what machines were told of jobs. A change is
-// answered only when it is on disk, so that a cluster that is killed comes back with all that its controllers were told.
+// The local cluster's records on disk: the contents of the key-value store, the descriptions of jobs and the
+// tasks that are done. A change is answered only when it is on disk, so that a cluster that is killed comes back
+// with all that its controllers know.
 import { ClassicLevel } from 'classic-level';
 import type { FakeStore, StoreChange, StoredEntry } from './fake-store.ts';
 import type { JobDescription } from './task-run.ts';
@@ -81,7 +82,7 @@
     this.put(STORE_REVISION, change.revision);
   }
 
-  /** Records what machines are told of a job. */
+  /** Records the description of a job. */
   recordJob(job: string, description: JobDescription): void {
     this.put(JOB_PREFIX + job, description);
   }
--- a/packages/local-cluster/src/control-api.ts
+++ b/packages/local-cluster/src/control-api.ts
@@ -27,7 +27,7 @@
 export interface ControllableCluster {
   /** Its state. */
   view(): ClusterView;
-  /** Tells the machines of a job; calls back when that is durable. */
+  /** Makes a job known to the machines; calls back when that is durable. */
   describeJob(job: string, description: JobDescription, onDurable: () => void): void;
   /** The recorded output of a task; null if it was not started here. */
   logFile(task: TaskId, stream: OutputStream): string | null;
--- a/packages/local-cluster/src/controller-process.ts
+++ b/packages/local-cluster/src/controller-process.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Starts a controller with the settings file `NAME.json` of the directory; it logs to `NAME.log` there. `program`: the daemon
- * and its arguments before `serve`. The controller ends with the guard.
+ * Starts a controller with the settings file `NAME.json` of the directory; it logs to `NAME.log` there.
+ * `program`: the daemon and its arguments before `serve`. The controller ends with the guard.
  */
 export function spawnController(
   name: string,
--- a/packages/local-cluster/src/fake-store.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -1,4 +1,5 @@
-// A stand-in of the key-value store: revisions, compare-and-swap, leases, watches, and faults that tests turn on.
+// A stand-in of the key-value store: revisions, compare-and-swap, leases, watches, and faults that tests turn
+// on.
 import type { StoreItem, StoreReply, StoreRequest } from '../../../src/core/base/model.ts';
 import type { Revision, StoreLeaseId } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
@@ -58,8 +59,8 @@
   /** Set to lose the answer to the next transaction that is executed. */
   loseNextAnswer = false;
   /**
-   * Which transactions get no answer and are executed late, after newer ones: milliseconds from now, or null for one that is
-   * executed at once.
+   * Which transactions get no answer and are executed late, after newer ones: milliseconds from now, or null
+   * for one that is executed at once.
    */
   lateMs: ((node: string) => number | null) | null = null;
   /** How long changes take to those that watch, in milliseconds. */
@@ -92,7 +93,10 @@
     });
   }
 
-  /** Begins with what an earlier store had, as after an outage: leases have their full time, older watches read again. */
+  /**
+   * Begins with what an earlier store had, as after an outage: leases have their full time, older watches
+   * read again.
+   */
   restore(
     revision: number,
     entries: Iterable<[string, StoredEntry]>,
--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -1,5 +1,5 @@
-// A worker's side of the protocol: heartbeats, fencing tokens, its lease, agent epochs and commands. What runs its tasks, and
-// what checks it, is up to its environment.
+// A worker's side of the protocol: heartbeats, fencing tokens, its lease, agent epochs and commands. What
+// runs its tasks, and what checks it, is up to its environment.
 import type {
   Command,
   Heartbeat,
--- a/packages/local-cluster/src/fault-injector.ts
+++ b/packages/local-cluster/src/fault-injector.ts
@@ -21,7 +21,10 @@
   /** `targets`: what faults happen to. */
   constructor(private readonly targets: FaultTargets) {}
 
-  /** Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not there. */
+  /**
+   * Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not
+   * there.
+   */
   inject(fault: Fault): string {
     const { services, clock } = this.targets;
     const { seconds } = fault;
--- a/packages/local-cluster/src/image-cache.ts
+++ b/packages/local-cluster/src/image-cache.ts
@@ -1,4 +1,5 @@
-// Which images the machines have: fetched once, and kept while the cache has space, least recently used first out.
+// Which images the machines have: fetched once, and kept while the cache has space, least recently used first
+// out.
 import type { SimulationClock } from './clock.ts';
 
 /** The machine that fetches. */
@@ -30,7 +31,9 @@
     private readonly speed: number,
   ) {}
 
-  /** Calls `onReady` when the machine has the image: at once, or after `onFetching` and the time of the fetch. */
+  /**
+   * Calls `onReady` when the machine has the image: at once, or after `onFetching` and the time of the fetch.
+   */
   fetch(machine: ImageCacheMachine, image: Image, onFetching: () => void, onReady: () => void): void {
     const cache = this.cacheOf(machine.id);
     const isCached = cache.sizes.has(image.name);
--- a/packages/local-cluster/src/json-server.ts
+++ b/packages/local-cluster/src/json-server.ts
@@ -12,7 +12,10 @@
 /** Answers a request; null: no answer at all. */
 export type Respond = (response: JsonResponse | null) => void;
 
-/** Handles a request with its parsed body (`{}` for none). Throws InvalidMessageError for one that is malformed. */
+/**
+ * Handles a request with its parsed body (`{}` for none). Throws InvalidMessageError for one that is
+ * malformed.
+ */
 export type RequestHandler = (method: string, path: string, body: unknown, respond: Respond) => void;
 
 /** A server that listens. */
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -1,5 +1,5 @@
-// A cluster on one machine: stand-ins of the key-value store, the cloud and workers on loopback, and controllers as real
-// processes.
+// A cluster on one machine: stand-ins of the key-value store, the cloud and workers on loopback, and
+// controllers as real processes.
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { seededRandom } from '../../../src/runtime/random.ts';
@@ -196,7 +196,10 @@
     return this.machines.tasks.logFile(task, stream);
   }
 
-  /** Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not there. */
+  /**
+   * Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not
+   * there.
+   */
   fault(fault: Fault): string {
     const done = this.faults.inject(fault);
     this.setup.log(done);
--- a/packages/local-cluster/src/local-machines.ts
+++ b/packages/local-cluster/src/local-machines.ts
@@ -1,4 +1,5 @@
-// The machines of a local cluster: workers with sockets of their own, whose zones can be cut off from the controllers.
+// The machines of a local cluster: workers with sockets of their own, whose zones can be cut off from the
+// controllers.
 import { join } from 'node:path';
 import type { Random } from '../../../src/core/base/io.ts';
 import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
--- a/packages/local-cluster/src/options.ts
+++ b/packages/local-cluster/src/options.ts
@@ -1,5 +1,5 @@
-// What a local cluster is like: zones, teams, machine types, times and limits. Every key of the options file, its default and
-// its bounds stand here once.
+// What a local cluster is like: zones, teams, machine types, times and limits. Every key of the options file,
+// its default and its bounds stand here once.
 import * as v from 'valibot';
 import { InvalidSettingsError } from '../../../src/protocol/settings.ts';
 
@@ -136,7 +136,8 @@
 }
 
 /**
- * Reads the parsed form of an HCL file; `deploy/lab.hcl` shows all of it. Throws InvalidSettingsError naming file and key.
+ * Reads the parsed form of an HCL file; `deploy/lab.hcl` shows all of it. Throws InvalidSettingsError naming
+ * file and key.
  */
 export function readLocalClusterOptions(file: string, parsed: unknown): LocalClusterOptions {
   const checked = v.safeParse(fileSchema, parsed);
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -1,4 +1,5 @@
-// The key-value store and the cloud behind sockets: rate limits, latencies and lost answers around the stand-ins.
+// The key-value store and the cloud behind sockets: rate limits, latencies and lost answers around the
+// stand-ins.
 import type { Random } from '../../../src/core/base/io.ts';
 import type { MachineType } from '../../../src/core/base/model.ts';
 import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
--- a/packages/local-cluster/src/process-guard.ts
+++ b/packages/local-cluster/src/process-guard.ts
@@ -1,5 +1,5 @@
-// Ends the processes that were started when their parent is gone, however it ended: a small process of its own reads the
-// process groups to end from a pipe, and kills those that are left when the pipe is closed.
+// Ends the processes that were started when their parent is gone, however it ended: a small process of its
+// own reads the process groups to end from a pipe, and kills those that are left when the pipe is closed.
 import { type ChildProcess, spawn } from 'node:child_process';
 
 const WATCHER_PROGRAM = `
--- a/packages/local-cluster/src/task-attempt.ts
+++ b/packages/local-cluster/src/task-attempt.ts
@@ -22,6 +22,14 @@
   hasSavedProgress(run: Run): boolean;
 }
 
+/** What is launched. */
+export interface Launch {
+  readonly run: Run;
+  readonly description: JobDescription;
+  /** How long it runs without a command, in milliseconds. */
+  readonly simulatedRunMs: number;
+}
+
 /** Whoever launched the task. */
 export interface AttemptListener {
   /** It has ended by itself. */
@@ -38,15 +46,21 @@
   /** Set while a stopped command may end by itself. */
   private onStopped: ((saved: boolean) => void) | null = null;
 
-  /** `simulatedRunMs`: how long it runs without a command. */
+  /** `listener`: is told of its end, and of what it does before. */
   constructor(
     private readonly runner: AttemptRunner,
-    readonly run: Run,
-    readonly description: JobDescription,
-    private readonly simulatedRunMs: number,
+    private readonly launch: Launch,
     private readonly listener: AttemptListener,
   ) {}
 
+  get run(): Run {
+    return this.launch.run;
+  }
+
+  get description(): JobDescription {
+    return this.launch.description;
+  }
+
   get task(): TaskId {
     return this.run.task;
   }
@@ -74,7 +88,8 @@
     if (this.runner.isDone(this.task)) return this.finish('done');
     const { command, kind } = this.description;
     if (command !== null) this.child = this.runner.startCommand(this, (code) => this.handleExit(code));
-    else if (kind !== 'service') this.runner.clock.after(this.simulatedRunMs, () => this.finish('done'));
+    else if (kind !== 'service')
+      this.runner.clock.after(this.launch.simulatedRunMs, () => this.finish('done'));
   }
 
   private handleExit(code: number | null): void {
--- a/packages/local-cluster/src/task-command.ts
+++ b/packages/local-cluster/src/task-command.ts
@@ -1,5 +1,5 @@
-// Runs the command of a task as a child process. Nothing is isolated: it runs as the user who started the local cluster, in
-// a directory of its own.
+// Runs the command of a task as a child process. Nothing is isolated: it runs as the user who started the
+// local cluster, in a directory of its own.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, mkdirSync, openSync } from 'node:fs';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
--- a/packages/local-cluster/src/task-runner.ts
+++ b/packages/local-cluster/src/task-runner.ts
@@ -59,7 +59,7 @@
     this.gangs = new GangCoordinator(clock, settings);
   }
 
-  /** Tells the machines of a job. */
+  /** Makes a job known to the machines. */
   describe(job: string, description: JobDescription): void {
     this.descriptions.set(job, description);
   }
@@ -95,7 +95,7 @@
     const run = this.recordRun(task, attempt, machine.id);
     const simulatedRunMs = (description.runS * 1000 * (machine.slow ?? 1)) / this.settings.speed;
     const listener = { onExit: end, onProgress: is };
-    const taskAttempt = new TaskAttempt(this, run, description, simulatedRunMs, listener);
+    const taskAttempt = new TaskAttempt(this, { run, description, simulatedRunMs }, listener);
     this.images.fetch(
       machine,
       { name: description.image, gb: description.imageGb },
@@ -138,4 +138,6 @@
 }
 
 /** @deprecated Use TaskRunner. */
-export { TaskRunner as Tasks };
+export const Tasks = TaskRunner;
+/** @deprecated Use TaskRunner. */
+export type Tasks = TaskRunner;
--- a/packages/local-cluster/src/worker-environment.ts
+++ b/packages/local-cluster/src/worker-environment.ts
@@ -32,7 +32,10 @@
   ): void;
   /** A task was put on a machine; the environment may check whether it is allowed there. */
   placed(worker: Worker, task: TaskId): void;
-  /** Runs a task; `end` is called when it ends by itself, `is` when its state changes before (it begins as running). */
+  /**
+   * Runs a task; `end` is called when it ends by itself, `is` when its state changes before (it begins as
+   * running).
+   */
   launch(
     worker: Worker,
     task: TaskId,
