--- a/packages/client/test/support.ts
+++ b/packages/client/test/support.ts
@@ -1,4 +1,5 @@
-// A service as its users see it, a disk that loses what was not synced, and a script on them, on a clock of the test's.
+// A service as its users see it, a disk that loses what was not synced, and a script on them, on a clock of
+// the test's.
 import { parseJob } from '../../../src/protocol/job.ts';
 import { encodeUserResponse } from '../../../src/protocol/user-response.ts';
 import type { JobId } from '../../../src/types/index.ts';
@@ -112,7 +113,10 @@
   }
 }
 
-/** What the network does with a request; `answer` asks the service, now or later, and `respond` delivers a response. */
+/**
+ * What the network does with a request; `answer` asks the service, now or later, and `respond` delivers a
+ * response.
+ */
 export type Network = (
   send: SendEffect,
   answer: () => ServiceResponse,
--- a/packages/local-cluster/src/index.ts
+++ b/packages/local-cluster/src/index.ts
@@ -1,21 +1,20 @@
 // The package's public entry.
-
-export type { SimulationClock as Clock } from './clock.ts';
+export type { SimulationClock } from './clock.ts';
+export type { Controller } from './controller-group.ts';
 export { nodeAddresses, spawnController } from './controller-process.ts';
-export type { CloudEnvironment as CloudPlace, CloudMachine } from './fake-cloud.ts';
-export { FakeCloud } from './fake-cloud.ts';
-export { FakeStore as FakeState } from './fake-store.ts';
-export type { RunningTask as Work, WorkerEnvironment as WorkerPlace } from './fake-worker.ts';
-export { FakeWorker } from './fake-worker.ts';
-export { error, freePort, type Listening, listen, type Serve } from './json-server.ts';
-export { LocalCluster as Lab } from './local-cluster.ts';
+export * from './deprecated.ts';
+export { type CloudEnvironment, type CloudMachine, FakeCloud } from './fake-cloud.ts';
+export { FakeStore } from './fake-store.ts';
+export { FakeWorker, type RunningTask, type WorkerEnvironment } from './fake-worker.ts';
+export { errorResponse, freePort, type Listening, listen, type RequestHandler } from './json-server.ts';
+export { LocalCluster, type LocalClusterSetup } from './local-cluster.ts';
 export {
   defaults,
   FAULTS,
   type Fault,
-  type LocalClusterOptions as LabOptions,
-  readLocalClusterOptions as readLabOptions,
+  type LocalClusterOptions,
+  readLocalClusterOptions,
 } from './options.ts';
 export { OutsideServices, type ServiceCounts } from './outside-services.ts';
-export { endGroup, ProcessGuard as Guard } from './process-guard.ts';
+export { endGroup, ProcessGuard } from './process-guard.ts';
 export { type NodeAddress, settingsFile } from './settings-file.ts';
