--- a/src/core/jobs/placement-constraints.ts
+++ b/src/core/jobs/placement-constraints.ts
@@ -1,40 +1,58 @@
-// What a job's tasks take, and where they may run, from its description alone.
+// What the tasks of a job need, and where they may run, from its specification alone.
 import type { JobSpec, MachineType } from '../base/model.ts';
 
+/** Of a type on which a task takes nothing that is limited, this many tasks are counted for one machine. */
+const UNLIMITED_TASKS = 1000;
+/** Guards divisions of decimal fractions against rounding down by one. */
+const EPSILON = 1e-9;
+
+/** Whether all tasks must run at once. */
 export const isGang = (spec: JobSpec): boolean => spec.kind === 'gang' && spec.tasks > 1;
 
-/** Jobs for which this is the same may run on the same machines, as far as these are large enough. */
-export const placementKey = (s: JobSpec): string =>
-  `${s.machineTypes?.join() ?? ''}|${s.zone ?? ''}|${s.spot}`;
+/** Jobs with the same key may run on the same machines, as far as these are large enough. */
+export const placementKey = (spec: JobSpec): string =>
+  `${spec.machineTypes?.join() ?? ''}|${spec.zone ?? ''}|${spec.spot}`;
 
-export const needsAtLeast = (s: JobSpec, than: JobSpec): boolean =>
-  s.cpus >= than.cpus && s.gpus >= than.gpus && s.memoryGb >= than.memoryGb;
+/** Whether a task of `spec` needs at least as much of each resource as one of `other`. */
+export const needsAtLeast = (spec: JobSpec, other: JobSpec): boolean =>
+  spec.cpus >= other.cpus && spec.gpus >= other.gpus && spec.memoryGb >= other.memoryGb;
 
+/** How many of the job's tasks an empty machine of the type has capacity for. */
 export function tasksPerMachine(type: MachineType, spec: JobSpec): number {
-  const { cpus, gpus, memoryGb } = spec;
-  const per = (total: number, each: number) =>
-    each <= 0 ? Number.POSITIVE_INFINITY : Math.floor((total + 1e-9) / each);
-  const n = Math.min(per(type.cpus, cpus), per(type.gpus, gpus), per(type.memoryGb, memoryGb));
-  return Number.isFinite(n) ? n : 1000;
+  const tasks = Math.min(
+    tasksThatFit(type.cpus, spec.cpus),
+    tasksThatFit(type.gpus, spec.gpus),
+    tasksThatFit(type.memoryGb, spec.memoryGb),
+  );
+  return Number.isFinite(tasks) ? tasks : UNLIMITED_TASKS;
 }
 
+const tasksThatFit = (capacity: number, perTask: number): number =>
+  perTask <= 0 ? Number.POSITIVE_INFINITY : Math.floor((capacity + EPSILON) / perTask);
+
+/** Whether an empty machine of any of the types could run a task of the job. */
 export const canEverRun = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
-  for (const t of types) if (typeFits(t, spec)) return true;
+  for (const type of types) if (typeFits(type, spec)) return true;
   return false;
 };
 
-export const typeFits = (t: MachineType, spec: JobSpec): boolean =>
-  tasksPerMachine(t, spec) >= 1 && mayRunOnType(t, spec);
+/** Whether the type is large enough for a task of the job, and allowed. */
+export const typeFits = (type: MachineType, spec: JobSpec): boolean =>
+  tasksPerMachine(type, spec) >= 1 && mayRunOnType(type, spec);
 
-export const mayRunOnType = (t: MachineType, spec: JobSpec): boolean =>
-  (spec.machineTypes === null || spec.machineTypes.includes(t.name)) &&
-  (spec.zone === null || t.zones.includes(spec.zone));
+/** Whether the job's constraints allow the type, and the type is offered in its zone. */
+export const mayRunOnType = (type: MachineType, spec: JobSpec): boolean =>
+  (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
+  (spec.zone === null || type.zones.includes(spec.zone));
 
-/** A gang that must be spread, but whose tasks find a place in one zone only: all at once, they never can. */
+/** Whether a gang must be spread over zones but may run in one only: all tasks at once, it never can. */
 export const isBoundToOneZone = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
   if (!isGang(spec) || !spec.spread) return false;
   if (spec.oneZone || spec.zone !== null) return true;
   const zones = new Set<string>();
-  for (const t of types) if (typeFits(t, spec)) for (const z of t.zones) zones.add(z);
+  for (const type of types) {
+    if (!typeFits(type, spec)) continue;
+    for (const zone of type.zones) zones.add(zone);
+  }
   return zones.size < 2;
 };
--- a/src/core/teams/max-min-fairness.ts
+++ b/src/core/teams/max-min-fairness.ts
@@ -1,21 +1,23 @@
-// Weighted max-min shares of several resources at once: every part grows at the rate of its weight until it has all that
-// it asks for, or one of the resources that it needs is used up. Growth is counted in dominant shares: the part of the
-// resource of which it takes the greatest part ("Dominant Resource Fairness", Ghodsi and others).
+// Weighted max-min fair shares of several resources at once, by progressive filling: the allocation of every party grows at
+// the rate of its weight until it has all its demand, or a resource that it needs is used up. Growth is measured in dominant
+// shares ("Dominant Resource Fairness", Ghodsi et al.).
 
-/** One number for each resource, in the same order everywhere. */
+/** One number for each resource, in the same order everywhere; see `Resources`. */
 export type Amounts = readonly number[];
 
+/** A party among which resources are divided. */
 export interface ShareDemand {
   /** All that it uses and asks for. */
   demand: Amounts;
-  /** What it has before anything is shared out; no more of this than it asks for is counted. */
+  /** What it has before the rest is divided; no more of this than its demand counts. */
   guaranteed: Amounts;
+  /** Relative rate at which its allocation grows. */
   weight: number;
 }
 
-const EPS = 1e-9;
+const EPSILON = 1e-9;
 
-/** The greatest part that an amount takes of any resource. */
+/** The greatest fraction that an amount takes of any resource's capacity; 1 for a resource of which there is none. */
 export function dominantShare(amount: Amounts, capacity: Amounts): number {
   let most = 0;
   for (let r = 0; r < capacity.length; r++)
@@ -23,74 +25,122 @@
   return most;
 }
 
-/** For each part the fraction of its demand that it gets, from 0 to 1. Work: n log n in the parts. */
-export function maxMinShares(parts: readonly ShareDemand[], capacity: Amounts): number[] {
-  const left = [...capacity];
-  const base = parts.map((p) => baseOf(p));
-  shrink(base, parts, left);
-  const got = base.map((f) => f);
-  // What is left of each part's demand grows at the weight's rate, measured in dominant shares of the whole.
-  const rest = parts.map((p, i) => p.demand.map((d) => d * (1 - base[i]!)));
-  const size = rest.map((r) => dominantShare(r, capacity));
-  const order = [...parts.keys()].filter((i) => size[i]! > EPS);
-  order.sort((a, b) => size[a]! / parts[a]!.weight - size[b]! / parts[b]!.weight);
-  const rate = capacity.map(() => 0);
-  const grows = new Set<number>();
-  /** What a part takes of each resource while the level rises by one. */
-  const pull = (i: number, r: number): number => (rest[i]![r]! / size[i]!) * parts[i]!.weight;
-  const join = (i: number, sign: 1 | -1): void => {
-    for (let r = 0; r < rate.length; r++) rate[r] = rate[r]! + sign * pull(i, r);
-  };
-  for (const i of order) {
-    grows.add(i);
-    join(i, 1);
+/** For each party the fraction of its demand that it gets, from 0 to 1. Work: n log n in the parties. */
+export function maxMinShares(parties: readonly ShareDemand[], capacity: Amounts): number[] {
+  return new ProgressiveFilling(parties, capacity).run();
+}
+
+/** One division of resources among parties, which are known by their index. */
+class ProgressiveFilling {
+  /** Capacity of each resource that is not allocated yet. */
+  private readonly left: number[];
+  /** Fraction of its demand that each party is guaranteed. */
+  private readonly guaranteed: number[];
+  /** Fraction of its demand that each party gets. */
+  private readonly granted: number[];
+  /** What each party demands beyond its guarantee, and the dominant share of that. */
+  private readonly rest: number[][];
+  private readonly restShare: number[];
+  /** Parties with demand beyond their guarantee, those that have all of it first. */
+  private readonly order: number[];
+  /** Parties whose allocation still grows. */
+  private readonly growing = new Set<number>();
+  /** What the growing parties together take of each resource while the level rises by one. */
+  private readonly rate: number[];
+  /** The dominant share that a party of weight 1 has reached beyond its guarantee. */
+  private level = 0;
+
+  constructor(
+    private readonly parties: readonly ShareDemand[],
+    capacity: Amounts,
+  ) {
+    this.left = [...capacity];
+    this.guaranteed = parties.map(guaranteedFraction);
+    allocateGuarantees(this.guaranteed, parties, this.left);
+    this.granted = [...this.guaranteed];
+    this.rest = parties.map((party, i) => party.demand.map((amount) => amount * (1 - this.guaranteed[i]!)));
+    this.restShare = this.rest.map((amounts) => dominantShare(amounts, capacity));
+    this.order = [...parties.keys()].filter((i) => this.restShare[i]! > EPSILON);
+    this.order.sort((a, b) => this.fullLevel(a) - this.fullLevel(b));
+    this.rate = capacity.map(() => 0);
   }
-  let level = 0;
-  let next = 0;
-  const rise = (to: number): void => {
-    for (let r = 0; r < left.length; r++) left[r] = left[r]! - Math.max(0, rate[r]!) * (to - level);
-    level = to;
-  };
-  const stop = (i: number, share: number): void => {
-    got[i] = got[i]! + (1 - base[i]!) * Math.min(1, share / size[i]!);
-    grows.delete(i);
-    join(i, -1);
-  };
-  while (grows.size > 0) {
-    while (next < order.length && !grows.has(order[next]!)) next++;
-    const first = order[next]!;
-    const full = size[first]! / parts[first]!.weight;
-    let scarce = -1;
-    let at = full;
-    for (let r = 0; r < left.length; r++) {
-      if (rate[r]! <= EPS) continue;
-      const empty = level + Math.max(0, left[r]!) / rate[r]!;
-      if (empty < at) {
-        at = empty;
-        scarce = r;
+
+  /** The fraction of its demand that each party gets. */
+  run(): number[] {
+    for (const i of this.order) {
+      this.growing.add(i);
+      this.changeRate(i, 1);
+    }
+    let next = 0;
+    while (this.growing.size > 0) {
+      while (next < this.order.length && !this.growing.has(this.order[next]!)) next++;
+      this.fillUntilNextStop(this.order[next]!);
+    }
+    return this.granted;
+  }
+
+  /** Raises the level until the party has all its demand, or before that a resource is used up. */
+  private fillUntilNextStop(party: number): void {
+    let stopLevel = this.fullLevel(party);
+    let usedUp: number | null = null;
+    for (let r = 0; r < this.left.length; r++) {
+      if (this.rate[r]! <= EPSILON) continue;
+      const usedUpLevel = this.level + Math.max(0, this.left[r]!) / this.rate[r]!;
+      if (usedUpLevel < stopLevel) {
+        stopLevel = usedUpLevel;
+        usedUp = r;
       }
     }
-    rise(Math.max(level, at));
-    if (scarce < 0) stop(first, size[first]!);
-    else for (const i of [...grows]) if (rest[i]![scarce]! > EPS) stop(i, level * parts[i]!.weight);
+    this.raiseLevel(Math.max(this.level, stopLevel));
+    if (usedUp === null) return this.stop(party, this.restShare[party]!);
+    for (const i of [...this.growing])
+      if (this.rest[i]![usedUp]! > EPSILON) this.stop(i, this.level * this.parties[i]!.weight);
+  }
+
+  /** The level at which the party has all its demand. */
+  private fullLevel(party: number): number {
+    return this.restShare[party]! / this.parties[party]!.weight;
+  }
+
+  private changeRate(party: number, sign: 1 | -1): void {
+    const { weight } = this.parties[party]!;
+    for (let r = 0; r < this.rate.length; r++) {
+      const taken = (this.rest[party]![r]! / this.restShare[party]!) * weight;
+      this.rate[r] = this.rate[r]! + sign * taken;
+    }
+  }
+
+  private raiseLevel(to: number): void {
+    for (let r = 0; r < this.left.length; r++)
+      this.left[r] = this.left[r]! - Math.max(0, this.rate[r]!) * (to - this.level);
+    this.level = to;
+  }
+
+  /** The party's allocation stops growing at this dominant share. */
+  private stop(party: number, share: number): void {
+    const fraction = Math.min(1, share / this.restShare[party]!);
+    this.granted[party] = this.granted[party]! + (1 - this.guaranteed[party]!) * fraction;
+    this.growing.delete(party);
+    this.changeRate(party, -1);
   }
-  return got;
 }
 
-/** The fraction of its demand that a part is guaranteed: all resources together, as its tasks need them together. */
-function baseOf(p: ShareDemand): number {
-  let f = Number.POSITIVE_INFINITY;
-  for (let r = 0; r < p.demand.length; r++)
-    if (p.demand[r]! > EPS) f = Math.min(f, p.guaranteed[r]! / p.demand[r]!);
-  return Number.isFinite(f) ? Math.min(1, Math.max(0, f)) : 0;
+/** The fraction of its demand that a party is guaranteed: of all resources alike, as its tasks need them together. */
+function guaranteedFraction(party: ShareDemand): number {
+  let fraction = Number.POSITIVE_INFINITY;
+  for (let r = 0; r < party.demand.length; r++)
+    if (party.demand[r]! > EPSILON) fraction = Math.min(fraction, party.guaranteed[r]! / party.demand[r]!);
+  return Number.isFinite(fraction) ? Math.min(1, Math.max(0, fraction)) : 0;
 }
 
-/** With less capacity than is guaranteed in all, all guarantees shrink alike. */
-function shrink(base: number[], parts: readonly ShareDemand[], left: number[]): void {
-  let by = 1;
-  const sums = left.map((_, r) => parts.reduce((s, p, i) => s + p.demand[r]! * base[i]!, 0));
+/** Takes the guarantees from the capacity that is left; with less capacity than that, all guarantees shrink alike. */
+function allocateGuarantees(guaranteed: number[], parties: readonly ShareDemand[], left: number[]): void {
+  const sums = left.map((_, r) =>
+    parties.reduce((sum, party, i) => sum + party.demand[r]! * guaranteed[i]!, 0),
+  );
+  let scale = 1;
   for (let r = 0; r < left.length; r++)
-    if (sums[r]! > EPS) by = Math.min(by, Math.max(0, left[r]!) / sums[r]!);
-  for (let i = 0; i < base.length; i++) base[i] = base[i]! * by;
-  for (let r = 0; r < left.length; r++) left[r] = left[r]! - sums[r]! * by;
+    if (sums[r]! > EPSILON) scale = Math.min(scale, Math.max(0, left[r]!) / sums[r]!);
+  for (let i = 0; i < guaranteed.length; i++) guaranteed[i] = guaranteed[i]! * scale;
+  for (let r = 0; r < left.length; r++) left[r] = left[r]! - sums[r]! * scale;
 }
