--- a/src/core/admission/feasibility.ts
+++ b/src/core/admission/feasibility.ts
@@ -1,10 +1,11 @@
-// Which jobs can never run, whatever happens: told to the user at once, with the reason.
+// Which jobs can never run, whatever happens: their users are told so at once, with the reason.
 import type { TeamName, TypeName, WallTime } from '../../types/index.ts';
 import type { JobSpec, MachineType, StoreLimits, Team } from '../base/model.ts';
 import { canEverRun, isBoundToOneZone } from '../jobs/placement-constraints.ts';
 import { jobRecordPuts } from '../storage/job-record.ts';
 import { quotaViolation } from '../teams/quota.ts';
 
+/** Why the job can never run with these machine types and teams; null if it can. */
 export function infeasibilityReason(
   spec: JobSpec,
   types: ReadonlyMap<TypeName, MachineType>,
@@ -20,18 +21,19 @@
   return quotaViolation(spec, team);
 }
 
-/** As long as the mark that tells writes apart, and the time, may get. */
-const NONCE = '-'.repeat(48);
-const TIME = 1e13 as WallTime;
+/** A write id and a time at least as long, as stored, as any real ones. */
+const LONGEST_WRITE_ID = '-'.repeat(48);
+const LONGEST_TIME = 1e13 as WallTime;
 
-/** Even with its list of awaited jobs in several values, a job must fit one transaction of the state service. */
+/** Why the job's record would not fit one transaction of the store, even in several values; null if it does. */
 export function oversizeReason(spec: JobSpec, limits: StoreLimits): string | null {
-  if (
-    jobRecordPuts(
-      { spec, acceptedAt: TIME, cancelled: false, writeId: NONCE, dependencyParts: 0 },
-      limits,
-    ) !== null
-  )
-    return null;
+  const record = {
+    spec,
+    acceptedAt: LONGEST_TIME,
+    cancelled: false,
+    writeId: LONGEST_WRITE_ID,
+    dependencyParts: 0,
+  };
+  if (jobRecordPuts(record, limits) !== null) return null;
   return `the job is too large for a record of ${limits.maxTransactionOps - 1} values of ${limits.maxValueKb} KiB: name fewer jobs or machine types`;
 }
--- a/src/core/admission/team-throttle.ts
+++ b/src/core/admission/team-throttle.ts
@@ -1,73 +1,78 @@
-// Who is sent back first when more is submitted than can be written: a team that asks for more than its even part of what was
-// asked lately. What is remembered of a team halves every few seconds and is kept for teams of the settings only, so no flood
-// of names pushes another out.
+// Which teams are sent back first when more is submitted than can be written: those that submit more than an even share of
+// the recent submissions. Counts decay by half every few seconds and are kept for configured teams only, so that no flood of
+// names displaces another team.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
-const HALF_MS = 5000;
-const TIDY_MS = 1000;
-/** A team that asks for this many times its even part is over. */
-const OVER = 1.5;
-/** No team that has asked for fewer lately is over, whatever the others ask. */
-const MANY = 4;
-/** Below this a team has not asked lately. */
-const FAINT = 0.3;
-const AFTER_MAX_S = 20;
+/** Half-life of the counts. */
+const HALF_LIFE_MS = 5000;
+const SUM_INTERVAL_MS = 1000;
+/** A team that submits this many times its even share is throttled. */
+const MAX_OVERUSE_FACTOR = 1.5;
+/** No team with fewer recent submissions is throttled, whatever the others submit. */
+const MIN_THROTTLED_COUNT = 4;
+/** With a lower count a team has not submitted recently. */
+const MIN_RECENT_COUNT = 0.3;
+const MAX_RETRY_AFTER_S = 20;
 
-interface Asked {
-  n: number;
+interface DecayingCount {
+  /** As of `at`. */
+  count: number;
   at: Instant;
 }
 
+/** Recent submissions by team. */
 export class TeamThrottle {
-  private readonly teams = new Map<TeamName, Asked>();
-  private active = 0;
-  private total = 0;
-  private nextTidy: Instant = LONG_AGO;
+  private readonly counts = new Map<TeamName, DecayingCount>();
+  private activeTeams = 0;
+  private totalCount = 0;
+  private nextSumAt: Instant = LONG_AGO;
 
   constructor(private readonly io: ControllerIo) {}
 
-  /** A new job of the team has been submitted, taken in or not. */
+  /** A new job of the team has been submitted, accepted or not. */
   recordSubmission(team: TeamName): void {
-    const n = this.lately(team) + 1;
-    this.teams.set(team, { n, at: this.io.now });
-    this.total++;
-    this.tidy();
+    const count = this.recentCount(team) + 1;
+    this.counts.set(team, { count, at: this.io.now });
+    this.totalCount++;
+    this.updateSums();
   }
 
-  private lately(team: TeamName): number {
-    const a = this.teams.get(team);
-    return a === undefined ? 0 : a.n * 0.5 ** (elapsedMs(this.io.now, a.at) / HALF_MS);
+  private recentCount(team: TeamName): number {
+    const last = this.counts.get(team);
+    return last === undefined ? 0 : last.count * 0.5 ** (elapsedMs(this.io.now, last.at) / HALF_LIFE_MS);
   }
 
-  /** Sums are made anew once a second: between two of them they only lag. */
-  private tidy(): void {
-    if (this.io.now < this.nextTidy) return;
-    this.nextTidy = addMs(this.io.now, TIDY_MS);
-    this.total = 0;
-    this.active = 0;
-    for (const team of this.teams.keys()) {
-      const n = this.lately(team);
-      if (n < FAINT) this.teams.delete(team);
+  /** Sums are computed anew once a second; in between they only lag. */
+  private updateSums(): void {
+    if (this.io.now < this.nextSumAt) return;
+    this.nextSumAt = addMs(this.io.now, SUM_INTERVAL_MS);
+    this.totalCount = 0;
+    this.activeTeams = 0;
+    for (const team of this.counts.keys()) {
+      const count = this.recentCount(team);
+      if (count < MIN_RECENT_COUNT) this.counts.delete(team);
       else {
-        this.total += n;
-        this.active++;
+        this.totalCount += count;
+        this.activeTeams++;
       }
     }
   }
 
-  /** How many times its even part of what was asked lately the team asks for; 1 for the only one that asks. */
+  /** How many times its even share of the recent submissions the team submits; 1 for the only one that does. */
   overuseFactor(team: TeamName): number {
-    return this.total <= 0 ? 1 : (this.lately(team) * Math.max(1, this.active)) / this.total;
+    if (this.totalCount <= 0) return 1;
+    return (this.recentCount(team) * Math.max(1, this.activeTeams)) / this.totalCount;
   }
 
-  /** While too much is asked for: with one team asking it is that one, with more of them those beyond their part. */
+  /** Whether to send the team back while there is too much to write: a team alone, or one beyond its even share. */
   isThrottled(team: TeamName): boolean {
-    return this.active <= 1 || (this.lately(team) > MANY && this.overuseFactor(team) > OVER);
+    if (this.activeTeams <= 1) return true;
+    return this.recentCount(team) > MIN_THROTTLED_COUNT && this.overuseFactor(team) > MAX_OVERUSE_FACTOR;
   }
 
-  /** When a team that is sent back should come again: later, the more it asks beyond its part. */
+  /** Seconds after which a team that is sent back should retry: longer, the more it submits beyond its even share. */
   retryAfterS(team: TeamName, waitS: number): number {
-    return Math.min(AFTER_MAX_S, waitS * Math.max(1, this.overuseFactor(team)));
+    return Math.min(MAX_RETRY_AFTER_S, waitS * Math.max(1, this.overuseFactor(team)));
   }
 }
