--- a/src/core/base/dependency-health.ts
+++ b/src/core/base/dependency-health.ts
@@ -1,58 +1,68 @@
-// Tells operators when the state service or the cloud cannot be reached: at once, then at growing intervals, and when
-// it is back for good. Without this a controller that can do nothing for its users says nothing at all.
+// Logs that the store or the cloud is unavailable: at once, then at growing intervals, and when it serves again. Without this
+// a controller that can do nothing for its users would say nothing at all.
 import { addMs, elapsedMs, type Instant, LONG_AGO } from '../../types/index.ts';
+import type { LogFields, LogLevel } from './log.ts';
 
-type Log = (level: 'error' | 'info', message: string, fields: Record<string, unknown>) => void;
+/** Writes a log line. */
+export type Log = (level: LogLevel, message: string, fields: LogFields) => void;
 
-const FIRST_MS = 5000;
-const MAX_MS = 300_000;
-/** A service that answers in between is taken for back only after this long without a failure. */
-const GOOD_MS = 5000;
-
-const AWAY_MS = 3000;
+/** Interval between the first two lines, and between any two at most; it doubles with each. */
+const FIRST_INTERVAL_MS = 5000;
+const MAX_INTERVAL_MS = 300_000;
+/** A service that serves some requests is available again only after this long without a failure. */
+const RECOVERED_AFTER_MS = 5000;
+/** Without any success for this long, while requests fail, a service is unavailable. */
+const UNAVAILABLE_AFTER_MS = 3000;
 
+/** Whether a service that the controller depends on serves its requests. */
 export class DependencyHealth {
-  /** Since when requests fail; null while they are served. */
-  private downSince: Instant | null = null;
+  /** Since when requests have been failing; null while they are served. */
+  private failingSince: Instant | null = null;
   private lastFailure: Instant = LONG_AGO;
-  private lastServed: Instant = LONG_AGO;
-  private tellAt: Instant = LONG_AGO;
-  private gapMs = FIRST_MS;
+  private lastSuccess: Instant = LONG_AGO;
+  private nextLogAt: Instant = LONG_AGO;
+  private logIntervalMs = FIRST_INTERVAL_MS;
   private failures = 0;
 
   constructor(
-    private readonly what: string,
+    private readonly service: string,
     private readonly addr: string,
     private readonly log: Log,
   ) {}
 
-  /** `silent`: no answer in time, or no connection. `refused`: an answer that it is not serving. */
-  recordFailure(now: Instant, why: 'silent' | 'refused'): void {
+  /** `silent`: no reply in time, or no connection. `refused`: a reply that it does not serve. */
+  recordFailure(now: Instant, reason: 'silent' | 'refused'): void {
     this.failures++;
     this.lastFailure = now;
-    this.downSince ??= now;
-    if (now < this.tellAt) return;
-    this.tellAt = addMs(now, this.gapMs);
-    this.gapMs = Math.min(MAX_MS, this.gapMs * 2);
-    const reason = why === 'silent' ? 'does not answer' : 'refuses requests';
-    const forS = Math.round(elapsedMs(now, this.downSince) / 100) / 10;
-    this.log('error', `the ${this.what} ${reason}`, { addr: this.addr, forS, failures: this.failures });
+    this.failingSince ??= now;
+    if (now < this.nextLogAt) return;
+    this.nextLogAt = addMs(now, this.logIntervalMs);
+    this.logIntervalMs = Math.min(MAX_INTERVAL_MS, this.logIntervalMs * 2);
+    const text = reason === 'silent' ? 'does not answer' : 'refuses requests';
+    this.log('error', `the ${this.service} ${text}`, this.logFields(now, this.failingSince));
   }
 
-  /** Nothing has been served for a while, and requests fail. */
+  /** Whether nothing has been served for a while, and requests fail. */
   isUnavailable(now: Instant): boolean {
-    if (this.downSince === null || this.lastServed >= this.lastFailure) return false;
-    return elapsedMs(now, Math.max(this.downSince, this.lastServed) as Instant) > AWAY_MS;
+    if (this.failingSince === null || this.lastSuccess >= this.lastFailure) return false;
+    const since = Math.max(this.failingSince, this.lastSuccess) as Instant;
+    return elapsedMs(now, since) > UNAVAILABLE_AFTER_MS;
   }
 
+  /** A request was served. */
   recordSuccess(now: Instant): void {
-    this.lastServed = now;
-    if (this.downSince === null || elapsedMs(now, this.lastFailure) < GOOD_MS) return;
-    const forS = Math.round(elapsedMs(this.lastFailure, this.downSince) / 100) / 10;
-    this.log('info', `the ${this.what} answers again`, { addr: this.addr, forS, failures: this.failures });
-    this.downSince = null;
+    this.lastSuccess = now;
+    if (this.failingSince === null || elapsedMs(now, this.lastFailure) < RECOVERED_AFTER_MS) return;
+    const fields = this.logFields(this.lastFailure, this.failingSince);
+    this.log('info', `the ${this.service} answers again`, fields);
+    this.failingSince = null;
     this.failures = 0;
-    this.tellAt = LONG_AGO;
-    this.gapMs = FIRST_MS;
+    this.nextLogAt = LONG_AGO;
+    this.logIntervalMs = FIRST_INTERVAL_MS;
+  }
+
+  private logFields(until: Instant, since: Instant): LogFields {
+    const forS = Math.round(elapsedMs(until, since) / 100) / 10;
+    return { addr: this.addr, forS, failures: this.failures };
   }
 }
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -1,6 +1,7 @@
-// What the core receives and what it asks its surroundings to do.
+// The boundary of the core: the inputs that it takes, and the effects that it asks its surroundings for.
 import type { FencingToken, Instant, NodeId, WallTime } from '../../types/index.ts';
 import { DependencyHealth } from './dependency-health.ts';
+import type { LogFields, LogLevel } from './log.ts';
 import type {
   CloudReply,
   CloudRequest,
@@ -15,6 +16,9 @@
 } from './model.ts';
 import type { StorePriority, StoreRequestBudget } from './store-request-budget.ts';
 
+export type { LogFields, LogLevel } from './log.ts';
+
+/** What happens to a controller. Replies carry the tag of the effect that they answer. */
 export type Input =
   | { kind: 'user'; requestId: number; request: UserRequest }
   | { kind: 'heartbeat'; requestId: number; heartbeat: Heartbeat }
@@ -22,20 +26,22 @@
   | { kind: 'cloud'; tag: number; reply: CloudReply }
   | { kind: 'worker'; tag: number; reply: WorkerReply }
   | { kind: 'peer'; node: NodeId; message: PeerMessage }
+  /** A connection to another controller is open, or closed. */
   | { kind: 'peer-up'; node: NodeId }
   | { kind: 'peer-down'; node: NodeId }
-  /** `queuedMs`: how long the oldest request that must not wait has been waiting to be read. */
-  /** How long the oldest report has been waiting to be read; the part of the node's memory that is in use. */
+  /**
+   * Time has passed. `queuedMs`: how long the oldest heartbeat has been waiting to be read. `memory`: the fraction of the
+   * memory limit in use.
+   */
   | { kind: 'tick'; queuedMs?: number; memory?: number };
 
-export type LogLevel = 'error' | 'info' | 'debug';
-export type LogFields = Record<string, unknown>;
-
+/** What a controller asks its surroundings to do. */
 export type Effect =
   | { kind: 'user-response'; requestId: number; response: UserResponse }
   | { kind: 'heartbeat-response'; requestId: number; response: HeartbeatResponse }
   | { kind: 'store'; tag: number; request: StoreRequest; timeoutMs: number }
   | { kind: 'cloud'; tag: number; request: CloudRequest; timeoutMs: number }
+  /** Asks the agent at an address for a heartbeat. */
   | {
       kind: 'probe';
       tag: number;
@@ -47,128 +53,144 @@
   | { kind: 'peer'; node: NodeId; message: PeerMessage }
   | { kind: 'log'; level: LogLevel; message: string; fields: LogFields };
 
+/** A source of random numbers; the only one of the core. */
 export interface Random {
   /** A whole number from 0 up to, not including, n. */
   below(n: number): number;
 }
 
-/** Questions to other nodes carry a number of 32 bits (peer.proto). */
-const ASKS = 2 ** 32;
+/** Ids of requests to other controllers have 32 bits (peer.proto). */
+const REQUEST_IDS = 2 ** 32;
+
+const STORE_TIMEOUT_MS = 1500;
+const CLOUD_TIMEOUT_MS = 4000;
+const PROBE_TIMEOUT_MS = 2000;
 
-/** The core's side of every exchange: keeps the callback of each open request and collects effects. */
+/** The core's side of every exchange: keeps the callback of each open request, and collects effects. */
 export class ControllerIo {
+  /** Monotonic time of this step. */
   now = 0 as Instant;
-  /** How much further apart recurring work is done than when there is processor for all of it; see overload.ts. */
-  intervalFactor = 1;
+  /** Wall time of this step. */
   wallTime = 0 as WallTime;
+  /** How much further apart recurring work is done than without overload; set by the load shedder. */
+  intervalFactor = 1;
+  readonly random: Random;
   private effects: Effect[] = [];
   private nextTag = 1;
-  private nextAsk: number;
-  private readonly open = new Map<number, (reply: never) => void>();
-  /** Requests to the state service that were given up before they were sent; told in the next step. */
+  private lastRequestId: number;
+  private readonly openRequests = new Map<number, (reply: never) => void>();
+  /** Callbacks of store requests that were given up before they were sent; called at the beginning of the next step. */
   private givenUp: ((reply: StoreReply) => void)[] = [];
-  readonly random: Random;
-  private readonly stateReach: DependencyHealth;
-  private readonly cloudReach: DependencyHealth;
+  private readonly storeHealth: DependencyHealth;
+  private readonly cloudHealth: DependencyHealth;
 
   constructor(
     random: Random,
-    /** What the node may ask of the state service; without one, all is sent at once. */
+    /** Budget of requests to the store; without one all are sent at once. */
     readonly storeBudget: StoreRequestBudget | null = null,
     addrs = { state: '', cloud: '' },
   ) {
     this.random = random;
-    // Counted from the same number at every start, an answer to what this node's former self had asked would be
-    // taken for the answer to something else: a node may be back before it comes.
-    this.nextAsk = random.below(ASKS);
+    // If every run began with the same number, a response to a request of the previous run would be taken for one to another
+    // request: a controller may have restarted before it arrives.
+    this.lastRequestId = random.below(REQUEST_IDS);
     const log = (level: LogLevel, message: string, fields: LogFields) => this.log(level, message, fields);
-    this.stateReach = new DependencyHealth('state service', addrs.state, log);
-    this.cloudReach = new DependencyHealth('cloud', addrs.cloud, log);
+    this.storeHealth = new DependencyHealth('state service', addrs.state, log);
+    this.cloudHealth = new DependencyHealth('cloud', addrs.cloud, log);
   }
 
-  private heed(reach: DependencyHealth, r: StoreReply | CloudReply): void {
-    if (r.kind === 'no-answer') reach.recordFailure(this.now, 'silent');
-    else if (r.kind === 'refused' && !r.busy) reach.recordFailure(this.now, 'refused');
-    else reach.recordSuccess(this.now);
-  }
-
-  /** Whether the state service has not served this node for some seconds. */
+  /** Whether the store has not served this controller for some seconds. */
   get isStoreUnavailable(): boolean {
-    return this.stateReach.isUnavailable(this.now);
+    return this.storeHealth.isUnavailable(this.now);
   }
 
-  beginStep(now: Instant, wall: WallTime): void {
+  /** Begins a step at this time; to be called before each input. */
+  beginStep(now: Instant, wallTime: WallTime): void {
     this.now = now;
-    this.wallTime = wall;
+    this.wallTime = wallTime;
     this.storeBudget?.tick(now);
     if (this.givenUp.length > 0)
-      for (const then of this.givenUp.splice(0)) then({ kind: 'refused', busy: true });
+      for (const onReply of this.givenUp.splice(0)) onReply({ kind: 'refused', busy: true });
   }
 
+  /** The effects since the last call, in their order. */
   takeEffects(): Effect[] {
-    const out = this.effects;
+    const { effects } = this;
     this.effects = [];
-    return out;
+    return effects;
   }
 
+  /** Adds an effect. */
   emit(effect: Effect): void {
     this.effects.push(effect);
   }
 
+  /** Writes a log line. */
   log(level: LogLevel, message: string, fields: LogFields = {}): void {
     this.emit({ kind: 'log', level, message, fields });
   }
 
-  /** Names a question to another node, which its answer repeats. */
+  /** An id for a request to another controller, which the response repeats. */
   nextRequestId(): number {
-    this.nextAsk = (this.nextAsk + 1) % ASKS;
-    return this.nextAsk;
-  }
-
-  private tag(then: (reply: never) => void): number {
-    const tag = this.nextTag++;
-    this.open.set(tag, then);
-    return tag;
+    this.lastRequestId = (this.lastRequestId + 1) % REQUEST_IDS;
+    return this.lastRequestId;
   }
 
+  /** Sends a request to the store, when the budget allows; one that is given up before that counts as refused. */
   store(
     request: StoreRequest,
-    rank: StorePriority,
-    then: (reply: StoreReply) => void,
-    timeoutMs = 1500,
+    priority: StorePriority,
+    onReply: (reply: StoreReply) => void,
+    timeoutMs = STORE_TIMEOUT_MS,
   ): void {
-    const { storeBudget: budget } = this;
-    const heed = (r: StoreReply): void => {
-      if (r.kind === 'refused' && r.busy) budget?.onThrottled(this.now);
-      this.heed(this.stateReach, r);
-      then(r);
+    const { storeBudget } = this;
+    const receive = (reply: StoreReply): void => {
+      if (reply.kind === 'refused' && reply.busy) storeBudget?.onThrottled(this.now);
+      this.recordHealth(this.storeHealth, reply);
+      onReply(reply);
     };
-    const send = () => this.emit({ kind: 'store', tag: this.tag(heed), request, timeoutMs });
-    if (budget === null) return send();
-    budget.submit(this.now, rank, send, () => this.givenUp.push(then));
+    const send = () => this.emit({ kind: 'store', tag: this.openRequest(receive), request, timeoutMs });
+    if (storeBudget === null) return send();
+    storeBudget.submit(this.now, priority, send, () => this.givenUp.push(onReply));
   }
 
-  cloud(request: CloudRequest, then: (reply: CloudReply) => void, timeoutMs = 4000): void {
-    const heed = (r: CloudReply): void => {
-      this.heed(this.cloudReach, r);
-      then(r);
+  /** Sends a request to the cloud. */
+  cloud(request: CloudRequest, onReply: (reply: CloudReply) => void, timeoutMs = CLOUD_TIMEOUT_MS): void {
+    const receive = (reply: CloudReply): void => {
+      this.recordHealth(this.cloudHealth, reply);
+      onReply(reply);
     };
-    this.emit({ kind: 'cloud', tag: this.tag(heed), request, timeoutMs });
+    this.emit({ kind: 'cloud', tag: this.openRequest(receive), request, timeoutMs });
   }
 
+  /** Asks the agent at an address for a heartbeat. */
   probe(
     addr: string,
     fencingToken: FencingToken,
     agentEpoch: number,
-    then: (reply: WorkerReply) => void,
+    onReply: (reply: WorkerReply) => void,
   ): void {
-    this.emit({ kind: 'probe', tag: this.tag(then), addr, fencingToken, agentEpoch, timeoutMs: 2000 });
+    const tag = this.openRequest(onReply);
+    this.emit({ kind: 'probe', tag, addr, fencingToken, agentEpoch, timeoutMs: PROBE_TIMEOUT_MS });
   }
 
+  /** The reply to the effect with this tag has come; a second one is ignored. */
   resolve(tag: number, reply: unknown): void {
-    const then = this.open.get(tag);
-    if (then === undefined) return;
-    this.open.delete(tag);
-    then(reply as never);
+    const onReply = this.openRequests.get(tag);
+    if (onReply === undefined) return;
+    this.openRequests.delete(tag);
+    onReply(reply as never);
+  }
+
+  private openRequest(onReply: (reply: never) => void): number {
+    const tag = this.nextTag++;
+    this.openRequests.set(tag, onReply);
+    return tag;
+  }
+
+  private recordHealth(health: DependencyHealth, reply: StoreReply | CloudReply): void {
+    if (reply.kind === 'no-answer') health.recordFailure(this.now, 'silent');
+    else if (reply.kind === 'refused' && !reply.busy) health.recordFailure(this.now, 'refused');
+    else health.recordSuccess(this.now);
   }
 }
--- a/src/core/base/responses.ts
+++ b/src/core/base/responses.ts
@@ -1,5 +1,7 @@
+// Responses to users that several modules give.
 import type { UserResponse } from './model.ts';
 
+/** Sends a user back for `afterS` seconds. */
 export const retryLater = (reason: string, afterS = 1, overload = false): UserResponse => ({
   kind: 'retry',
   afterS,
@@ -7,6 +9,8 @@
   overload,
 });
 
-/** What a job's state is to whoever submits it once more; any other answer stays as it is. */
-export const asSubmissionResponse = (a: UserResponse): UserResponse =>
-  a.kind === 'status' || a.kind === 'ended' ? { kind: 'known', id: a.id, status: a.status } : a;
+/** The response to a repeated submission of a job, given the response to a request for its status. */
+export const asSubmissionResponse = (response: UserResponse): UserResponse =>
+  response.kind === 'status' || response.kind === 'ended'
+    ? { kind: 'known', id: response.id, status: response.status }
+    : response;
--- a/src/core/base/token-bucket.ts
+++ b/src/core/base/token-bucket.ts
@@ -1,50 +1,55 @@
+// A token bucket, for rates of requests.
 import type { Instant } from '../../types/index.ts';
 
-/** A budget that refills evenly; bursts up to one second's worth. */
+/** A budget that refills evenly up to a burst; it may go into debt. */
 export class TokenBucket {
-  private level: number;
-  private at: Instant | null = null;
+  private tokens: number;
+  private refilledAt: Instant | null = null;
   private perS: number;
   private burst: number;
 
+  /** Full at first. */
   constructor(perS: number, burst: number) {
     this.perS = perS;
     this.burst = burst;
-    this.level = burst;
+    this.tokens = burst;
   }
 
-  /** The rate from now on. */
+  /** Changes the rate, in tokens a second. */
   set rate(perS: number) {
     this.perS = perS;
   }
 
+  /** Changes the rate and the burst. */
   resize(perS: number, burst: number): void {
     this.perS = perS;
     this.burst = burst;
   }
 
   private refill(now: Instant): void {
-    if (this.at !== null)
-      this.level = Math.min(this.burst, this.level + ((now - this.at) / 1000) * this.perS);
-    this.at = now;
+    if (this.refilledAt !== null) {
+      const added = ((now - this.refilledAt) / 1000) * this.perS;
+      this.tokens = Math.min(this.burst, this.tokens + added);
+    }
+    this.refilledAt = now;
   }
 
-  /** `keep`: only if so much is left after it. */
-  take(now: Instant, n = 1, keep = 0): boolean {
+  /** Takes tokens if there are enough of them and of those to be left (`keep`). */
+  take(now: Instant, tokens = 1, keep = 0): boolean {
     this.refill(now);
-    if (this.level < n + keep) return false;
-    this.level -= n;
+    if (this.tokens < tokens + keep) return false;
+    this.tokens -= tokens;
     return true;
   }
 
-  /** Takes it whatever is left, in debt if need be. */
-  takeOnCredit(now: Instant, n = 1): void {
+  /** Takes tokens whatever is left, in debt if need be. */
+  takeOnCredit(now: Instant, tokens = 1): void {
     this.refill(now);
-    this.level -= n;
+    this.tokens -= tokens;
   }
 
-  /** Nothing is left; a debt stays. */
+  /** Takes all tokens; a debt stays. */
   empty(): void {
-    this.level = Math.min(this.level, 0);
+    this.tokens = Math.min(this.tokens, 0);
   }
 }
