--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,5 +1,5 @@
-// In which order waiting jobs are served: priority, then teams within their guarantee, then the time left until the next
-// aim that can still be met; while there is not room for all, less those that are put off (triage.ts), which come last.
+// In which order waiting jobs are served: priority, then teams within their guarantee, then the slack to the next deadline
+// that can still be met; while capacity is short, deferred jobs (late-job-selection.ts) come last.
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
 import { ageS, type JobOrdering, type RuntimeEstimates, slackOf } from '../jobs/job-ordering.ts';
@@ -8,40 +8,43 @@
 import type { Quota } from '../teams/quota.ts';
 import type { FairShare } from './fair-share.ts';
 import { type Candidate, type Supply, selectLateJobs } from './late-job-selection.ts';
-import type { MachineSet, MachineSets } from './machine-sets.ts';
+import { amountOf, type MachineSet, type MachineSets } from './machine-sets.ts';
 
+/** The waiting jobs in the order in which they are served. */
 export interface RankedJobs {
-  /** By priority and guarantee; the jobs of one go before all of the next. */
+  /** By priority and guarantee; the jobs of one group go before all of the next. */
   groups: Job[][];
-  /** For jobs in whose machine set there is not room for all: what goes first for the sake of shares (shares.ts). */
+  /** The machine sets of jobs for which capacity is short: among those, fair shares are kept (fair-share.ts). */
   machineSets: ReadonlyMap<Job, MachineSet>;
+  /** Jobs that cannot start in time. */
   deferred: ReadonlySet<Job>;
 }
 
-const LEAST_S = 1;
-/** Services have no estimate; where one competes with jobs of its priority it is taken for a long one, not for none. */
-const SERVICE_S = 300;
+const MIN_DURATION_S = 1;
+/** Services have no estimate; one that competes with jobs of its priority is taken for a long job, not for none. */
+const ASSUMED_SERVICE_RUN_S = 300;
 
-interface Triage {
+/** A machine set that lacks capacity for all that waits for it. */
+interface Shortage {
   supply: Supply;
-  /** Asked for by groups that go before. */
-  taken: number;
+  /** What the jobs of earlier groups use of the supply. */
+  used: number;
 }
 
-interface RowCandidate extends Candidate {
-  readonly age: number;
-}
-
-interface Row {
+interface WaitingJob {
   job: Job;
   tasks: number;
-  /** Lower goes first, whatever the time left. */
+  /** Lower goes first, whatever the slack. */
   group: number;
   machineSet: MachineSet;
-  age: number;
-  /** Seconds until its aims, and until the next of them. */
-  dues: number[];
-  slack: number;
+  ageS: number;
+  /** Seconds until each of its deadlines, and until the next of them. */
+  deadlinesS: number[];
+  slackS: number;
+}
+
+interface AgedCandidate extends Candidate {
+  readonly ageS: number;
 }
 
 /** What {@link JobRanking} depends on. */
@@ -55,6 +58,7 @@
   machineSets: MachineSets;
 }
 
+/** Ranks the waiting jobs for a scheduling cycle. */
 export class JobRanking {
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
@@ -74,87 +78,107 @@
     this.machineSets = dependencies.machineSets;
   }
 
+  /** Ranks all jobs that wait and are not backed off; notes each one's slack. */
   rank(): RankedJobs {
     this.machineSets.beginCycle();
     this.fairShare.beginCycle();
+    const waiting = this.waitingJobs();
+    const shortages = new Map<MachineSet, Shortage>();
+    const machineSets = this.findShortages(waiting, shortages);
+    const deferred = new Set<Job>();
+    const groups: Job[][] = [];
+    for (let start = 0; start < waiting.length; ) {
+      let end = start;
+      while (end < waiting.length && waiting[end]!.group === waiting[start]!.group) end++;
+      groups.push(this.rankGroup(waiting.slice(start, end), shortages, deferred));
+      start = end;
+    }
+    return { groups, machineSets, deferred };
+  }
+
+  /** By group and slack. */
+  private waitingJobs(): WaitingJob[] {
     const { now, wallTime } = this.io;
-    const rows: Row[] = [];
+    const waiting: WaitingJob[] = [];
     for (const job of this.jobs.waitingJobs) {
       if (job.isCancelling || now < job.retryAt) continue;
       const age = ageS(job, now, wallTime);
-      const dues = this.ordering.deadlinesS(job, now, wallTime);
-      const slack = slackOf(dues, age);
-      job.slackS = slack;
+      const deadlinesS = this.ordering.deadlinesS(job, now, wallTime);
+      const slackS = slackOf(deadlinesS, age);
+      job.slackS = slackS;
       const tasks = Math.min(job.waitingTasks, this.quota.allowedTasks(job));
       const group = -2 * job.priority + (this.quota.withinGuarantee(job) ? 0 : 1);
-      rows.push({ job, tasks, group, machineSet: this.machineSets.of(job), age, dues, slack });
+      const machineSet = this.machineSets.of(job);
+      waiting.push({ job, tasks, group, machineSet, ageS: age, deadlinesS, slackS });
     }
-    rows.sort((a, b) => a.group - b.group || a.slack - b.slack);
-    return this.sorted(rows);
+    return waiting.sort((a, b) => a.group - b.group || a.slackS - b.slackS);
   }
 
-  private sorted(rows: Row[]): RankedJobs {
-    const bySet = new Map<MachineSet, Row[]>();
-    for (const r of rows) {
-      const list = bySet.get(r.machineSet);
-      if (list === undefined) bySet.set(r.machineSet, [r]);
-      else list.push(r);
-    }
-    const out = { groups: [] as Job[][], machineSets: new Map<Job, MachineSet>(), deferred: new Set<Job>() };
-    const triages = new Map<MachineSet, Triage>();
-    for (const [machineSet, here] of bySet) {
-      if (here.reduce((n, r) => n + takesOf(r), 0) <= this.machineSets.free(machineSet)) continue;
-      triages.set(machineSet, { supply: this.machineSets.supply(machineSet), taken: 0 });
-      this.fairShare.isShort(machineSet, here);
-      for (const r of here) out.machineSets.set(r.job, machineSet);
-    }
-    for (let from = 0; from < rows.length; ) {
-      let to = from;
-      while (to < rows.length && rows[to]!.group === rows[from]!.group) to++;
-      out.groups.push(this.sortGroup(rows.slice(from, to), triages, out.deferred));
-      from = to;
+  /** Fills in the machine sets that lack capacity; returns the jobs that wait for them. */
+  private findShortages(
+    waiting: readonly WaitingJob[],
+    shortages: Map<MachineSet, Shortage>,
+  ): Map<Job, MachineSet> {
+    const bySet = new Map<MachineSet, WaitingJob[]>();
+    for (const waitingJob of waiting) addToList(bySet, waitingJob.machineSet, waitingJob);
+    const machineSets = new Map<Job, MachineSet>();
+    for (const [machineSet, jobs] of bySet) {
+      const needed = jobs.reduce((sum, waitingJob) => sum + neededAmount(waitingJob), 0);
+      if (needed <= this.machineSets.free(machineSet)) continue;
+      shortages.set(machineSet, { supply: this.machineSets.supply(machineSet), used: 0 });
+      this.fairShare.onShortage(machineSet, jobs);
+      for (const { job } of jobs) machineSets.set(job, machineSet);
     }
-    return out;
+    return machineSets;
   }
 
-  /** Jobs of one group: those kept in the order of the aims that they are kept for, then those put off. */
-  private sortGroup(rows: Row[], triages: Map<MachineSet, Triage>, deferred: Set<Job>): Job[] {
-    const inTime: { job: Job; due: number }[] = [];
-    const late: RowCandidate[] = [];
-    const bySet = new Map<Triage, RowCandidate[]>();
-    for (const r of rows) {
-      const t = triages.get(r.machineSet);
-      if (t === undefined) inTime.push({ job: r.job, due: r.slack });
-      else {
-        const list = bySet.get(t) ?? [];
-        list.push(this.candidate(r));
-        bySet.set(t, list);
-      }
+  /** Jobs of one group: those that can be in time by the deadlines that they are kept for, then the deferred ones. */
+  private rankGroup(
+    group: readonly WaitingJob[],
+    shortages: ReadonlyMap<MachineSet, Shortage>,
+    deferred: Set<Job>,
+  ): Job[] {
+    const inTime: { job: Job; dueS: number }[] = [];
+    const byShortage = new Map<Shortage, AgedCandidate[]>();
+    for (const waitingJob of group) {
+      const shortage = shortages.get(waitingJob.machineSet);
+      if (shortage === undefined) inTime.push({ job: waitingJob.job, dueS: waitingJob.slackS });
+      else addToList(byShortage, shortage, this.candidate(waitingJob));
     }
-    for (const [t, here] of bySet) {
-      const sorted = selectLateJobs(here, t.supply, t.taken);
-      for (const { c, due } of sorted.inTime) inTime.push({ job: c.job, due });
-      late.push(...sorted.late);
-      t.taken += here.reduce((n, c) => n + c.takes, 0);
+    const late: AgedCandidate[] = [];
+    for (const [shortage, candidates] of byShortage) {
+      const selection = selectLateJobs(candidates, shortage.supply, shortage.used);
+      for (const { candidate, dueS } of selection.inTime) inTime.push({ job: candidate.job, dueS });
+      late.push(...selection.late);
+      shortage.used += candidates.reduce((sum, candidate) => sum + candidate.amount, 0);
     }
-    inTime.sort((a, b) => a.due - b.due);
-    // The least work first, and what has waited for long counts for less.
-    const rank = (c: RowCandidate): number => c.work / Math.max(LEAST_S, c.age);
-    late.sort((a, b) => rank(a) - rank(b));
-    for (const c of late) deferred.add(c.job);
-    return [...inTime, ...late].map((x) => x.job);
+    inTime.sort((a, b) => a.dueS - b.dueS);
+    late.sort((a, b) => lateRank(a) - lateRank(b));
+    for (const { job } of late) deferred.add(job);
+    return [...inTime, ...late].map(({ job }) => job);
   }
 
-  private candidate(r: Row): RowCandidate {
-    const { job, age } = r;
-    const takes = takesOf(r);
-    // A gang of which only a part is missing has been paid for already.
-    const begun = isGang(job.spec) && job.assignedTasks > 0;
-    const runS = job.spec.kind === 'service' ? SERVICE_S : this.estimates.runS(job);
-    const work = begun ? 0 : takes * Math.max(LEAST_S, runS);
-    return { job, age, deadlines: begun ? [0] : r.dues, takes, work };
+  private candidate(waitingJob: WaitingJob): AgedCandidate {
+    const { job, deadlinesS } = waitingJob;
+    const amount = neededAmount(waitingJob);
+    // A gang of which only some tasks are missing is using its machines already.
+    const isPartlyPlaced = isGang(job.spec) && job.assignedTasks > 0;
+    const runS = job.spec.kind === 'service' ? ASSUMED_SERVICE_RUN_S : this.estimates.runS(job);
+    const work = isPartlyPlaced ? 0 : amount * Math.max(MIN_DURATION_S, runS);
+    return { job, ageS: waitingJob.ageS, deadlines: isPartlyPlaced ? [0] : deadlinesS, amount, work };
   }
 }
 
-const takesOf = ({ job, tasks, machineSet }: Row): number =>
-  (machineSet.resource === 0 ? job.spec.cpus : job.spec.gpus) * tasks;
+/** What the job's waiting tasks need of the scarce resource. */
+const neededAmount = ({ job, tasks, machineSet }: WaitingJob): number =>
+  amountOf(machineSet.resource, job.spec) * tasks;
+
+/** The least work goes first, and the work of what has waited for long counts for less. */
+const lateRank = (candidate: AgedCandidate): number =>
+  candidate.work / Math.max(MIN_DURATION_S, candidate.ageS);
+
+function addToList<K, V>(lists: Map<K, V[]>, key: K, value: V): void {
+  const list = lists.get(key);
+  if (list === undefined) lists.set(key, [value]);
+  else list.push(value);
+}
--- a/src/core/scheduling/late-job-selection.ts
+++ b/src/core/scheduling/late-job-selection.ts
@@ -1,68 +1,83 @@
-// Which waiting jobs are given up for now when not all of them can start in time. Served by the time left alone, a
-// fleet that is too small starts every job just too late: each late one takes the room that the next needed. So the
-// jobs are gone through in that order, and whenever more is to be started by some moment than will have room by then, the
-// one that takes most is put off to its next aim, and past its last behind all that can be met (Moore and Hodgson's rule
-// for the fewest late jobs). While there is room for all nobody is put off, and the order is the same as without it.
+// Which waiting jobs are deferred when not all of them can start in time. Served by slack alone, a fleet that is too small
+// starts every job just too late: each late job uses the capacity that the next one needed. So the jobs are gone through
+// in that order, and whenever more must start by some moment than there will be capacity for, the job with the most work
+// is deferred to its next deadline, and past its last one behind all that can be met (the Moore-Hodgson rule for the fewest
+// late jobs). While there is capacity for all no job is deferred, and the order is by slack.
 import TinyQueue from 'tinyqueue';
 import type { Job } from '../jobs/job.ts';
 
+/** A waiting job. */
 export interface Candidate {
   readonly job: Job;
-  /** Seconds from now by which its tasks should have started, one for each aim that can still be met, earliest first. */
+  /** Seconds from now by which its tasks should have started, one for each objective that can still be met, in order. */
   readonly deadlines: readonly number[];
-  /** What its waiting tasks take of the resource that is short, and for how long: what putting it off saves. */
-  readonly takes: number;
+  /** What its waiting tasks need of the scarce resource. */
+  readonly amount: number;
+  /** That amount multiplied by the run time in seconds: what deferring the job saves. */
   readonly work: number;
 }
 
+/** A candidate with the deadline that it is considered for. */
 interface Entry<C extends Candidate> {
-  c: C;
-  aim: number;
-  due: number;
+  candidate: C;
+  deadlineIndex: number;
+  dueS: number;
 }
 
-/** How much can have been started within so many seconds: what is free, what comes free, and what is on its way. */
+/** How much of a resource can have been used for starts within so many seconds from now. */
 export type Supply = (withinS: number) => number;
 
+/** A job that can start in time, with the seconds until the deadline that it is kept for. */
+export interface InTimeJob<C extends Candidate> {
+  candidate: C;
+  dueS: number;
+}
+
+/** The result of the selection. */
 export interface LateJobSelection<C extends Candidate> {
-  /** In the order in which they should start, each with the seconds until the aim that it is kept for. */
-  inTime: { c: C; due: number }[];
+  /** In the order in which they should start. */
+  inTime: InTimeJob<C>[];
   late: C[];
 }
 
+/** Selects the late jobs; `alreadyUsed`: how much of the supply is used by jobs that go before all candidates. */
 export function selectLateJobs<C extends Candidate>(
   candidates: readonly C[],
   supply: Supply,
-  taken = 0,
+  alreadyUsed = 0,
 ): LateJobSelection<C> {
-  const byDue = new TinyQueue<Entry<C>>([], (a, b) => a.due - b.due);
   const late: C[] = [];
-  for (const c of candidates) {
-    const due = c.deadlines[0];
-    if (due === undefined) late.push(c);
-    else byDue.push({ c, aim: 0, due });
-  }
-  const byWork = new TinyQueue<Entry<C>>([], (a, b) => b.c.work - a.c.work);
-  const gone = new Set<Entry<C>>();
-  const kept: Entry<C>[] = [];
-  let sum = taken;
-  for (let e = byDue.pop(); e !== undefined; e = byDue.pop()) {
-    kept.push(e);
-    byWork.push(e);
-    sum += e.c.takes;
-    const room = supply(e.due);
-    while (sum > room) {
+  const byDueTime = new TinyQueue<Entry<C>>([], (a, b) => a.dueS - b.dueS);
+  const enqueue = (candidate: C, deadlineIndex: number): void => {
+    const dueS = candidate.deadlines[deadlineIndex];
+    if (dueS === undefined) late.push(candidate);
+    else byDueTime.push({ candidate, deadlineIndex, dueS });
+  };
+  for (const candidate of candidates) enqueue(candidate, 0);
+  const byWork = new TinyQueue<Entry<C>>([], (a, b) => b.candidate.work - a.candidate.work);
+  const deferred = new Set<Entry<C>>();
+  const considered: Entry<C>[] = [];
+  let used = alreadyUsed;
+  for (let entry = byDueTime.pop(); entry !== undefined; entry = byDueTime.pop()) {
+    considered.push(entry);
+    byWork.push(entry);
+    used += entry.candidate.amount;
+    const available = supply(entry.dueS);
+    while (used > available) {
       const largest = byWork.pop();
       if (largest === undefined) break;
-      gone.add(largest);
-      sum -= largest.c.takes;
-      // Only a later aim than the one that is being looked at: what came before has been settled.
-      let aim = largest.aim + 1;
-      while ((largest.c.deadlines[aim] ?? Number.POSITIVE_INFINITY) <= e.due) aim++;
-      const due = largest.c.deadlines[aim];
-      if (due === undefined) late.push(largest.c);
-      else byDue.push({ c: largest.c, aim, due });
+      deferred.add(largest);
+      used -= largest.candidate.amount;
+      enqueue(largest.candidate, nextDeadlineAfter(largest, entry.dueS));
     }
   }
-  return { inTime: kept.filter((e) => !gone.has(e)), late };
+  return { inTime: considered.filter((entry) => !deferred.has(entry)), late };
+}
+
+/** The index of the entry's first later deadline that is after the given time: what is due before has been settled. */
+function nextDeadlineAfter(entry: Entry<Candidate>, dueS: number): number {
+  const { deadlines } = entry.candidate;
+  let index = entry.deadlineIndex + 1;
+  while ((deadlines[index] ?? Number.POSITIVE_INFINITY) <= dueS) index++;
+  return index;
 }
--- a/src/core/scheduling/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -1,7 +1,7 @@
-// Jobs that wait for the same machines form a machine set: what can be started in it follows from what is free there, what comes
-// free, and what is on its way. MachineSets may overlap; each is judged by itself.
+// Machine sets: the machines that a group of jobs waits for. What can be started in a set follows from what is free there,
+// what comes free, and what is booting. Sets may overlap; each is considered by itself.
 import type { TypeName } from '../../types/index.ts';
-import type { JobSpec, MachineType } from '../base/model.ts';
+import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import type { RuntimeEstimates } from '../jobs/job-ordering.ts';
 import { typeFits } from '../jobs/placement-constraints.ts';
@@ -11,114 +11,143 @@
 import type { Supply } from './late-job-selection.ts';
 
 /**
- * Of what is expected to come free so much is counted on; the rest is lost to pieces that nothing fits into, to room kept for
- * larger tasks, and to work that goes first for other reasons. Measured: 0.6 is better than 1 and 0.8 (docs/results.md).
+ * The fraction of the capacity expected to come free that is counted on; the rest is lost to fragments that nothing fits
+ * into, to reservations for larger tasks, and to work that goes first for other reasons. Measured: 0.6 is better than 1
+ * and 0.8 (docs/results.md).
  */
-const COUNTED_ON = 0.6;
+const USABLE_FRACTION = 0.6;
 /** Boots take up to about this many times their usual time. */
-const BOOT_SPREAD = 1.5;
-const LEAST_S = 1;
-const EPS = 1e-9;
+const BOOT_TIME_MARGIN = 1.5;
+const MIN_DURATION_S = 1;
+/** Tolerance for sums of fractional CPUs and GPUs. */
+const ROUNDING_TOLERANCE = 1e-9;
 
+/** Positions of the resources in `Resources`. */
+const CPUS = 0;
+const GPUS = 1;
+
+/** The resource that a job's tasks run out of first, by its position in `Resources`. */
+export type ScarceResource = typeof CPUS | typeof GPUS;
+
+/** How much of the resource something has or needs. */
+export const amountOf = (resource: ScarceResource, of: { cpus: number; gpus: number }): number =>
+  resource === CPUS ? of.cpus : of.gpus;
+
+/** The machines that some jobs may use. */
 export interface MachineSet {
-  /** What its tasks lack first: CPUs, or accelerators. In the order of Resources. */
-  resource: 0 | 1;
+  resource: ScarceResource;
   pools: MachinePool[];
-  /** Types of the machines in them. */
+  /** The types of their machines. */
   types: Set<TypeName>;
-  /** One of its jobs, and the least that a task of any of them needs. */
+  /** One of the jobs. */
   spec: JobSpec;
-  least: number;
+  /** The least of the resource that a task of any of the jobs needs. */
+  smallestNeed: number;
+}
+
+/** The name of a job's machine set, valid while there are as many pools as when it was made. */
+interface CachedName {
+  pools: number;
+  name: string;
+}
+
+/** Machines on their way: their amount of a resource, and their mean boot time, weighted by it. */
+interface BootingCapacity {
+  amount: number;
+  bootS: number;
 }
 
+/** The machine sets of the waiting jobs. */
 export class MachineSets {
-  private readonly machineSets = new Map<string, MachineSet>();
-  /** The machine set's name for a job, as long as there are as many pools as when it was made. */
-  private readonly names = new WeakMap<Job, { pools: number; name: string }>();
+  private readonly byName = new Map<string, MachineSet>();
+  private readonly names = new WeakMap<Job, CachedName>();
 
   constructor(
-    private readonly rooms: CapacityIndex,
+    private readonly capacityIndex: CapacityIndex,
     private readonly usage: Usage,
     private readonly estimates: RuntimeEstimates,
-    private readonly coming: () => PendingCapacity,
+    private readonly pendingCapacity: () => PendingCapacity,
   ) {}
 
+  /** At the start of a scheduling cycle: sets are made anew. */
   beginCycle(): void {
-    this.machineSets.clear();
+    this.byName.clear();
   }
 
+  /** The machine set of a job in this cycle. */
   of(job: Job): MachineSet {
     const { spec } = job;
-    const resource = spec.gpus > 0 ? 1 : 0;
-    const needs = resource === 1 ? spec.gpus : spec.cpus;
+    const resource = spec.gpus > 0 ? GPUS : CPUS;
+    const need = amountOf(resource, spec);
     const name = this.nameOf(job, resource);
-    let machineSet = this.machineSets.get(name);
+    let machineSet = this.byName.get(name);
     if (machineSet === undefined) {
-      const pools = [...this.rooms.pools.values()].filter((p) => p.admits(spec));
-      const types = new Set(pools.map((p) => p.type.name));
-      machineSet = { resource, pools, types, spec, least: needs };
-      this.machineSets.set(name, machineSet);
+      const pools = [...this.capacityIndex.pools.values()].filter((pool) => pool.admits(spec));
+      const types = new Set(pools.map((pool) => pool.type.name));
+      machineSet = { resource, pools, types, spec, smallestNeed: need };
+      this.byName.set(name, machineSet);
     }
-    machineSet.least = Math.min(machineSet.least, needs);
+    machineSet.smallestNeed = Math.min(machineSet.smallestNeed, need);
     return machineSet;
   }
 
-  private nameOf(job: Job, resource: number): string {
-    const { size } = this.rooms.pools;
-    const known = this.names.get(job);
-    if (known?.pools === size) return known.name;
+  /** The resource, and for each pool whether the job may use it. */
+  private nameOf(job: Job, resource: ScarceResource): string {
+    const { pools } = this.capacityIndex;
+    const cached = this.names.get(job);
+    if (cached?.pools === pools.size) return cached.name;
     let name = `${resource}`;
-    for (const p of this.rooms.pools.values()) name += p.admits(job.spec) ? '1' : '0';
-    this.names.set(job, { pools: size, name });
+    for (const pool of pools.values()) name += pool.admits(job.spec) ? '1' : '0';
+    this.names.set(job, { pools: pools.size, name });
     return name;
   }
 
-  /** What is free now in pieces that a task of the machine set fits into. */
-  free({ resource: r, pools, least }: MachineSet): number {
+  /** What is free now on machines that the smallest task of the set fits into. */
+  free({ resource, pools, smallestNeed }: MachineSet): number {
     let free = 0;
     for (const pool of pools)
-      for (const b of pool.buckets.values()) {
-        const room = (r === 0 ? b.cpusBelow : b.gpusBelow) - 1;
-        if (room + EPS >= Math.floor(least)) free += Math.max(0, room) * b.members.length;
+      for (const bucket of pool.buckets.values()) {
+        const perMachine = (resource === CPUS ? bucket.cpusBelow : bucket.gpusBelow) - 1;
+        if (perMachine + ROUNDING_TOLERANCE >= Math.floor(smallestNeed))
+          free += Math.max(0, perMachine) * bucket.members.length;
       }
     return free;
   }
 
-  /** For a machine set that has not room for all: what is free is left out, as it will be taken in this very pass. */
+  /** For a set without capacity for all: what is free now is left out, as it will be used in this very cycle. */
   supply(machineSet: MachineSet): Supply {
-    const r = machineSet.resource;
-    let busy = 0;
-    for (const pool of machineSet.pools) busy += pool.total[r] - pool.free[r];
-    const perS = busy * this.rate(machineSet) * COUNTED_ON;
-    const { sum, bootS } = this.on(machineSet);
-    const up = Math.max(LEAST_S, bootS * BOOT_SPREAD);
-    return (withinS) => perS * withinS + sum * Math.min(1, withinS / up);
+    const { resource, pools } = machineSet;
+    let used = 0;
+    for (const pool of pools) used += pool.total[resource] - pool.free[resource];
+    const freedPerS = used * this.completionRate(machineSet) * USABLE_FRACTION;
+    const { amount, bootS } = this.bootingCapacity(machineSet);
+    const allBootedS = Math.max(MIN_DURATION_S, bootS * BOOT_TIME_MARGIN);
+    return (withinS) => freedPerS * withinS + amount * Math.min(1, withinS / allBootedS);
   }
 
-  /** The part of what the machine set's machines run that ends in a second: by what runs, each class at its own mean. */
-  private rate({ resource: r, types }: MachineSet): number {
-    let ends = 0;
-    let all = 0;
-    for (const [cls, u] of this.usage.on(types, 'classes')) {
-      all += u.sum[r]!;
-      // Of estimate 0, services would count as ending every second, and there would always seem to be room for all.
-      if (u.spec.kind === 'service') continue;
-      ends += u.sum[r]! / Math.max(LEAST_S, this.estimates.meanRunS(cls, u.spec.estimatedRunS));
+  /** The fraction of what the set's machines run that ends in a second, from the mean run time of each class there. */
+  private completionRate({ resource, types }: MachineSet): number {
+    let endingPerS = 0;
+    let used = 0;
+    for (const [className, { sum, spec }] of this.usage.on(types, 'classes')) {
+      used += sum[resource];
+      // With their estimate of 0, services would count as ending every second, and capacity would never seem short.
+      if (spec.kind === 'service') continue;
+      const runS = this.estimates.meanRunS(className, spec.estimatedRunS);
+      endingPerS += sum[resource] / Math.max(MIN_DURATION_S, runS);
     }
-    return all > 0 ? ends / all : 0;
+    return used > 0 ? endingPerS / used : 0;
   }
 
-  private on({ spec, resource }: MachineSet): { sum: number; bootS: number } {
-    let sum = 0;
-    let boots = 0;
-    for (const [type, n] of this.coming()) {
+  private bootingCapacity({ spec, resource }: MachineSet): BootingCapacity {
+    let amount = 0;
+    let weightedBootS = 0;
+    for (const [type, machines] of this.pendingCapacity()) {
       if (!typeFits(type, spec)) continue;
-      const here = capacityOf(type, resource) * n;
-      sum += here;
-      boots += here * type.bootS;
+      const ofType = amountOf(resource, type) * machines;
+      amount += ofType;
+      weightedBootS += ofType * type.bootS;
     }
-    return { sum, bootS: sum > 0 ? boots / sum : 0 };
+    return { amount, bootS: amount > 0 ? weightedBootS / amount : 0 };
   }
 }
-
-const capacityOf = (t: MachineType, resource: 0 | 1): number => (resource === 0 ? t.cpus : t.gpus);
--- a/test/fair-share.test.ts
+++ b/test/fair-share.test.ts
@@ -81,11 +81,11 @@
   );
 });
 
-const candidate = (takes: number, deadlines: number[], name = 'run-1'): Candidate => ({
+const candidate = (amount: number, deadlines: number[], name = 'run-1'): Candidate => ({
   job: new Job(job(name), 0 as Revision, 0 as WallTime, 0 as Instant, false),
   deadlines,
-  takes,
-  work: takes,
+  amount,
+  work: amount,
 });
 
 test('with one aim each, no choice of jobs has more of them in time than triage keeps', () => {
@@ -95,18 +95,18 @@
   });
   fc.assert(
     fc.property(drawn, (list) => {
-      const all = list.map(([takes, due]) => candidate(takes, [due]));
+      const all = list.map(([amount, due]) => candidate(amount, [due]));
       const { inTime, late } = selectLateJobs(all, (s) => s);
       assert.equal(inTime.length + late.length, all.length);
       let sum = 0;
-      for (const { c, due } of inTime) {
-        sum += c.takes;
-        assert.ok(sum <= due, 'a job that is kept is late');
+      for (const { candidate: kept, dueS } of inTime) {
+        sum += kept.amount;
+        assert.ok(sum <= dueS, 'a job that is kept is late');
       }
       let best = 0;
       for (let set = 0; set < 1 << all.length; set++) {
         const chosen = all.filter((_, i) => (set >> i) & 1).sort((a, b) => a.deadlines[0]! - b.deadlines[0]!);
-        const sums = chosen.map((_, i) => chosen.slice(0, i + 1).reduce((n, c) => n + c.takes, 0));
+        const sums = chosen.map((_, i) => chosen.slice(0, i + 1).reduce((n, c) => n + c.amount, 0));
         if (chosen.every((c, i) => sums[i]! <= c.deadlines[0]!)) best = Math.max(best, chosen.length);
       }
       assert.equal(inTime.length, best);
@@ -119,7 +119,7 @@
   const [large, small] = [candidate(10, [11, 30]), candidate(4, [12])];
   const some = selectLateJobs([large, small], (s) => s);
   assert.deepEqual(
-    some.inTime.map((x) => [x.c === large ? 'large' : 'small', x.due]),
+    some.inTime.map((x) => [x.candidate === large ? 'large' : 'small', x.dueS]),
     [
       ['small', 12],
       ['large', 30],
