--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -1,167 +1,192 @@
-// Free room on machines that are up or on their way, by pool, while a plan of what to rent is made.
-import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
+// Free capacity on machines that are up or on their way, by pool, while a plan of what to request is made.
+import type { MachineId, ZoneName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { needsAtLeast, placementKey } from '../jobs/placement-constraints.ts';
+import { tasksFittingResource } from '../jobs/task-capacity.ts';
 import type { Machine } from '../machines/machine.ts';
+import { type MachineOffer, offerKey } from './machine-offer.ts';
 
-/** Room on one machine. */
-export interface FreeCapacity {
-  type: MachineType;
-  zone: ZoneName;
-  spot: boolean;
+/** Capacity on one machine that is not planned for yet. */
+export interface MachineCapacity extends MachineOffer {
   cpus: number;
   gpus: number;
-  memory: number;
-  /** The machine it is on, if that is up or booting. */
-  machine: Machine | null;
+  memoryGb: number;
+  /** The machine, if it is up or booting; null if it is only requested. */
+  readonly machine: Machine | null;
 }
 
-/** Names machines that are rented alike. */
-export const offerKey = (type: TypeName, zone: ZoneName, spot: boolean): string =>
-  `${type}/${zone}/${spot ? 's' : 'o'}`;
-
-/** What a machine has free now. */
-export const freeCapacityOf = (m: Machine): FreeCapacity => ({
-  type: m.type,
-  zone: m.zone,
-  spot: m.spot,
-  cpus: m.type.cpus - m.usedCpus,
-  gpus: m.type.gpus - m.usedGpus,
-  memory: m.type.memoryGb - m.usedMemory,
-  machine: m,
+/** Tolerance for sums of fractional CPUs and GPUs. */
+const ROUNDING_TOLERANCE = 1e-9;
+/** Capacity below this counts as none. */
+const MIN_CPUS = 1e-3;
+/** Bounds the slots of a machine for tasks that need nothing. */
+const MAX_SLOTS = 1e6;
+
+/** What a machine has beside the tasks on it; what is queued for it is not counted. */
+export const unusedCapacityOf = (machine: Machine): MachineCapacity => ({
+  type: machine.type,
+  zone: machine.zone,
+  spot: machine.spot,
+  cpus: machine.type.cpus - machine.usedCpus,
+  gpus: machine.type.gpus - machine.usedGpus,
+  memoryGb: machine.type.memoryGb - machine.usedMemory,
+  machine,
 });
 
-/** A machine that is on its way, with nothing on it. */
-export const emptyMachine = (type: MachineType, zone: ZoneName, spot: boolean): FreeCapacity => ({
+/** The capacity of a requested machine, with nothing on it. */
+export const requestedCapacity = (type: MachineType, zone: ZoneName, spot: boolean): MachineCapacity => ({
   type,
   zone,
   spot,
   cpus: type.cpus,
   gpus: type.gpus,
-  memory: type.memoryGb,
+  memoryGb: type.memoryGb,
   machine: null,
 });
 
-/** Takes room for up to n tasks; returns for how many there was. */
-export function placeOn(f: FreeCapacity, job: Job, n: number): number {
-  const { cpus, gpus, memoryGb } = job.spec;
-  const k = Math.min(n, slotsOf(f, job));
-  if (k <= 0) return 0;
-  f.cpus -= cpus * k;
-  f.gpus -= gpus * k;
-  f.memory -= memoryGb * k;
-  return k;
+/** Uses capacity for up to `tasks` tasks; returns for how many there was any. */
+export function placeOn(capacity: MachineCapacity, job: Job, tasks: number): number {
+  const placed = Math.min(tasks, slotsOf(capacity, job));
+  if (placed <= 0) return 0;
+  capacity.cpus -= job.spec.cpus * placed;
+  capacity.gpus -= job.spec.gpus * placed;
+  capacity.memoryGb -= job.spec.memoryGb * placed;
+  return placed;
 }
 
-function slotsOf(f: FreeCapacity, job: Job): number {
-  const { cpus, gpus, memoryGb } = job.spec;
-  const per = (free: number, each: number) =>
-    each <= 0 ? Number.POSITIVE_INFINITY : Math.floor((free + 1e-9) / each);
-  return Math.max(0, Math.min(1e6, per(f.cpus, cpus), per(f.gpus, gpus), per(f.memory, memoryGb)));
+function slotsOf(capacity: MachineCapacity, { spec }: Job): number {
+  const slots = Math.min(
+    MAX_SLOTS,
+    tasksFittingResource(capacity.cpus, spec.cpus),
+    tasksFittingResource(capacity.gpus, spec.gpus),
+    tasksFittingResource(capacity.memoryGb, spec.memoryGb),
+  );
+  return Math.max(0, slots);
 }
 
-/** Free room of one pool by whole accelerators and CPUs, so that a job looks only at what may have room for it. */
-class Shelf {
-  /** First by accelerators, then by CPUs. */
-  private readonly byGpus: FreeCapacity[][][] = [];
-  constructor(readonly first: FreeCapacity) {}
+/** The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may have capacity. */
+class PoolCapacity {
+  /** First by GPUs, then by CPUs. */
+  private readonly byGpus: MachineCapacity[][][] = [];
 
-  put(f: FreeCapacity): void {
-    if (f.cpus < LEAST) return;
-    const [gpus, cpus] = [Math.floor(f.gpus + EPS), Math.floor(f.cpus + EPS)];
+  constructor(readonly offer: MachineOffer) {}
+
+  add(capacity: MachineCapacity): void {
+    if (capacity.cpus < MIN_CPUS) return;
+    const gpus = Math.floor(capacity.gpus + ROUNDING_TOLERANCE);
+    const cpus = Math.floor(capacity.cpus + ROUNDING_TOLERANCE);
     const byCpus = this.byGpus[gpus] ?? [];
     this.byGpus[gpus] = byCpus;
     const list = byCpus[cpus];
-    if (list === undefined) byCpus[cpus] = [f];
-    else list.push(f);
+    if (list === undefined) byCpus[cpus] = [capacity];
+    else list.push(capacity);
   }
 
-  /** Lists that may have room for the job: fewest accelerators first, then fullest first. */
-  *fitting(job: Job): Iterable<FreeCapacity[]> {
-    const { cpus, gpus } = job.spec;
-    for (let g = Math.floor(gpus); g < this.byGpus.length; g++) {
-      const byCpus = this.byGpus[g];
+  /** Lists of machines that may have capacity for the job: those with fewest GPUs first, then the fullest. */
+  *listsFor({ spec }: Job): Iterable<MachineCapacity[]> {
+    for (let gpus = Math.floor(spec.gpus); gpus < this.byGpus.length; gpus++) {
+      const byCpus = this.byGpus[gpus];
       if (byCpus === undefined) continue;
-      for (let c = Math.floor(cpus); c < byCpus.length; c++) {
-        const list = byCpus[c];
+      for (let cpus = Math.floor(spec.cpus); cpus < byCpus.length; cpus++) {
+        const list = byCpus[cpus];
         if (list !== undefined && list.length > 0) yield list;
       }
     }
   }
 }
 
-const EPS = 1e-9;
-/** Room below this is none. */
-const LEAST = 1e-3;
+/** A search that found no capacity. */
+interface FailedSearch {
+  /** Which pools were searched, as a key. */
+  scope: string;
+  spec: JobSpec;
+}
 
-/** Free room by pool. */
+/** The capacity that is not planned for yet, by pool. */
 export class CapacitySupply {
-  private readonly pools = new Map<string, Shelf>();
-  /** What found no room: a job that asks for as much or more of the same pools finds none either. */
-  private none: { where: string; spec: JobSpec }[] = [];
-
-  private hopeless(job: Job, where: string): boolean {
-    return this.none.some((n) => n.where === where && needsAtLeast(job.spec, n.spec));
-  }
-
-  add(f: FreeCapacity): void {
-    if (f.cpus < LEAST) return;
-    this.none = [];
-    const key = offerKey(f.type.name, f.zone, f.spot);
-    let shelf = this.pools.get(key);
-    if (shelf === undefined) {
-      shelf = new Shelf(f);
-      this.pools.set(key, shelf);
+  private readonly pools = new Map<string, PoolCapacity>();
+  /** A job that needs as much or more from the same pools finds nothing either. */
+  private failedSearches: FailedSearch[] = [];
+
+  /** Adds the capacity of a machine. */
+  add(capacity: MachineCapacity): void {
+    if (capacity.cpus < MIN_CPUS) return;
+    this.failedSearches = [];
+    const key = offerKey(capacity);
+    let pool = this.pools.get(key);
+    if (pool === undefined) {
+      pool = new PoolCapacity(capacity);
+      this.pools.set(key, pool);
     }
-    shelf.put(f);
+    pool.add(capacity);
   }
 
-  private *admitted(job: Job, zone: ZoneName | null): Iterable<Shelf> {
-    for (const shelf of this.pools.values()) {
-      const f = shelf.first;
-      if ((f.spot && !job.spec.spot) || (zone !== null && f.zone !== zone)) continue;
-      if (job.spec.zone !== null && job.spec.zone !== f.zone) continue;
-      if (job.spec.machineTypes === null || job.spec.machineTypes.includes(f.type.name)) yield shelf;
-    }
-  }
-
-  /** For how many of n tasks there is room. */
-  count(job: Job, n: number, zone: ZoneName | null): number {
+  /** For how many of the tasks there is capacity, in a zone or in all. */
+  count(job: Job, tasks: number, zone: ZoneName | null): number {
+    if (this.hasFailed(job, scopeOf(job, zone))) return 0;
     let found = 0;
-    if (this.hopeless(job, whereOf(job, zone))) return 0;
-    for (const shelf of this.admitted(job, zone))
-      for (const list of shelf.fitting(job))
-        for (const f of list) {
-          found += slotsOf(f, job);
-          if (found >= n) return n;
+    for (const pool of this.poolsFor(job, zone))
+      for (const list of pool.listsFor(job))
+        for (const capacity of list) {
+          found += slotsOf(capacity, job);
+          if (found >= tasks) return tasks;
         }
     return found;
   }
 
-  /** Uses room for up to n tasks; the machines it is on are wanted. */
-  use(job: Job, n: number, zone: ZoneName | null, wanted: Set<MachineId>): number {
-    let left = n;
-    const where = whereOf(job, zone);
-    if (this.hopeless(job, where)) return 0;
-    for (const shelf of this.admitted(job, zone))
-      for (const list of shelf.fitting(job)) {
-        for (let i = list.length - 1; i >= 0 && left > 0; i--) {
-          const f = list[i]!;
-          const k = placeOn(f, job, left);
-          if (k === 0) continue;
-          left -= k;
-          if (f.machine !== null) wanted.add(f.machine.id);
-          // It stands elsewhere now; the last of the list, looked at already, takes its place.
-          const last = list.pop()!;
-          if (last !== f) list[i] = last;
-          shelf.put(f);
-        }
-        if (left <= 0) return n;
+  /** Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many there was any. */
+  use(job: Job, tasks: number, zone: ZoneName | null, needed: Set<MachineId>): number {
+    const scope = scopeOf(job, zone);
+    if (this.hasFailed(job, scope)) return 0;
+    let remaining = tasks;
+    for (const pool of this.poolsFor(job, zone))
+      for (const list of pool.listsFor(job)) {
+        remaining -= useList(list, pool, job, remaining, needed);
+        if (remaining <= 0) return tasks;
       }
-    if (left > 0) this.none.push({ where, spec: job.spec });
-    return n - left;
+    if (remaining > 0) this.failedSearches.push({ scope, spec: job.spec });
+    return tasks - remaining;
+  }
+
+  private hasFailed(job: Job, scope: string): boolean {
+    return this.failedSearches.some(
+      (search) => search.scope === scope && needsAtLeast(job.spec, search.spec),
+    );
+  }
+
+  private *poolsFor({ spec }: Job, zone: ZoneName | null): Iterable<PoolCapacity> {
+    for (const pool of this.pools.values()) {
+      const { offer } = pool;
+      if (offer.spot && !spec.spot) continue;
+      if (zone !== null && offer.zone !== zone) continue;
+      if (spec.zone !== null && spec.zone !== offer.zone) continue;
+      if (spec.machineTypes === null || spec.machineTypes.includes(offer.type.name)) yield pool;
+    }
+  }
+}
+
+/** Uses the capacity of one list of the pool; returns for how many tasks there was any. */
+function useList(
+  list: MachineCapacity[],
+  pool: PoolCapacity,
+  job: Job,
+  tasks: number,
+  needed: Set<MachineId>,
+): number {
+  let used = 0;
+  for (let index = list.length - 1; index >= 0 && used < tasks; index--) {
+    const capacity = list[index]!;
+    const placed = placeOn(capacity, job, tasks - used);
+    if (placed === 0) continue;
+    used += placed;
+    if (capacity.machine !== null) needed.add(capacity.machine.id);
+    // It belongs into another list now; the last of this list, examined already, takes its place.
+    const last = list.pop()!;
+    if (last !== capacity) list[index] = last;
+    pool.add(capacity);
   }
+  return used;
 }
 
-const whereOf = (job: Job, zone: ZoneName | null): string => `${zone ?? ''}|${placementKey(job.spec)}`;
+const scopeOf = (job: Job, zone: ZoneName | null): string => `${zone ?? ''}|${placementKey(job.spec)}`;
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,65 +1,83 @@
-// The cloud's list of machines, read every few seconds: what it says has failed is given up, and machines that nobody here has
-// rented, or whose rental was never answered, are taken up.
-import { addMs, type Instant, LONG_AGO, type MachineId, NEVER, type TypeName } from '../../types/index.ts';
+// The cloud's list of machines, read every few seconds: machines that it lists as failed are given up, and machines that are
+// not known here, from requests that were never answered, are adopted.
+import {
+  addMs,
+  type Instant,
+  LONG_AGO,
+  type MachineId,
+  type Millis,
+  NEVER,
+  type TypeName,
+} from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
-import type { ListedMachine, MachineType } from '../base/model.ts';
+import type { CloudReply, ListedMachine, MachineType } from '../base/model.ts';
+import type { Machine } from '../machines/machine.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
 
-const LIST_MS = 5000;
+const LIST_INTERVAL_MS: Millis = 5000;
 
+/** Reads the cloud's list. */
 export class CloudInventory {
   private nextList: Instant = LONG_AGO;
-  private listing = false;
+  private isListing = false;
 
   constructor(
     private readonly io: ControllerIo,
     private readonly machines: MachineTable,
     private readonly types: ReadonlyMap<TypeName, MachineType>,
-    /** Whether a rental is under way, whose machines may be listed before it is answered. */
-    private readonly renting: () => boolean,
+    /** Whether a request for machines is in flight, whose machines may be listed before it is answered. */
+    private readonly isRequestInFlight: () => boolean,
   ) {}
 
-  /** `recovered`: all machines on record have been heard, so that one that is not known is new. */
+  /** Reads the list when it is time; `recovered`: all machines on record are known, so that an unknown one is new. */
   tick(recovered: boolean): void {
-    if (this.listing || this.io.now < this.nextList) return;
-    this.listing = true;
-    this.nextList = addMs(this.io.now, LIST_MS);
-    this.listPage(null, recovered);
+    if (this.isListing || this.io.now < this.nextList) return;
+    this.isListing = true;
+    this.nextList = addMs(this.io.now, LIST_INTERVAL_MS);
+    this.requestPage(null, recovered);
   }
 
-  private listPage(after: MachineId | null, recovered: boolean): void {
-    this.io.cloud({ kind: 'list', after }, (r) => {
-      if (r.kind !== 'listed') {
-        this.listing = false;
-        return;
-      }
-      for (const m of r.machines) this.onListed(m, recovered);
-      const last = r.machines.at(-1);
-      if (r.more && last !== undefined) this.listPage(last.id, recovered);
-      else this.listing = false;
-    });
+  private requestPage(after: MachineId | null, recovered: boolean): void {
+    this.io.cloud({ kind: 'list', after }, (reply) => this.onPage(reply, recovered));
   }
 
-  private onListed(l: ListedMachine, recovered: boolean): void {
-    const m = this.machines.byId.get(l.id);
-    if (m !== undefined) {
-      m.addr ??= l.addr;
-      if (l.status === 'failed') {
-        this.machines.removeAllTasks(m);
-        m.drainReason ??= 'failed';
-        m.isReconciled = true;
-        m.isUp = true;
-        this.machines.beginRelease(m);
-      }
+  private onPage(reply: CloudReply, recovered: boolean): void {
+    if (reply.kind !== 'listed') {
+      this.isListing = false;
       return;
     }
-    // Unanswered requests may have rented it, or it is from an earlier term: it is used or returned.
-    if (!recovered || this.machines.tombstones.has(l.id) || this.renting()) return;
-    const type = this.types.get(l.type);
+    for (const listed of reply.machines) this.onListed(listed, recovered);
+    const last = reply.machines.at(-1);
+    if (reply.more && last !== undefined) this.requestPage(last.id, recovered);
+    else this.isListing = false;
+  }
+
+  private onListed(listed: ListedMachine, recovered: boolean): void {
+    const machine = this.machines.byId.get(listed.id);
+    if (machine === undefined) {
+      this.adopt(listed, recovered);
+      return;
+    }
+    machine.addr ??= listed.addr;
+    if (listed.status === 'failed') this.giveUp(machine);
+  }
+
+  private giveUp(machine: Machine): void {
+    this.machines.removeAllTasks(machine);
+    machine.drainReason ??= 'failed';
+    machine.isReconciled = true;
+    machine.isUp = true;
+    this.machines.beginRelease(machine);
+  }
+
+  /** From a request that was not answered, or from an earlier term: it is used, or released again. */
+  private adopt(listed: ListedMachine, recovered: boolean): void {
+    if (!recovered || this.machines.tombstones.has(listed.id) || this.isRequestInFlight()) return;
+    const type = this.types.get(listed.type);
     if (type === undefined) return;
-    this.io.log('info', 'machine adopted from the list', { machine: l.id, status: l.status });
-    const found = this.machines.addMachine(l.id, type, l.zone, l.spot, NEVER);
-    found.addr = l.addr;
-    if (l.status === 'failed') found.isReleasing = true;
+    this.io.log('info', 'machine adopted from the list', { machine: listed.id, status: listed.status });
+    const machine = this.machines.addMachine(listed.id, type, listed.zone, listed.spot, NEVER);
+    machine.addr = listed.addr;
+    if (listed.status === 'failed') machine.isReleasing = true;
   }
 }
--- /dev/null
+++ b/src/core/autoscaling/demand-planner.ts
@@ -0,0 +1,95 @@
+// Plans capacity for the demand: the open jobs in the order in which they are provided for, and spare capacity.
+import type { MachineId, TeamName, TypeName } from '../../types/index.ts';
+import type { MachineType } from '../base/model.ts';
+import type { Job } from '../jobs/job.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import { isGang } from '../jobs/placement-constraints.ts';
+import type { Quota, TeamUsage } from '../teams/quota.ts';
+import { CapacityPlan } from './capacity-plan.ts';
+import type { OfferBackoff } from './offer-backoff.ts';
+import type { OfferSelection } from './offer-selection.ts';
+import type { ScaleOut, ScaleOutRequest } from './scale-out.ts';
+import { readyTimeS, type SpareCapacity } from './spare-capacity.ts';
+import type { SupplyForecast } from './supply-forecast.ts';
+
+/** For a job that failed on so many machines in a row no capacity is provided. */
+const MAX_FAILED_MACHINES = 3;
+
+/** What {@link DemandPlanner} depends on. */
+export interface DemandPlannerDependencies {
+  jobs: JobTable;
+  quota: Quota;
+  types: ReadonlyMap<TypeName, MachineType>;
+  supplyForecast: SupplyForecast;
+  spareCapacity: SpareCapacity;
+  offers: OfferSelection;
+  backoff: OfferBackoff;
+  scaleOut: ScaleOut;
+}
+
+/** Makes plans. */
+export class DemandPlanner {
+  /** Machines that the last plan uses: they are not released. */
+  readonly neededMachines = new Set<MachineId>();
+  private readonly jobs: JobTable;
+  private readonly quota: Quota;
+  private readonly types: ReadonlyMap<TypeName, MachineType>;
+  private readonly supplyForecast: SupplyForecast;
+  private readonly spareCapacity: SpareCapacity;
+  private readonly offers: OfferSelection;
+  private readonly backoff: OfferBackoff;
+  private readonly scaleOut: ScaleOut;
+
+  constructor(dependencies: DemandPlannerDependencies) {
+    this.jobs = dependencies.jobs;
+    this.quota = dependencies.quota;
+    this.types = dependencies.types;
+    this.supplyForecast = dependencies.supplyForecast;
+    this.spareCapacity = dependencies.spareCapacity;
+    this.offers = dependencies.offers;
+    this.backoff = dependencies.backoff;
+    this.scaleOut = dependencies.scaleOut;
+  }
+
+  /** Plans for all demand; returns the requests for machines that have to be made. */
+  plan(): ScaleOutRequest[] {
+    const supply = this.supplyForecast.forecast();
+    this.neededMachines.clear();
+    const { offers, backoff, scaleOut, neededMachines } = this;
+    const plan = new CapacityPlan({ supply, offers, backoff, scaleOut, neededMachines });
+    const plannedByTeam = new Map<TeamName, TeamUsage>();
+    for (const job of this.demand()) {
+      const unplaced = job.waitingTasks + job.queuedTasks;
+      plan.provideForJob(job, Math.min(unplaced, this.tasksWithinQuota(job, plannedByTeam)));
+    }
+    const readyS = (job: Job): number => readyTimeS(this.types.values(), job.spec);
+    for (const requirement of this.spareCapacity.requirements(readyS)) plan.provideSpare(requirement);
+    return plan.requests;
+  }
+
+  /** Jobs with unplaced tasks; what is hard to place goes first: GPUs, then gangs. */
+  private demand(): Job[] {
+    const jobs = [...this.jobs.openJobs.values()].filter(
+      (job) => !job.isCancelling && job.unplacedTasks > 0 && job.failedOn.size < MAX_FAILED_MACHINES,
+    );
+    return jobs.sort(
+      (a, b) =>
+        b.priority - a.priority ||
+        b.spec.gpus - a.spec.gpus ||
+        Number(isGang(b.spec)) - Number(isGang(a.spec)) ||
+        a.readyAt - b.readyAt,
+    );
+  }
+
+  /**
+   * How many of the job's tasks its team's quota allows beside those planned for before it: of a team near its limit each
+   * job alone might still be allowed, but not all of them together.
+   */
+  private tasksWithinQuota(job: Job, plannedByTeam: Map<TeamName, TeamUsage>): number {
+    const { team, cpus, gpus } = job.spec;
+    const planned = plannedByTeam.get(team) ?? { cpus: 0, gpus: 0 };
+    const tasks = Math.min(job.waitingTasks, this.quota.allowedTasks(job, planned));
+    plannedByTeam.set(team, { cpus: planned.cpus + cpus * tasks, gpus: planned.gpus + gpus * tasks });
+    return tasks + job.queuedTasks;
+  }
+}
--- /dev/null
+++ b/src/core/autoscaling/offer-selection.ts
@@ -0,0 +1,105 @@
+// Which of the cloud's offers suit a job, by their price for each task.
+import type { TypeName, ZoneName } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { JobSpec, MachineType } from '../base/model.ts';
+import type { Job } from '../jobs/job.ts';
+import type { JobOrdering } from '../jobs/job-ordering.ts';
+import { mayRunOnType, tasksPerMachine } from '../jobs/placement-constraints.ts';
+import type { MachineOffer } from './machine-offer.ts';
+import type { OfferBackoff } from './offer-backoff.ts';
+import type { ZoneReachability } from './zone-reachability.ts';
+
+/** An offer above this many times the price at which the task could run elsewhere is used for urgent work only. */
+const MAX_PRICE_RATIO = 8;
+/** Jobs of this priority or above are urgent at once. */
+const URGENT_PRIORITY = 2;
+/** Machines with GPUs count as more expensive for jobs that need none. */
+const UNUSED_GPU_COST_FACTOR = 1.5;
+/** Costs are raised at random by up to a hundredth, in so many steps, so that equal offers are used in turn. */
+const COST_VARIATION_STEPS = 100;
+const COST_VARIATION_DIVISOR = 10_000;
+
+/** An offer with its price per hour for each task that a machine holds, as it is compared with others. */
+export interface PricedOffer extends MachineOffer {
+  readonly costPerTask: number;
+}
+
+/** What {@link OfferSelection} depends on. */
+export interface OfferSelectionDependencies {
+  io: ControllerIo;
+  types: ReadonlyMap<TypeName, MachineType>;
+  ordering: JobOrdering;
+  backoff: OfferBackoff;
+  reachability: ZoneReachability;
+}
+
+/** Selects offers. */
+export class OfferSelection {
+  private readonly io: ControllerIo;
+  private readonly types: ReadonlyMap<TypeName, MachineType>;
+  private readonly ordering: JobOrdering;
+  private readonly backoff: OfferBackoff;
+  private readonly reachability: ZoneReachability;
+
+  constructor(dependencies: OfferSelectionDependencies) {
+    this.io = dependencies.io;
+    this.types = dependencies.types;
+    this.ordering = dependencies.ordering;
+    this.backoff = dependencies.backoff;
+    this.reachability = dependencies.reachability;
+  }
+
+  /** All zones of the cloud. */
+  allZones(): ZoneName[] {
+    return [...new Set([...this.types.values()].flatMap((type) => type.zones))];
+  }
+
+  /** Where the job's tasks could run, cheapest first; offers backed off and unreachable zones are left out. */
+  offersFor(job: Job): PricedOffer[] {
+    const offers: PricedOffer[] = [];
+    let cheapest = Number.POSITIVE_INFINITY;
+    for (const type of this.types.values()) {
+      const tasks = tasksPerMachine(type, job.spec);
+      if (tasks < 1 || !mayRunOnType(type, job.spec)) continue;
+      cheapest = Math.min(cheapest, lowestPrice(type, job.spec) / tasks);
+      for (const zone of type.zones) {
+        if (job.spec.zone !== null && job.spec.zone !== zone) continue;
+        if (this.reachability.isUnreachable(zone)) continue;
+        this.addOffers(offers, type, zone, job.spec, tasks);
+      }
+    }
+    // Above this, waiting for capacity that others leave costs the users less than the machine does.
+    const maxCost = this.isUrgent(job) ? Number.POSITIVE_INFINITY : cheapest * MAX_PRICE_RATIO;
+    return offers
+      .filter((offer) => offer.costPerTask <= maxCost)
+      .sort((a, b) => a.costPerTask - b.costPerTask);
+  }
+
+  private addOffers(
+    offers: PricedOffer[],
+    type: MachineType,
+    zone: ZoneName,
+    spec: JobSpec,
+    tasks: number,
+  ): void {
+    for (const spot of spec.spot ? [true, false] : [false]) {
+      const offer = { type, zone, spot, costPerTask: 0 };
+      if (this.backoff.isBackedOff(offer)) continue;
+      const price = spot ? type.spotPrice : type.price;
+      const gpuFactor = spec.gpus === 0 && type.gpus > 0 ? UNUSED_GPU_COST_FACTOR : 1;
+      const variation = this.io.random.below(COST_VARIATION_STEPS) / COST_VARIATION_DIVISOR;
+      offer.costPerTask = (price / tasks) * gpuFactor * (1 + variation);
+      offers.push(offer);
+    }
+  }
+
+  /** Urgent by its priority, or because half of the time in which it should start has passed. */
+  private isUrgent(job: Job): boolean {
+    if (job.spec.priority >= URGENT_PRIORITY) return true;
+    const waitedS = (this.io.now - job.readyAt) / 1000;
+    return waitedS >= this.ordering.slackS(job, this.io.now, this.io.wallTime);
+  }
+}
+
+const lowestPrice = (type: MachineType, spec: JobSpec): number =>
+  spec.spot ? Math.min(type.spotPrice, type.price) : type.price;
--- a/src/core/jobs/task-capacity.ts
+++ b/src/core/jobs/task-capacity.ts
@@ -1,5 +1,4 @@
-// How many tasks fit: into an amount of free capacity, and of a job with the spread constraint into one zone.
-import type { JobSpec } from '../base/model.ts';
+// How many tasks fit into an amount of free capacity.
 
 /** Tolerance for sums of fractional CPUs, GPUs and GB. */
 const ROUNDING_TOLERANCE = 1e-9;
@@ -7,6 +6,3 @@
 /** How many tasks that need `perTask` each fit into `free` of one resource; infinite if they need none of it. */
 export const tasksFittingResource = (free: number, perTask: number): number =>
   perTask <= 0 ? Number.POSITIVE_INFINITY : Math.floor((free + ROUNDING_TOLERANCE) / perTask);
-
-/** The most tasks of a job with the spread constraint that may be in one zone: half of them, rounded up. */
-export const maxTasksPerZone = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -4,6 +4,7 @@
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
 import { isGang } from '../jobs/placement-constraints.ts';
+import { isBoundToSameZone, isSpread } from '../jobs/zone-constraints.ts';
 import { type CapacityIndex, sampleFrom } from '../machines/capacity-index.ts';
 import { hasCapacityAhead, isZoneAllowed, type Machine, type MachinePool } from '../machines/machine.ts';
 import type { Quota } from '../teams/quota.ts';
@@ -218,4 +219,4 @@
 }
 
 /** Whether the zones of the job's other tasks limit where a task may go. */
-const hasZoneConstraint = (job: Job): boolean => job.spec.tasks > 1 && (job.spec.oneZone || job.spec.spread);
+const hasZoneConstraint = ({ spec }: Job): boolean => isSpread(spec) || isBoundToSameZone(spec);
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -236,7 +236,7 @@
   w.run(10);
   const from = w.logs.length;
   w.run(300);
-  const asked = w.logs.slice(from).filter((l) => l.includes(' renting '));
+  const asked = w.logs.slice(from).filter((l) => l.includes(' requesting machines '));
   const offers = asked.map((l) => l.replace(/"request":"[^"]*",/, ''));
   assert.equal(new Set(offers).size, offers.length, 'the same was asked twice at once');
   assert.ok(offers.length > 0 && offers.length < 30, `${offers.length} requests`);
