--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,4 +1,5 @@
-// Scales the fleet out and in: requests machines for the demand that the supply does not cover, and releases idle ones.
+// Scales the fleet out and in: requests machines for the demand that the supply does not cover, and releases
+// idle ones.
 import {
   addMs,
   type Instant,
@@ -101,14 +102,14 @@
   }
 
   /**
-   * `recovered`: every machine on record has been heard from or given up, and machines may be commanded. `holdsLease`: no
-   * other leader can exist.
+   * `recovered`: every machine on record has been heard from or given up, and machines may be commanded.
+   * `holdsLease`: no other leader can exist.
    */
   tick(recovered: boolean, holdsLease: boolean): void {
     if (this.types.size === 0) return;
     this.inventory.tick(recovered);
-    // Which machines are needed is known from the last plan; before the first, none has been idle for long enough.
-    // Releases go ahead of requests, which are repeated as long as anything waits.
+    // Which machines are needed is known from the last plan; before the first, none has been idle for long
+    // enough. Releases go ahead of requests, which are repeated as long as anything waits.
     this.scaleIn.tick(recovered, holdsLease);
     this.scaleOut.send();
     if (recovered && this.io.now >= this.nextPlan) this.plan();
--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -1,4 +1,5 @@
-// One plan: packs the tasks of one job after the other onto the supply, and requests machines for what does not fit.
+// One plan: packs the tasks of one job after the other onto the supply, and requests machines for what does
+// not fit.
 import type { MachineId, ZoneName } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 import { isGang, tasksPerMachine } from '../jobs/placement-constraints.ts';
@@ -12,7 +13,10 @@
 
 /** Machines that the cloud provides for one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** Requests for one offer in a plan; of what was refused last time one request finds out whether there is more. */
+/**
+ * Requests for one offer in a plan; of what was refused last time one request finds out whether there is
+ * more.
+ */
 const MAX_REQUESTS_PER_OFFER = 8;
 const MAX_REQUESTS_AFTER_REFUSAL = 1;
 
@@ -57,7 +61,10 @@
     else this.provide(job, tasks, null);
   }
 
-  /** Spare capacity for gangs bound to a zone is kept in parts that hold the largest of them, each in one zone. */
+  /**
+   * Spare capacity for gangs bound to a zone is kept in parts that hold the largest of them, each in one
+   * zone.
+   */
   provideSpare({ job, tasks, maxTasksPerJob }: SpareRequirement): void {
     if (job.spec.kind !== 'gang' || !job.spec.oneZone) {
       this.provide(job, tasks, null);
@@ -93,8 +100,8 @@
   }
 
   /**
-   * Capacity in a zone that has as many of the job's tasks as it may have is of no use to it: counted for the job, it kept
-   * machines from being requested where they could be used.
+   * Capacity in a zone that has as many of the job's tasks as it may have is of no use to it: counted for the
+   * job, it kept machines from being requested where they could be used.
    */
   private provideSpread(job: Job, tasks: number): void {
     this.provide(job, Math.min(tasks, job.queuedTasks), null);
@@ -130,7 +137,9 @@
     return this.offers.allZones();
   }
 
-  /** Requests machines for the tasks, cheapest offers first; what is left of them serves the jobs that follow. */
+  /**
+   * Requests machines for the tasks, cheapest offers first; what is left of them serves the jobs that follow.
+   */
   private requestMachines(job: Job, tasks: number, zone: ZoneName | null): void {
     let remaining = tasks;
     for (const offer of this.offers.offersFor(job)) {
--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -65,7 +65,10 @@
   return Math.max(0, slots);
 }
 
-/** The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may have capacity. */
+/**
+ * The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may have
+ * capacity.
+ */
 class PoolCapacity {
   /** First by GPUs, then by CPUs. */
   private readonly byGpus: MachineCapacity[][][] = [];
@@ -135,7 +138,10 @@
     return found;
   }
 
-  /** Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many there was any. */
+  /**
+   * Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many there was
+   * any.
+   */
   use(job: Job, tasks: number, zone: ZoneName | null, needed: Set<MachineId>): number {
     const scope = scopeOf(job, zone);
     if (this.hasFailed(job, scope)) return 0;
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,5 +1,5 @@
-// The cloud's list of machines, read every few seconds: machines that it lists as failed are given up, and machines that are
-// not known here, from requests that were never answered, are adopted.
+// The cloud's list of machines, read every few seconds: machines that it lists as failed are given up, and
+// machines that are not known here, from requests that were never answered, are adopted.
 import {
   addMs,
   type Instant,
@@ -29,7 +29,10 @@
     private readonly isRequestInFlight: () => boolean,
   ) {}
 
-  /** Reads the list when it is time; `recovered`: all machines on record are known, so that an unknown one is new. */
+  /**
+   * Reads the list when it is time; `recovered`: all machines on record are known, so that an unknown one is
+   * new.
+   */
   tick(recovered: boolean): void {
     if (this.isListing || this.io.now < this.nextList) return;
     this.isListing = true;
--- a/src/core/autoscaling/demand-planner.ts
+++ b/src/core/autoscaling/demand-planner.ts
@@ -1,4 +1,5 @@
-// Plans capacity for the demand: the open jobs in the order in which they are provided for, and spare capacity.
+// Plans capacity for the demand: the open jobs in the order in which they are provided for, and spare
+// capacity.
 import type { MachineId, TeamName, TypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -82,8 +83,8 @@
   }
 
   /**
-   * How many of the job's tasks its team's quota allows beside those planned for before it: of a team near its limit each
-   * job alone might still be allowed, but not all of them together.
+   * How many of the job's tasks its team's quota allows beside those planned for before it: of a team near
+   * its limit each job alone might still be allowed, but not all of them together.
    */
   private tasksWithinQuota(job: Job, plannedByTeam: Map<TeamName, TeamUsage>): number {
     const { team, cpus, gpus } = job.spec;
--- a/src/core/autoscaling/offer-backoff.ts
+++ b/src/core/autoscaling/offer-backoff.ts
@@ -1,5 +1,5 @@
-// Offers of which the cloud had fewer machines than requested: they are left out for a while, longer with each refusal in a
-// row, as requests for what is not there would use up the cloud's call budget.
+// Offers of which the cloud had fewer machines than requested: they are left out for a while, longer with
+// each refusal in a row, as requests for what is not there would use up the cloud's call budget.
 import { addMs, type Instant, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type MachineOffer, offerKey } from './machine-offer.ts';
--- a/src/core/autoscaling/offer-selection.ts
+++ b/src/core/autoscaling/offer-selection.ts
@@ -9,13 +9,18 @@
 import type { OfferBackoff } from './offer-backoff.ts';
 import type { ZoneReachability } from './zone-reachability.ts';
 
-/** An offer above this many times the price at which the task could run elsewhere is used for urgent work only. */
+/**
+ * An offer above this many times the price at which the task could run elsewhere is used for urgent work
+ * only.
+ */
 const MAX_PRICE_RATIO = 8;
 /** Jobs of this priority or above are urgent at once. */
 const URGENT_PRIORITY = 2;
 /** Machines with GPUs count as more expensive for jobs that need none. */
 const UNUSED_GPU_COST_FACTOR = 1.5;
-/** Costs are raised at random by up to a hundredth, in so many steps, so that equal offers are used in turn. */
+/**
+ * Costs are raised at random by up to a hundredth, in so many steps, so that equal offers are used in turn.
+ */
 const COST_VARIATION_STEPS = 100;
 const COST_VARIATION_DIVISOR = 10_000;
 
@@ -54,7 +59,9 @@
     return [...new Set([...this.types.values()].flatMap((type) => type.zones))];
   }
 
-  /** Where the job's tasks could run, cheapest first; offers backed off and unreachable zones are left out. */
+  /**
+   * Where the job's tasks could run, cheapest first; offers backed off and unreachable zones are left out.
+   */
   offersFor(job: Job): PricedOffer[] {
     const offers: PricedOffer[] = [];
     let cheapest = Number.POSITIVE_INFINITY;
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,4 +1,5 @@
-// Releases machines to the cloud: idle ones that nothing is planned for, drained ones, and those that never came up.
+// Releases machines to the cloud: idle ones that nothing is planned for, drained ones, and those that never
+// came up.
 import { addMs, type Instant, LONG_AGO, type MachineId, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply } from '../base/model.ts';
@@ -14,7 +15,10 @@
 const RETRY_DELAY_MS: Millis = 1000;
 /** An idle machine is kept for the first minute. */
 const MIN_AGE_MS: Millis = 60_000;
-/** An idle machine is kept as long as a new one would take to get ready: that costs at most twice the best choice. */
+/**
+ * An idle machine is kept as long as a new one would take to get ready: that costs at most twice the best
+ * choice.
+ */
 const IDLE_MS_PER_BOOT_S = 400;
 /** A machine that is not up by then never comes up. */
 const BOOT_TIMEOUT_MS_PER_BOOT_S = 4000;
@@ -60,10 +64,10 @@
   }
 
   /**
-   * Releases what need not be kept. Machines stay in use until the call is made: with few calls a second, ones marked ahead
-   * of it stood idle, and were paid for, beside waiting work. `mayReleaseIdle`: the state is known well enough to tell which
-   * machines are idle. `holdsLease`: no other leader can exist; without it, no machine is released that the next leader may
-   * be using.
+   * Releases what need not be kept. Machines stay in use until the call is made: with few calls a second,
+   * ones marked ahead of it stood idle, and were paid for, beside waiting work. `mayReleaseIdle`: the state
+   * is known well enough to tell which machines are idle. `holdsLease`: no other leader can exist; without
+   * it, no machine is released that the next leader may be using.
    */
   tick(mayReleaseIdle: boolean, holdsLease: boolean): void {
     if (this.isCallInFlight || this.io.now < this.nextCall) return;
--- a/src/core/autoscaling/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -1,5 +1,5 @@
-// Spare capacity for classes whose objectives allow a shorter wait than a machine takes to boot: jobs that arrive during a
-// boot must find capacity ready. How much follows from the objectives and the arrivals seen.
+// Spare capacity for classes whose objectives allow a shorter wait than a machine takes to boot: jobs that
+// arrive during a boot must find capacity ready. How much follows from the objectives and the arrivals seen.
 import { elapsedMs, type Instant, type Millis, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, MachineType, Objective, Team } from '../base/model.ts';
@@ -73,7 +73,10 @@
     this.classes.set(job.spec.class, known);
   }
 
-  /** What to keep for each class; `readyS`: how long a new machine takes until a task of the job can run on it. */
+  /**
+   * What to keep for each class; `readyS`: how long a new machine takes until a task of the job can run on
+   * it.
+   */
   requirements(readyS: (job: Job) => number): SpareRequirement[] {
     const requirements: SpareRequirement[] = [];
     if (this.windowMs < MIN_WINDOW_MS) return requirements;
@@ -107,7 +110,10 @@
     };
   }
 
-  /** Tasks of the class expected to arrive within a time, at the rate seen lately; infinite while no rate is known. */
+  /**
+   * Tasks of the class expected to arrive within a time, at the rate seen lately; infinite while no rate is
+   * known.
+   */
   expectedArrivals(className: string, withinMs: Millis): number {
     const known = this.classes.get(className);
     const { windowMs } = this;
@@ -142,7 +148,8 @@
 }
 
 /**
- * Standard normal quantile for shares from a half up, to within a few hundredths (Abramowitz and Stegun, 26.2.22).
+ * Standard normal quantile for shares from a half up, to within a few hundredths (Abramowitz and Stegun,
+ * 26.2.22).
  */
 export function quantile(share: number): number {
   const probability = Math.min(MAX_SHARE, Math.max(MIN_SHARE, share));
@@ -150,7 +157,9 @@
   return Math.max(0, t - (2.30753 + 0.27061 * t) / (1 + 0.99229 * t + 0.04481 * t * t));
 }
 
-/** Seconds until a task of the job can run on a new machine of the quickest type that fits; 0 if none does. */
+/**
+ * Seconds until a task of the job can run on a new machine of the quickest type that fits; 0 if none does.
+ */
 export function readyTimeS(types: Iterable<MachineType>, spec: JobSpec): number {
   let best = Number.POSITIVE_INFINITY;
   for (const type of types) {
--- a/src/core/autoscaling/supply-forecast.ts
+++ b/src/core/autoscaling/supply-forecast.ts
@@ -16,7 +16,9 @@
 import type { ScaleOut } from './scale-out.ts';
 import type { ZoneReachability } from './zone-reachability.ts';
 
-/** A task that ends within this fraction of its machine's boot time ends before a new machine would be ready. */
+/**
+ * A task that ends within this fraction of its machine's boot time ends before a new machine would be ready.
+ */
 const ENDS_SOON_BOOT_FRACTION = 0.7;
 
 /** What {@link SupplyForecast} depends on. */
--- a/src/core/autoscaling/zone-reachability.ts
+++ b/src/core/autoscaling/zone-reachability.ts
@@ -1,10 +1,13 @@
-// Zones from whose machines hardly any heartbeat arrives: most likely cut off by a network partition. Machines requested
-// there would boot and never be heard from.
+// Zones from whose machines hardly any heartbeat arrives: most likely cut off by a network partition.
+// Machines requested there would boot and never be heard from.
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Machine } from '../machines/machine.ts';
 
-/** A zone counts as unreachable when more than this fraction of its machines, and at least so many, are silent. */
+/**
+ * A zone counts as unreachable when more than this fraction of its machines, and at least so many, are
+ * silent.
+ */
 const MAX_SILENT_FRACTION = 0.7;
 const MIN_SILENT_MACHINES = 3;
 /** How long it counts as such once its silent machines have been released and nothing more is known of it. */
@@ -28,8 +31,9 @@
   }
 
   /**
-   * Brings the zones up to date with the machines. A zone stays unreachable for a while, or until one of its machines is
-   * heard. A controller that hears from no zone at all is cut off itself, and counts none as unreachable.
+   * Brings the zones up to date with the machines. A zone stays unreachable for a while, or until one of its
+   * machines is heard. A controller that hears from no zone at all is cut off itself, and counts none as
+   * unreachable.
    */
   update(machines: Iterable<Machine>): void {
     const zones = countHeartbeats(machines);
--- a/src/core/scheduling/bin-packing.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -1,5 +1,5 @@
-// How well a task suits a machine: what other waiting work could no longer use the machine's capacity. The choice among
-// machines with equal scores stays random, as join-below-threshold demands.
+// How well a task suits a machine: what other waiting work could no longer use the machine's capacity. The
+// choice among machines with equal scores stays random, as join-below-threshold demands.
 import type { TypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -9,11 +9,16 @@
 
 /** A task is not put where it displaces waiting work worth this many times as much. */
 const WASTEFUL_COST_RATIO = 1.6;
-/** Expensive machines are left to fall idle, and be returned, before cheap ones: per factor e of the price. */
+/**
+ * Expensive machines are left to fall idle, and be returned, before cheap ones: per factor e of the price.
+ */
 const PRICE_WEIGHT = 0.4;
 /** Fuller machines are filled first: emptier ones drain, for tasks that need them whole or to be returned. */
 const FREE_CPUS_WEIGHT = 1.5;
-/** The weight of a start that takes all the slack of a job in a dependency chain, and the most that it counts for. */
+/**
+ * The weight of a start that takes all the slack of a job in a dependency chain, and the most that it counts
+ * for.
+ */
 const LATE_START_WEIGHT = 2;
 const MAX_LATE_START_PENALTY = 1;
 const MIN_FETCH_GB_PER_S = 1e-3;
@@ -23,8 +28,8 @@
   private readonly classValues: ClassValues;
 
   /**
-   * `shortestWaitS`: the shortest wait that an objective demands for a class, null if none does. `heartbeatDueInS`: how
-   * long a start command waits for the machine's next heartbeat.
+   * `shortestWaitS`: the shortest wait that an objective demands for a class, null if none does.
+   * `heartbeatDueInS`: how long a start command waits for the machine's next heartbeat.
    */
   constructor(
     types: Map<TypeName, MachineType>,
@@ -73,8 +78,8 @@
   score(job: Job, machine: Machine): number {
     const { type, spot } = machine;
     const capacity = freeCapacityOf(machine);
-    // Work is not kept from a machine for the sake of what is less urgent: services found 197 machines standing idle,
-    // each worth more to a gang of lower priority.
+    // Work is not kept from a machine for the sake of what is less urgent: services found 197 machines
+    // standing idle, each worth more to a gang of lower priority.
     const costToUrgent = this.displacementCost(job, type, capacity, spot, job.priority);
     if (costToUrgent > WASTEFUL_COST_RATIO) return Number.POSITIVE_INFINITY;
     // Among those it may use, still the one that is worth least to all others.
@@ -83,8 +88,8 @@
         ? costToUrgent
         : this.displacementCost(job, type, capacity, spot, this.leastPriority);
     const freeCpusAfter = Math.max(0, machine.freeCpus - job.spec.cpus) / type.cpus;
-    // Only penalties from here on, never infinite: a fetch displaces nobody, and however long it takes, it must not keep
-    // a task from a machine that stands idle.
+    // Only penalties from here on, never infinite: a fetch displaces nobody, and however long it takes, it
+    // must not keep a task from a machine that stands idle.
     const suitability =
       cost +
       this.fetchPenalty(job, machine) +
@@ -94,8 +99,8 @@
   }
 
   /**
-   * What the capacity is worth less with the task in it, to work of at least this priority, in units of the task's own
-   * value.
+   * What the capacity is worth less with the task in it, to work of at least this priority, in units of the
+   * task's own value.
    */
   private displacementCost(
     job: Job,
@@ -141,8 +146,8 @@
   }
 
   /**
-   * The fraction of its slack that waiting for the machine's next heartbeat, and for the image, would take from a job in a
-   * dependency chain: a chain pays it for every job in it.
+   * The fraction of its slack that waiting for the machine's next heartbeat, and for the image, would take
+   * from a job in a dependency chain: a chain pays it for every job in it.
    */
   private lateStartPenalty(job: Job, machine: Machine): number {
     if (!job.isInDependencyChain || job.slackS === null) return 0;
--- a/src/core/scheduling/capacity-search.ts
+++ b/src/core/scheduling/capacity-search.ts
@@ -2,7 +2,10 @@
 import type { JobSpec } from '../base/model.ts';
 import type { CapacityBucket } from '../machines/machine.ts';
 
-/** Whether a machine of the bucket may have the CPUs and GPUs that a task needs; cheaper than asking each machine. */
+/**
+ * Whether a machine of the bucket may have the CPUs and GPUs that a task needs; cheaper than asking each
+ * machine.
+ */
 export const bucketMayFit = (bucket: CapacityBucket, spec: JobSpec): boolean =>
   bucket.cpusBelow > spec.cpus && bucket.gpusBelow > spec.gpus;
 
--- a/src/core/scheduling/class-values.ts
+++ b/src/core/scheduling/class-values.ts
@@ -1,5 +1,5 @@
-// What a task of each class is worth, by the price of the machines that it needs, and from that what free capacity is worth
-// to the work that waits or is expected.
+// What a task of each class is worth, by the price of the machines that it needs, and from that what free
+// capacity is worth to the work that waits or is expected.
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec, MachineType, Priority } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -56,8 +56,9 @@
   constructor(private readonly types: ReadonlyMap<TypeName, MachineType>) {}
 
   /**
-   * Makes one profile for each class of the open jobs: the mean of what its tasks need. Capacity is kept for a class of
-   * which none wait only as far as tasks of it are expected soon; kept beyond that, it would stand idle and be paid for.
+   * Makes one profile for each class of the open jobs: the mean of what its tasks need. Capacity is kept for
+   * a class of which none wait only as far as tasks of it are expected soon; kept beyond that, it would stand
+   * idle and be paid for.
    */
   refresh(
     jobs: Iterable<Job>,
@@ -76,8 +77,8 @@
       this.cheapestPrices.set(className, this.cheapestPriceOfTask(mean, spec.machineTypes));
       this.values.set(className, value);
       const isWaiting = totals.waitingTasks > 0;
-      // While any of it waits all capacity counts: what was free beyond that was gone to small tasks before the next
-      // refresh.
+      // While any of it waits all capacity counts: what was free beyond that was gone to small tasks before
+      // the next refresh.
       let weight = 1;
       if (!isWaiting)
         weight = hasSlots(capacityIndex, spec, mean, expectedTasks(className)) ? 0 : EXPECTED_ONLY_WEIGHT;
@@ -105,7 +106,10 @@
     return this.cheapestPrices.get(className) ?? 0;
   }
 
-  /** What capacity on a machine of the type is worth to the class, of at least this priority, that it is worth most to. */
+  /**
+   * What capacity on a machine of the type is worth to the class, of at least this priority, that it is worth
+   * most to.
+   */
   valueOfCapacity(capacity: Capacity, type: TypeName, spot: boolean, minPriority: number): number {
     let best = 0;
     for (const profile of this.profiles) {
--- a/src/core/scheduling/fair-share.ts
+++ b/src/core/scheduling/fair-share.ts
@@ -1,7 +1,8 @@
-// What each team, and each class of jobs, gets at least while capacity is short. Of the machines that its work may use, a
-// team that keeps asking gets at least `team` times, and a class at least `class` times, its weighted max-min share in the
-// dominant resource, whatever others of the same priority ask for. Those below that floor go first until they reach it;
-// beyond it the order is that of the jobs. While there is capacity for all nothing is owed.
+// What each team, and each class of jobs, gets at least while capacity is short. Of the machines that its
+// work may use, a team that keeps asking gets at least `team` times, and a class at least `class` times, its
+// weighted max-min share in the dominant resource, whatever others of the same priority ask for. Those below
+// that floor go first until they reach it; beyond it the order is that of the jobs. While there is capacity
+// for all nothing is owed.
 import type { Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { dominantShare, maxMinShares, type ShareDemand } from '../teams/max-min-fairness.ts';
@@ -20,7 +21,9 @@
   tasks: number;
 }
 
-/** The floors of teams, or of classes, as dominant shares of a machine set, and what they use there, by name. */
+/**
+ * The floors of teams, or of classes, as dominant shares of a machine set, and what they use there, by name.
+ */
 interface Shares {
   floors: Map<string, number>;
   used: Map<string, Resources>;
--- a/src/core/scheduling/gang-scheduler.ts
+++ b/src/core/scheduling/gang-scheduler.ts
@@ -1,5 +1,6 @@
-// Gang scheduling: all tasks of a gang get their machines at once, under one attempt; a waiting gang that lost a task gets
-// a replacement under the same attempt. For a gang that finds no capacity, machines are reserved in one zone.
+// Gang scheduling: all tasks of a gang get their machines at once, under one attempt; a waiting gang that
+// lost a task gets a replacement under the same attempt. For a gang that finds no capacity, machines are
+// reserved in one zone.
 import type { ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type Job, TaskPhase } from '../jobs/job.ts';
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,5 +1,6 @@
-// In which order waiting jobs are served: priority, then teams within their guarantee, then the slack to the next deadline
-// that can still be met; while capacity is short, deferred jobs (late-job-selection.ts) come last.
+// In which order waiting jobs are served: priority, then teams within their guarantee, then the slack to the
+// next deadline that can still be met; while capacity is short, deferred jobs (late-job-selection.ts) come
+// last.
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
 import { ageS, type JobOrdering, type RuntimeEstimates, slackOf } from '../jobs/job-ordering.ts';
@@ -14,14 +15,19 @@
 export interface RankedJobs {
   /** By priority and guarantee; the jobs of one group go before all of the next. */
   groups: Job[][];
-  /** The machine sets of jobs for which capacity is short: among those, fair shares are kept (fair-share.ts). */
+  /**
+   * The machine sets of jobs for which capacity is short: among those, fair shares are kept (fair-share.ts).
+   */
   machineSets: ReadonlyMap<Job, MachineSet>;
   /** Jobs that cannot start in time. */
   deferred: ReadonlySet<Job>;
 }
 
 const MIN_DURATION_S = 1;
-/** Services have no estimate; one that competes with jobs of its priority is taken for a long job, not for none. */
+/**
+ * Services have no estimate; one that competes with jobs of its priority is taken for a long job, not for
+ * none.
+ */
 const ASSUMED_SERVICE_RUN_S = 300;
 
 /** A machine set that lacks capacity for all that waits for it. */
@@ -132,7 +138,10 @@
     return machineSets;
   }
 
-  /** Jobs of one group: those that can be in time by the deadlines that they are kept for, then the deferred ones. */
+  /**
+   * Jobs of one group: those that can be in time by the deadlines that they are kept for, then the deferred
+   * ones.
+   */
   private rankGroup(
     group: readonly WaitingJob[],
     shortages: ReadonlyMap<MachineSet, Shortage>,
--- a/src/core/scheduling/late-job-selection.ts
+++ b/src/core/scheduling/late-job-selection.ts
@@ -1,15 +1,19 @@
-// Which waiting jobs are deferred when not all of them can start in time. Served by slack alone, a fleet that is too small
-// starts every job just too late: each late job uses the capacity that the next one needed. So the jobs are gone through
-// in that order, and whenever more must start by some moment than there will be capacity for, the job with the most work
-// is deferred to its next deadline, and past its last one behind all that can be met (the Moore-Hodgson rule for the fewest
-// late jobs). While there is capacity for all no job is deferred, and the order is by slack.
+// Which waiting jobs are deferred when not all of them can start in time. Served by slack alone, a fleet that
+// is too small starts every job just too late: each late job uses the capacity that the next one needed. So
+// the jobs are gone through in that order, and whenever more must start by some moment than there will be
+// capacity for, the job with the most work is deferred to its next deadline, and past its last one behind all
+// that can be met (the Moore-Hodgson rule for the fewest late jobs). While there is capacity for all no job
+// is deferred, and the order is by slack.
 import TinyQueue from 'tinyqueue';
 import type { Job } from '../jobs/job.ts';
 
 /** A waiting job. */
 export interface Candidate {
   readonly job: Job;
-  /** Seconds from now by which its tasks should have started, one for each objective that can still be met, in order. */
+  /**
+   * Seconds from now by which its tasks should have started, one for each objective that can still be met, in
+   * order.
+   */
   readonly deadlines: readonly number[];
   /** What its waiting tasks need of the scarce resource. */
   readonly amount: number;
@@ -40,7 +44,9 @@
   late: C[];
 }
 
-/** Selects the late jobs; `alreadyUsed`: how much of the supply is used by jobs that go before all candidates. */
+/**
+ * Selects the late jobs; `alreadyUsed`: how much of the supply is used by jobs that go before all candidates.
+ */
 export function selectLateJobs<C extends Candidate>(
   candidates: readonly C[],
   supply: Supply,
@@ -74,7 +80,10 @@
   return { inTime: considered.filter((entry) => !deferred.has(entry)), late };
 }
 
-/** The index of the entry's first later deadline that is after the given time: what is due before has been settled. */
+/**
+ * The index of the entry's first later deadline that is after the given time: what is due before has been
+ * settled.
+ */
 function nextDeadlineAfter(entry: Entry<Candidate>, dueS: number): number {
   const { deadlines } = entry.candidate;
   let index = entry.deadlineIndex + 1;
--- a/src/core/scheduling/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -1,5 +1,5 @@
-// Machine sets: the machines that a group of jobs waits for. What can be started in a set follows from what is free there,
-// what comes free, and what is booting. Sets may overlap; each is considered by itself.
+// Machine sets: the machines that a group of jobs waits for. What can be started in a set follows from what
+// is free there, what comes free, and what is booting. Sets may overlap; each is considered by itself.
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -11,9 +11,9 @@
 import type { Supply } from './late-job-selection.ts';
 
 /**
- * The fraction of the capacity expected to come free that is counted on; the rest is lost to fragments that nothing fits
- * into, to reservations for larger tasks, and to work that goes first for other reasons. Measured: 0.6 is better than 1
- * and 0.8 (docs/results.md).
+ * The fraction of the capacity expected to come free that is counted on; the rest is lost to fragments that
+ * nothing fits into, to reservations for larger tasks, and to work that goes first for other reasons.
+ * Measured: 0.6 is better than 1 and 0.8 (docs/results.md).
  */
 const USABLE_FRACTION = 0.6;
 /** Boots take up to about this many times their usual time. */
@@ -114,7 +114,9 @@
     return free;
   }
 
-  /** For a set without capacity for all: what is free now is left out, as it will be used in this very cycle. */
+  /**
+   * For a set without capacity for all: what is free now is left out, as it will be used in this very cycle.
+   */
   supply(machineSet: MachineSet): Supply {
     const { resource, pools } = machineSet;
     let used = 0;
@@ -125,13 +127,17 @@
     return (withinS) => freedPerS * withinS + amount * Math.min(1, withinS / allBootedS);
   }
 
-  /** The fraction of what the set's machines run that ends in a second, from the mean run time of each class there. */
+  /**
+   * The fraction of what the set's machines run that ends in a second, from the mean run time of each class
+   * there.
+   */
   private completionRate({ resource, types }: MachineSet): number {
     let endingPerS = 0;
     let used = 0;
     for (const [className, { sum, spec }] of this.usage.on(types, 'classes')) {
       used += sum[resource];
-      // With their estimate of 0, services would count as ending every second, and capacity would never seem short.
+      // With their estimate of 0, services would count as ending every second, and capacity would never seem
+      // short.
       if (spec.kind === 'service') continue;
       const runS = this.estimates.meanRunS(className, spec.estimatedRunS);
       endingPerS += sum[resource] / Math.max(MIN_DURATION_S, runS);
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,6 +1,7 @@
-// Which running tasks are preempted for waiting work of a higher priority, and for nothing else (PROTOCOL, "Preemption"):
-// tasks of arrays that write checkpoints, have run for long enough that their start was worth it, and would not end as
-// soon by themselves. Chains of preemptions cannot form a cycle, since a victim always has the lower priority.
+// Which running tasks are preempted for waiting work of a higher priority, and for nothing else (PROTOCOL,
+// "Preemption"): tasks of arrays that write checkpoints, have run for long enough that their start was worth
+// it, and would not end as soon by themselves. Chains of preemptions cannot form a cycle, since a victim
+// always has the lower priority.
 import { elapsedMs, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -51,8 +52,8 @@
   }
 
   /**
-   * Seconds until the task's capacity is free if it is told to stop with its machine's next heartbeat response; null if it
-   * may not be preempted for the job.
+   * Seconds until the task's capacity is free if it is told to stop with its machine's next heartbeat
+   * response; null if it may not be preempted for the job.
    */
   secondsUntilFree(assignment: TaskAssignment, forJob: Job): number | null {
     if (!this.isPreemptible(assignment, forJob)) return null;
@@ -69,8 +70,8 @@
   }
 
   /**
-   * The tasks to preempt so that the machine has capacity for a task of the job, as few as possible; null if even all that
-   * may be preempted would not be enough.
+   * The tasks to preempt so that the machine has capacity for a task of the job, as few as possible; null if
+   * even all that may be preempted would not be enough.
    */
   findVictims(machine: Machine, job: Job): TaskAssignment[] | null {
     const capacity = new FreedCapacity(
--- a/src/core/scheduling/queued-task-return.ts
+++ b/src/core/scheduling/queued-task-return.ts
@@ -1,5 +1,5 @@
-// Takes tasks back that have been queued for too long while another machine could start them, and all tasks queued for
-// machines that can start none.
+// Takes tasks back that have been queued for too long while another machine could start them, and all tasks
+// queued for machines that can start none.
 import { addMs, type Instant, LONG_AGO, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,5 +1,6 @@
-// Machines reserved for a large task or a gang while capacity for it comes free on them. Without reservations, small
-// tasks refill each gap as it opens, and a task that needs most of a machine waits for ever.
+// Machines reserved for a large task or a gang while capacity for it comes free on them. Without
+// reservations, small tasks refill each gap as it opens, and a task that needs most of a machine waits for
+// ever.
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -16,14 +17,19 @@
 const MAX_EXPECTED_WAIT_S = 40;
 /** A reservation ends when the capacity has not come free this long after it was expected. */
 const PATIENCE_MS: Millis = 10_000;
-/** Bounds on what stands idle for this: a fraction of a pool's machines, and machines reserved in one cycle. */
+/**
+ * Bounds on what stands idle for this: a fraction of a pool's machines, and machines reserved in one cycle.
+ */
 const MAX_RESERVED_FRACTION = 0.25;
 const MAX_RESERVATIONS_PER_CYCLE = 24;
 /** Machines sampled in a pool for each one that is needed. */
 const MACHINES_SAMPLED_PER_RESERVATION = 6;
 /** A job is large if its tasks are worth this many times those of the least valuable class. */
 const LARGE_VALUE_RATIO = 2;
-/** A preemption counts like so many seconds more, and must free the capacity at least so much sooner than the task's end. */
+/**
+ * A preemption counts like so many seconds more, and must free the capacity at least so much sooner than the
+ * task's end.
+ */
 const PREEMPTION_PENALTY_S = 4;
 const MIN_PREEMPTION_GAIN_S = 8;
 
@@ -32,7 +38,10 @@
   until: Instant;
 }
 
-/** When a machine will have capacity for a task if nothing more is put on it, and the tasks to preempt for that. */
+/**
+ * When a machine will have capacity for a task if nothing more is put on it, and the tasks to preempt for
+ * that.
+ */
 interface ExpectedCapacity {
   inS: number;
   victims: TaskAssignment[];
@@ -101,7 +110,9 @@
     return this.byJob.get(job) ?? [];
   }
 
-  /** At the start of a scheduling cycle: reservations that are no longer needed, or have waited in vain, end. */
+  /**
+   * At the start of a scheduling cycle: reservations that are no longer needed, or have waited in vain, end.
+   */
   beginCycle(): void {
     this.remaining = MAX_RESERVATIONS_PER_CYCLE;
     this.preemption.beginCycle(this.machines.byId.size);
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,4 +1,5 @@
-// Scheduling cycles: places the tasks of waiting jobs in the order of their ranking, what fair shares owe first.
+// Scheduling cycles: places the tasks of waiting jobs in the order of their ranking, what fair shares owe
+// first.
 import { addMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -30,7 +31,10 @@
 /** Cycles are at least this far apart, and further with many jobs waiting. */
 const CYCLE_INTERVAL_MS = 40;
 const CYCLE_INTERVAL_MS_PER_JOB = 0.4;
-/** Somewhere in a large fleet something changes all the time; a cycle for each change would cost more than it finds. */
+/**
+ * Somewhere in a large fleet something changes all the time; a cycle for each change would cost more than it
+ * finds.
+ */
 const CYCLE_INTERVAL_MS_PER_MACHINE = 0.03;
 const MAX_CYCLE_INTERVAL_MS = 250;
 const MAX_TASKS_PER_CYCLE = 400;
--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -1,5 +1,5 @@
-// Join-below-threshold for one job: each task goes to a random one of the best machines with free capacity, else to one
-// of those whose queue is below the threshold, else it waits in the controller.
+// Join-below-threshold for one job: each task goes to a random one of the best machines with free capacity,
+// else to one of those whose queue is below the threshold, else it waits in the controller.
 import type { MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Places up to `maxTasks` tasks of the job, of a gang all or none; returns how many were placed. `mayReserve`: machines
-   * may be reserved for what found no place.
+   * Places up to `maxTasks` tasks of the job, of a gang all or none; returns how many were placed.
+   * `mayReserve`: machines may be reserved for what found no place.
    */
   placeTasks(job: Job, maxTasks: number, mayReserve: boolean): number {
     const allowed = this.quota.allowedTasks(job);
@@ -115,7 +115,10 @@
     this.reservations.reserve(job, Math.min(allowedTasks, job.waitingTasks), null);
   }
 
-  /** Fuller machines score better, so the next tasks of the job would come to the same machine: no need to search. */
+  /**
+   * Fuller machines score better, so the next tasks of the job would come to the same machine: no need to
+   * search.
+   */
   private placeOnSame(machine: Machine, job: Job, maxTasks: number): number {
     let placed = 0;
     while (placed < maxTasks && this.isSuitable(machine, job)) {
@@ -135,7 +138,10 @@
     );
   }
 
-  /** Random among the best machines with free capacity, else among the best whose queue is below the threshold. */
+  /**
+   * Random among the best machines with free capacity, else among the best whose queue is below the
+   * threshold.
+   */
   private chooseMachine(job: Job, isZoneBound: boolean): Machine | null {
     // A job that failed on one machine tries others; one that failed on many may go anywhere again.
     const avoided = job.failedOn.size < MAX_AVOIDED_MACHINES ? job.failedOn : null;
@@ -148,8 +154,8 @@
     };
     const pools = this.samplePools(job, isZoneBound, examine);
     this.examineImageHolders(job, pools, examine);
-    // Reserved before another task of the job used up the limit of its zone, a machine may be in a zone that is
-    // no longer allowed.
+    // Reserved before another task of the job used up the limit of its zone, a machine may be in a zone that
+    // is no longer allowed.
     for (const machine of this.reservations.of(job))
       if (!isZoneBound || isZoneAllowed(job, machine.zone, job.zones)) examine(machine);
     if (best.machines.length > 0) return this.pickRandom(best.machines);
