--- a/src/core/leader/failover.ts
+++ b/src/core/leader/failover.ts
@@ -2,26 +2,14 @@
 // then reconciles them with the machines.
 import type { Instant, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
-import type { Settings } from '../base/model.ts';
-import type { ArrayProgress } from '../jobs/array-progress.ts';
 import type { JobTable } from '../jobs/job-table.ts';
-import type { MachineRegistry } from '../machines/machine-registry.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
-import type { MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
 import { MachineReconciliation } from './machine-reconciliation.ts';
-import { RecordLoader, type RecordLoaderListener } from './record-loader.ts';
+import { RecordLoader, type RecordLoaderDependencies, type RecordLoaderListener } from './record-loader.ts';
 import type { RecoveryState } from './recovery-state.ts';
 
 /** What {@link Failover} depends on. */
-export interface FailoverDependencies {
-  io: ControllerIo;
-  settings: Settings;
-  jobs: JobTable;
-  machines: MachineTable;
-  machineTypes: MachineTypeCatalog;
-  progress: ArrayProgress;
-  registry: MachineRegistry;
-}
+export type FailoverDependencies = Omit<RecordLoaderDependencies, 'listener'>;
 
 /** The first steps of a new leader. */
 export class Failover implements RecoveryState, RecordLoaderListener {
