--- a/src/core/machines/heartbeat-processor.ts
+++ b/src/core/machines/heartbeat-processor.ts
@@ -58,7 +58,7 @@
   /** An epoch begins with nothing on the machine, and no command of an earlier epoch is carried out. */
   private beginEpoch(machine: Machine, agentEpoch: number): void {
     if (machine.assignments.size > 0)
-      this.io.log('info', 'tasks lost: session ended', {
+      this.io.log('info', 'tasks lost: agent epoch ended', {
         machine: machine.id,
         tasks: machine.assignments.size,
       });
@@ -80,7 +80,7 @@
   private recordPreemptionNotice(machine: Machine, noticeS: number | null): void {
     if (noticeS === null) return;
     if (machine.preemptedAt === null) {
-      this.io.log('info', 'spot notice', { machine: machine.id, noticeS });
+      this.io.log('info', 'preemption notice received', { machine: machine.id, noticeS });
       this.updater.cordon(machine, CordonReason.preemptionNotice);
     }
     machine.preemptedAt = addMs(this.io.now, noticeS * 1000);
--- a/src/core/machines/lease-monitor.ts
+++ b/src/core/machines/lease-monitor.ts
@@ -85,7 +85,7 @@
   /** What was on the machine is free to start elsewhere. */
   private expireLease(machine: Machine): void {
     if (machine.assignments.size > 0)
-      this.io.log('info', 'tasks lost: lease ran out', {
+      this.io.log('info', 'tasks lost: lease expired', {
         machine: machine.id,
         tasks: machine.assignments.size,
       });
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -92,7 +92,7 @@
     if (!machine.isEmpty)
       this.io.log('info', 'tasks lost with their machine', {
         machine: machine.id,
-        why: reason,
+        reason,
         tasks: machine.assignments.size,
       });
     this.removeAllTasks(machine);
@@ -141,7 +141,7 @@
     machine.drainReason = reason;
     this.dequeueAll(machine);
     this.updateIndexes(machine);
-    this.io.log('info', 'machine draining', { machine: machine.id, why: reason });
+    this.io.log('info', 'machine cordoned', { machine: machine.id, reason });
     this.listener.requestCycle();
   }
 
