--- a/test/production-version.test.ts
+++ b/test/production-version.test.ts
@@ -1,11 +1,11 @@
-// The version in production beside configuration documents: it must not own the share once there are any. Its program is built
+// The version in production beside configuration documents: it must not be elected once there are any. Its program is built
 // from this repository's history.
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFileSync, spawn } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { test } from 'node:test';
+import { describe, it } from 'node:test';
 import { build } from 'esbuild';
 import { endGroup, freePort, Lab, readLabOptions } from '../packages/local-cluster/src/index.ts';
 import { askOverHttp, ConfigClient, stateClient } from '../src/cli/config-client.ts';
@@ -14,13 +14,13 @@
 import { team } from './support/operator.ts';
 
 const WORK = 'target/production';
-/** Longer than the hold of a controller that stands still, and than the turns of those that may take the share. */
-const LONG_MS = 7000;
+/** Longer than the lease of a controller that stands still, and than the election of the next leader takes. */
+const FAILOVER_MS = 7000;
 
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 /** Builds the program of the version in production; its path. */
-async function production(): Promise<string> {
+async function buildProductionVersion(): Promise<string> {
   const revision = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync('deploy/service.toml', 'utf8'))![1]!;
   rmSync(WORK, { recursive: true, force: true });
   mkdirSync(WORK, { recursive: true });
@@ -41,45 +41,63 @@
   return outfile;
 }
 
-test('a controller of the version in production does not own the share once there are documents', async () => {
-  const program = await production();
-  const dir = mkdtempSync(join(tmpdir(), 'swiftford-production-'));
-  const options = readLabOptions('t', {
-    lab: [{ port: 0, controllers: 2 }],
-    team: { demo: [{ cpus_max: 8 }] },
-  });
-  const lab = await Lab.start(options, { program: [process.execPath, 'target/main.js'], dir, log: () => {} });
-  let old: ChildProcess | null = null;
-  try {
+/** Makes a first change of the configuration, as an operator. */
+async function limitTeam(settingsFile: string): Promise<void> {
+  const settings = parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'));
+  const http = stateClient(settings);
+  const client = new ConfigClient(askOverHttp(http), settings);
+  const snapshot = await client.snapshot();
+  await client.apply(snapshot, client.plan(snapshot, [team('demo', { cpusMax: 4 })]), 'one');
+  http.close();
+}
+
+/** The settings of a controller of the version in production beside the others; their path. */
+async function writeOldSettings(dir: string, settingsFile: string): Promise<string> {
+  const addresses = {
+    bind: `127.0.0.1:${await freePort()}`,
+    internal_addr: `127.0.0.1:${await freePort()}`,
+  };
+  const path = join(dir, 'old.json');
+  writeFileSync(path, JSON.stringify({ ...JSON.parse(readFileSync(settingsFile, 'utf8')), ...addresses }));
+  return path;
+}
+
+describe('a controller of the version in production', () => {
+  it('is not elected once there are configuration documents', async (t) => {
+    const program = await buildProductionVersion();
+    const dir = mkdtempSync(join(tmpdir(), 'swiftford-production-'));
+    const options = readLabOptions('t', {
+      lab: [{ port: 0, controllers: 2 }],
+      team: { demo: [{ cpus_max: 8 }] },
+    });
+    const lab = await Lab.start(options, {
+      program: [process.execPath, 'target/main.js'],
+      dir,
+      log: () => {},
+    });
+    let oldController: ChildProcess | null = null;
+    t.after(async () => {
+      oldController?.kill('SIGKILL');
+      await lab.stop();
+      rmSync(dir, { recursive: true, force: true });
+    });
     await lab.ready();
-    const file = join(dir, 'node-0.json');
-    const settings = parseSettings(file, readFileSync(file, 'utf8'));
-    const http = stateClient(settings);
-    const client = new ConfigClient(askOverHttp(http), settings);
-    const snapshot = await client.snapshot();
-    await client.apply(snapshot, client.plan(snapshot, [team('demo', { cpusMax: 4 })]), 'one');
-    http.close();
+    const settingsFile = join(dir, 'node-0.json');
+    await limitTeam(settingsFile);
     assert.deepEqual(lab.recorded(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
-    // All controllers of this version stand still, and their hold runs out.
-    for (const c of lab.controllers) endGroup(c.process!.pid!, 'SIGSTOP');
-    const addresses = {
-      bind: `127.0.0.1:${await freePort()}`,
-      internal_addr: `127.0.0.1:${await freePort()}`,
-    };
-    const oldFile = join(dir, 'old.json');
-    writeFileSync(oldFile, JSON.stringify({ ...JSON.parse(readFileSync(file, 'utf8')), ...addresses }));
-    old = spawn(process.execPath, [program, 'serve', '--config', oldFile], { stdio: 'ignore' });
-    await sleep(LONG_MS);
-    assert.equal(old.exitCode, null);
+    // All controllers of this version stand still, and their leases expire.
+    for (const controller of lab.controllers) endGroup(controller.process!.pid!, 'SIGSTOP');
+    const oldSettingsFile = await writeOldSettings(dir, settingsFile);
+    oldController = spawn(process.execPath, [program, 'serve', '--config', oldSettingsFile], {
+      stdio: 'ignore',
+    });
+    await sleep(FAILOVER_MS);
+    assert.equal(oldController.exitCode, null);
     assert.equal(lab.recorded(CONFIGURED_LEADER_KEY), undefined);
     assert.deepEqual(lab.recorded(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
-    for (const c of lab.controllers) endGroup(c.process!.pid!, 'SIGCONT');
+    for (const controller of lab.controllers) endGroup(controller.process!.pid!, 'SIGCONT');
     await lab.ready();
-    await sleep(LONG_MS);
+    await sleep(FAILOVER_MS);
     assert.notEqual(lab.recorded(CONFIGURED_LEADER_KEY), undefined);
-  } finally {
-    old?.kill('SIGKILL');
-    await lab.stop();
-    rmSync(dir, { recursive: true, force: true });
-  }
+  });
 });
