--- a/src/core/configuration/change-transaction.ts
+++ b/src/core/configuration/change-transaction.ts
@@ -1,5 +1,5 @@
-// The one transaction that carries out a change of the configuration, and the one before the first change. Pure; src/cli sends
-// them.
+// The one transaction that carries out a change of the configuration, and the one before the first change.
+// Pure; src/cli sends them.
 import { SwiftfordError } from '../../types/errors.ts';
 import type { Revision } from '../../types/index.ts';
 import type { StoreCondition, StoreLimits, StorePut } from '../base/model.ts';
@@ -17,7 +17,9 @@
 
 /** All documents are read in one page, which is atomic. */
 const MAX_DOCUMENTS = 400;
-/** Beside the documents a change writes the head, its copy and its history, and deletes the oldest of that. */
+/**
+ * Beside the documents a change writes the head, its copy and its history, and deletes the oldest of that.
+ */
 const OTHER_CHANGES = 4;
 
 /** Too many documents or too much text for one transaction; the message says which, in one line. */
@@ -50,9 +52,10 @@
 }
 
 /**
- * The one transaction of a change: conditional on the newest change being the one that it was planned against, and on the
- * leader key having moved to the one that versions without documents don't know. `at`: wall time in milliseconds; `migratedAt`:
- * the revision of the record that says that the key has moved. Throws {@link ChangeTooLargeError}.
+ * The one transaction of a change: conditional on the newest change being the one that it was planned
+ * against, and on the leader key having moved to the one that versions without documents don't know. `at`:
+ * wall time in milliseconds; `migratedAt`: the revision of the record that says that the key has moved.
+ * Throws {@link ChangeTooLargeError}.
  */
 export function transactionOf(
   snapshot: ConfigSnapshot,
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -1,5 +1,5 @@
-// Changes of the configuration as operators make them: what a change touches, and what undoes it; with what other modules use of
-// the transactions and the history. Pure; src/cli carries changes out.
+// Changes of the configuration as operators make them: what a change touches, and what undoes it; with what
+// other modules use of the transactions and the history. Pure; src/cli carries changes out.
 import type { DocumentChange, HistoryEntry } from './change-history.ts';
 import { documentKey, documentValue } from './document-codec.ts';
 import type { ConfigDocument, ConfigSnapshot } from './document-types.ts';
@@ -20,7 +20,10 @@
   );
 }
 
-/** What brings the documents back to how they were after the change with this number; null if that is no longer known. */
+/**
+ * What brings the documents back to how they were after the change with this number; null if that is no
+ * longer known.
+ */
 export function changesBackTo(
   snapshot: ConfigSnapshot,
   history: readonly HistoryEntry[],
--- a/src/core/configuration/configuration.ts
+++ b/src/core/configuration/configuration.ts
@@ -1,6 +1,6 @@
-// The configuration of one controller: which revision it applies, which is the newest that it knows of, and reading what it
-// lacks. News of a change come with the watch on the shard that every node has open, and from the other nodes; without any
-// document nothing is ever asked of the store.
+// The configuration of one controller: which revision it applies, which is the newest that it knows of, and
+// reading what it lacks. News of a change come with the watch on the shard that every node has open, and from
+// the other nodes; without any document nothing is ever asked of the store.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -16,14 +16,20 @@
 } from './documents.ts';
 import { lowersLimit } from './effective-config.ts';
 
-/** Reads are at least this far apart, so that a burst of changes costs a bounded number of them; and a little by chance. */
+/**
+ * Reads are at least this far apart, so that a burst of changes costs a bounded number of them; and a little
+ * by chance.
+ */
 const READ_INTERVAL_MS = 500;
 const READ_JITTER_MS = 200;
 /** After a read that failed, doubled with each in a row. */
 const RETRY_DELAY_MS = 250;
 const RETRY_MAX_DELAY_MS = 4000;
 const RETRY_MAX_DOUBLINGS = 8;
-/** A leader that has known of a newer revision for so long, and can't read it, starts nothing under the one that it has. */
+/**
+ * A leader that has known of a newer revision for so long, and can't read it, starts nothing under the one
+ * that it has.
+ */
 const STOP_STARTS_MS = 5000;
 /** A node that lags for longer than this takes no submissions. */
 export const MAX_LAG_MS = 18_000;
@@ -109,7 +115,8 @@
     try {
       // All documents are in one page (change-transaction.ts): more than one would not be atomic.
       const snapshot = reply.more ? null : readSnapshot(reply.items);
-      // With changes coming all the time a newer one is always known of: what was read is applied all the same.
+      // With changes coming all the time a newer one is always known of: what was read is applied all the
+      // same.
       if (snapshot === null || snapshot.revision <= this.applied) return this.backOff();
       this.apply(snapshot);
     } catch (error) {
--- a/src/core/configuration/document-codec.ts
+++ b/src/core/configuration/document-codec.ts
@@ -1,4 +1,5 @@
-// How configuration documents are stored. The stored forms belong to this module alone; each carries the version of its layout.
+// How configuration documents are stored. The stored forms belong to this module alone; each carries the
+// version of its layout.
 
 import { SwiftfordError } from '../../types/errors.ts';
 import type { TeamName } from '../../types/index.ts';
--- a/src/core/configuration/document-types.ts
+++ b/src/core/configuration/document-types.ts
@@ -1,9 +1,12 @@
-// Configuration documents as the program uses them. A document replaces its part of the settings file: there is one for each
-// team, one for the objectives and one for the operators' own settings.
+// Configuration documents as the program uses them. A document replaces its part of the settings file: there
+// is one for each team, one for the objectives and one for the operators' own settings.
 import type { Revision, TeamName } from '../../types/index.ts';
 import type { Objective } from '../base/model.ts';
 
-/** What happens to a team's tasks above a lowered limit: they end by themselves, or are stopped within so many seconds. */
+/**
+ * What happens to a team's tasks above a lowered limit: they end by themselves, or are stopped within so many
+ * seconds.
+ */
 export type OverQuotaPolicy = { kind: 'drain' } | { kind: 'stop'; withinS: number };
 
 /** Guarantees and limits of one team. */
@@ -18,7 +21,9 @@
   removed: boolean;
 }
 
-/** The operators' own settings, as far as documents set them; periods are counted in heartbeats of an agent. */
+/**
+ * The operators' own settings, as far as documents set them; periods are counted in heartbeats of an agent.
+ */
 export interface DispatchDocument {
   threshold?: number;
   takeBackReports?: number;
@@ -32,7 +37,10 @@
   | { kind: 'objectives'; objectives: Objective[] }
   | { kind: 'dispatch'; dispatch: DispatchDocument };
 
-/** The newest change: its number, counted from 1, and the id that its operator gave it. Number 0 has no documents yet. */
+/**
+ * The newest change: its number, counted from 1, and the id that its operator gave it. Number 0 has no
+ * documents yet.
+ */
 export interface ConfigHead {
   number: number;
   id: string;
--- a/src/core/configuration/documents.ts
+++ b/src/core/configuration/documents.ts
@@ -1,5 +1,5 @@
-// Configuration documents in the store: what other modules use of them, and a snapshot of all of them. Pure: configuration.ts
-// and the operators' commands read and write them.
+// Configuration documents in the store: what other modules use of them, and a snapshot of all of them. Pure:
+// configuration.ts and the operators' commands read and write them.
 import type { Revision } from '../../types/index.ts';
 import type { StoreItem } from '../base/model.ts';
 import { CONFIG_HEAD_KEY } from '../storage/keys.ts';
--- a/src/core/configuration/lag-monitor.ts
+++ b/src/core/configuration/lag-monitor.ts
@@ -1,5 +1,5 @@
-// Which of the other controllers lag behind the applied configuration: logged once they have lagged for a while, and when they
-// have caught up.
+// Which of the other controllers lag behind the applied configuration: logged once they have lagged for a
+// while, and when they have caught up.
 import { elapsedMs, type Instant, type Millis, type NodeId, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { PeerConfigRevision } from '../membership/peer-registry.ts';
--- a/src/core/configuration/rollout.ts
+++ b/src/core/configuration/rollout.ts
@@ -1,6 +1,7 @@
-// When a revision of the configuration is in force: no controller can act on an older one (docs/safety.md). The leader alone
-// starts tasks, so that is when it has applied the revision and the last start under an older one has reached its machine. It
-// puts that on record, for operators who wait for it, and watches which nodes lag.
+// When a revision of the configuration is in force: no controller can act on an older one (docs/safety.md).
+// The leader alone starts tasks, so that is when it has applied the revision and the last start under an
+// older one has reached its machine. It puts that on record, for operators who wait for it, and watches which
+// nodes lag.
 import { addMs, type Instant, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { PeerConfigRevision } from '../membership/peer-registry.ts';
--- a/src/core/membership/leader-election.ts
+++ b/src/core/membership/leader-election.ts
@@ -1,5 +1,6 @@
-// Which controller leads the shard: the one that its leader key names, a key attached to a lease of the store. The revision
-// that created the key is the leader's term, its fencing token for machines, and a condition of each of its writes.
+// Which controller leads the shard: the one that its leader key names, a key attached to a lease of the
+// store. The revision that created the key is the leader's term, its fencing token for machines, and a
+// condition of each of its writes.
 import {
   addMs,
   elapsedMs,
@@ -12,24 +13,21 @@
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreCondition, StorePut, StoreReply } from '../base/model.ts';
 import { StorePriority } from '../base/store-request-budget.ts';
-import { CONFIG_NOTIFICATION_KEY, CONFIGURED_LEADER_KEY, LEADER_KEY } from '../storage/keys.ts';
-import {
-  encodeLeader,
-  LEADER_KEY_MIGRATED,
-  type LeaderRecord,
-  type RecoveryRecord,
-} from '../storage/shard-records.ts';
+import type { LeaderRecord, RecoveryRecord } from '../storage/shard-records.ts';
+import { claimLeadership, moveLeaderKey } from './leader-key.ts';
 import { LEADER_LEASE_MS, LeaderLease } from './leader-lease.ts';
 import { ShardWatch } from './shard-watch.ts';
 
-export { LEADER_LEASE_MS, type LeaderRecord };
+export type { LeaderRecord };
+export { LEADER_LEASE_MS };
 
-/** A candidate waits this long for each node that stands before it in the list; a grant and a commit take less. */
+/**
+ * A candidate waits this long for each node that stands before it in the list; a grant and a commit take
+ * less.
+ */
 const CANDIDACY_DELAY_MS = 100;
 const CANDIDACY_RETRY_JITTER_MS = 500;
 const MIGRATION_RETRY_MS = 300;
-/** The condition that a key is absent. */
-const ABSENT = 0 as Revision;
 
 /** Receives what the election decides, and makes the one write of it that needs a leader. */
 export interface LeaderElectionListener {
@@ -37,11 +35,13 @@
   onElected(term: Revision): void;
   /** This controller leads no longer; the reason is for the log. */
   onLeadershipLost(reason: string): void;
-  /** Among the leader's writes, so conditional on its term; the revision, or null if it was not made as asked. */
+  /**
+   * Among the leader's writes, so conditional on its term; the revision, or null if it was not made as asked.
+   */
   migrateLeaderKey(
     conditions: StoreCondition[],
     puts: StorePut[],
-    done: (revision: Revision | null) => void,
+    onResult: (revision: Revision | null) => void,
   ): void;
   /** The newest change of the configuration was made at this revision. */
   onConfigurationChanged(revision: Revision): void;
@@ -178,8 +178,8 @@
   private onLeaderFound(leader: LeaderRecord): void {
     this.vacantSince = null;
     if (leader.node !== this.self) this.observeLeader(leader.node, leader.revision);
-    // A key of this node's under another revision was made by an earlier process of it, or by a request of that process that
-    // came late: its lease expires by itself.
+    // A key of this node's under another revision was made by an earlier process of it, or by a request of
+    // that process that came late: its lease expires by itself.
     else if (leader.revision !== this.term) this.endedAsLeader = true;
   }
 
@@ -197,7 +197,7 @@
     this.isCandidate = true;
     const sentAt = io.now;
     io.store({ kind: 'grant-lease', ttlMs: LEADER_LEASE_MS }, StorePriority.lease, (reply) => {
-      if (reply.kind === 'lease-granted') this.claimLeadership(reply.lease, sentAt);
+      if (reply.kind === 'lease-granted') this.sendClaim(reply.lease, sentAt);
       else this.endCandidacy();
     });
   }
@@ -212,15 +212,11 @@
     this.watch.backOff(CANDIDACY_RETRY_JITTER_MS);
   }
 
-  private claimLeadership(lease: StoreLeaseId, sentAt: Instant): void {
+  private sendClaim(lease: StoreLeaseId, sentAt: Instant): void {
     const isConfigured = this.watch.configRevision > 0;
+    const { conditions, puts } = claimLeadership(this.self, lease, this.watch);
     this.io.store(
-      {
-        kind: 'compare-and-swap',
-        conditions: this.claimConditions(),
-        puts: this.claimPuts(lease),
-        deletes: [],
-      },
+      { kind: 'compare-and-swap', conditions, puts, deletes: [] },
       StorePriority.lease,
       (reply) => {
         if (reply.kind === 'committed') {
@@ -231,26 +227,6 @@
     );
   }
 
-  /**
-   * Leadership is claimed on the condition that there is no leader, under either key, and that the configuration is the one
-   * that this node knows of, so that the new leader knows at its term what it has to read.
-   */
-  private claimConditions(): StoreCondition[] {
-    const { configRevision, isLeaderKeyMigrated } = this.watch;
-    const conditions = [{ key: CONFIG_NOTIFICATION_KEY, revision: configRevision }];
-    if (!isLeaderKeyMigrated) conditions.push({ key: LEADER_KEY, revision: ABSENT });
-    if (configRevision > 0) conditions.push({ key: CONFIGURED_LEADER_KEY, revision: ABSENT });
-    return conditions;
-  }
-
-  private claimPuts(lease: StoreLeaseId): StorePut[] {
-    const { configRevision, isLeaderKeyMigrated } = this.watch;
-    if (configRevision === 0) return [{ key: LEADER_KEY, value: encodeLeader(this.self), lease }];
-    const puts: StorePut[] = [{ key: CONFIGURED_LEADER_KEY, value: encodeLeader(this.self), lease }];
-    if (!isLeaderKeyMigrated) puts.push({ key: LEADER_KEY, value: LEADER_KEY_MIGRATED });
-    return puts;
-  }
-
   private onClaimFailed(reply: StoreReply, lease: StoreLeaseId): void {
     // Without a reply the claim may still be carried out; with the lease the key ends as well.
     if (reply.kind === 'no-answer')
@@ -272,9 +248,10 @@
   }
 
   /**
-   * The first configuration documents are about to be written: the leader key moves to the one that versions without them
-   * don't know, under the same lease and in one transaction. The term that begins with it is this node's as well. The leader's
-   * own writes wait for it: one under way at the same time would find its term over.
+   * The first configuration documents are about to be written: the leader key moves to the one that versions
+   * without them don't know, under the same lease and in one transaction. The term that begins with it is
+   * this node's as well. The leader's own writes wait for it: one under way at the same time would find its
+   * term over.
    */
   private migrateKeyIfNeeded(): void {
     const { term, io } = this;
@@ -284,11 +261,7 @@
     if (this.isMigrating || io.now < this.migrateAt) return;
     this.isMigrating = true;
     this.migrateAt = addMs(io.now, MIGRATION_RETRY_MS);
-    const conditions = [{ key: CONFIGURED_LEADER_KEY, revision: ABSENT }];
-    const puts: StorePut[] = [
-      { key: CONFIGURED_LEADER_KEY, value: encodeLeader(this.self), lease },
-      { key: LEADER_KEY, value: LEADER_KEY_MIGRATED },
-    ];
+    const { conditions, puts } = moveLeaderKey(this.self, lease);
     this.listener.migrateLeaderKey(conditions, puts, (revision) => {
       if (this.term === term) this.onKeyMigrated(revision, lease);
     });
--- a/src/core/membership/leader-lease.ts
+++ b/src/core/membership/leader-lease.ts
@@ -1,18 +1,20 @@
-// The lease of the store to which the leader key is attached: its renewal, and until when it protects the leader.
+// The lease of the store to which the leader key is attached: its renewal, and until when it protects the
+// leader.
 import { addMs, type Instant, LONG_AGO, type StoreLeaseId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
 import { StorePriority } from '../base/store-request-budget.ts';
 
 /**
- * Duration of the lease. An agent whose heartbeat a leader leaves unanswered waits for 4 s; the next leader should be elected
- * by then, or the agent tries other nodes, which may be dead, at 5 s each.
+ * Duration of the lease. An agent whose heartbeat a leader leaves unanswered waits for 4 s; the next leader
+ * should be elected by then, or the agent tries other nodes, which may be dead, at 5 s each.
  */
 export const LEADER_LEASE_MS = 3000;
 const RENEW_INTERVAL_MS = 750;
 /**
- * A renewal that is answered late still counts from when it was sent, and the next is sent meanwhile. With a shorter timeout
- * none would ever count while the store takes longer, and there would be no leader although the lease lives on.
+ * A renewal that is answered late still counts from when it was sent, and the next is sent meanwhile. With a
+ * shorter timeout none would ever count while the store takes longer, and there would be no leader although
+ * the lease lives on.
  */
 const RENEW_TIMEOUT_MS = 2700;
 const RENEW_RETRY_MS = 200;
@@ -45,7 +47,9 @@
     return this.lease;
   }
 
-  /** A term begins under this lease; `sentAt`: when the request was sent that granted it or confirmed it last. */
+  /**
+   * A term begins under this lease; `sentAt`: when the request was sent that granted it or confirmed it last.
+   */
   begin(lease: StoreLeaseId, sentAt: Instant): void {
     this.generation++;
     this.lease = lease;
--- a/src/core/membership/peer-registry.ts
+++ b/src/core/membership/peer-registry.ts
@@ -1,5 +1,5 @@
-// The other controllers: which of them are connected, what their versions support, and which revision of the configuration
-// each said last that it applies.
+// The other controllers: which of them are connected, what their versions support, and which revision of the
+// configuration each said last that it applies.
 import type { NodeId, Revision } from '../../types/index.ts';
 import type { PeerMessage, Settings } from '../base/model.ts';
 
@@ -51,15 +51,17 @@
   }
 
   /**
-   * The node has sent its load. It says hello only when its own connection comes up; after this node's connection alone
-   * broke, its load says as much.
+   * The node has sent its load. It says hello only when its own connection comes up; after this node's
+   * connection alone broke, its load says as much.
    */
   onLoad(node: NodeId, applied: Revision): void {
     this.forwardingPeers.add(node);
     this.appliedRevisions.set(node, applied);
   }
 
-  /** Connected nodes not known to support dependencies; one that has just come up says hello within a second. */
+  /**
+   * Connected nodes not known to support dependencies; one that has just come up says hello within a second.
+   */
   peersWithoutDependencies(): NodeId[] {
     return [...this.connectedPeers].filter((node) => this.dependencySupport.get(node) !== true);
   }
--- a/src/core/membership/shard-watch.ts
+++ b/src/core/membership/shard-watch.ts
@@ -1,5 +1,5 @@
-// Watches the keys of the shard in the store: the leader key, and beside it the last failover and the newest change of the
-// configuration. Whenever the watch may have missed a change, the keys are listed again.
+// Watches the keys of the shard in the store: the leader key, and beside it the last failover and the newest
+// change of the configuration. Whenever the watch may have missed a change, the keys are listed again.
 import { addMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, StoreReply } from '../base/model.ts';
@@ -44,7 +44,9 @@
   configRevision = 0 as Revision;
   /** The leader key is the one that versions without configuration documents don't know. */
   isLeaderKeyMigrated = false;
-  /** After a failure no request about the shard is sent before this: neither of the watch nor of a candidacy. */
+  /**
+   * After a failure no request about the shard is sent before this: neither of the watch nor of a candidacy.
+   */
   retryAt: Instant = LONG_AGO;
   private isRequestOpen = false;
   /** Numbers the requests: the reply to one that was sent before a resync is ignored. */
@@ -73,8 +75,8 @@
   }
 
   /**
-   * Lists the keys again, and at once. An open watch tells only of changes since it began: left to end, it would make this
-   * node wait for a change that may never come, while there is no leader.
+   * Lists the keys again, and at once. An open watch tells only of changes since it began: left to end, it
+   * would make this node wait for a change that may never come, while there is no leader.
    */
   resync(): void {
     this.knownAsOf = null;
--- a/src/core/storage/dependency-status.ts
+++ b/src/core/storage/dependency-status.ts
@@ -1,11 +1,11 @@
-// Whether a job is cancelled through its dependencies, read from the store. A job is cancelled when any of its dependencies is,
-// through any number of others, though its own record does not say so.
+// Whether a job is cancelled through its dependencies, read from the store. A job is cancelled when any of
+// its dependencies is, through any number of others, though its own record does not say so.
 import type { JobId } from '../../types/index.ts';
 import type { JobReads } from './job-reads.ts';
 
 /**
- * What the dependencies make of a job. `queued`: none was cancelled when it was read, later than the job's own record.
- * `unavailable`: the store has not replied. `limited`: there are too many to read now.
+ * What the dependencies make of a job. `queued`: none was cancelled when it was read, later than the job's
+ * own record. `unavailable`: the store has not replied. `limited`: there are too many to read now.
  */
 export type DependencyStatus = 'queued' | 'cancelled' | 'unavailable' | 'limited';
 
@@ -19,8 +19,8 @@
   | { kind: 'unavailable' };
 
 /**
- * Reads the dependencies of a job, and theirs in turn, until one is found to be cancelled; `takeRead` says whether one more
- * may be read now.
+ * Reads the dependencies of a job, and theirs in turn, until one is found to be cancelled; `takeRead` says
+ * whether one more may be read now.
  */
 export function readDependencyStatus(
   reads: JobReads,
@@ -52,8 +52,8 @@
 }
 
 /**
- * Reads one dependency; the final state first. A job that has neither may have ended between the two reads, so the final state
- * is then read once more.
+ * Reads one dependency; the final state first. A job that has neither may have ended between the two reads,
+ * so the final state is then read once more.
  */
 function readDependency(
   reads: JobReads,
--- a/src/core/storage/fenced-write.ts
+++ b/src/core/storage/fenced-write.ts
@@ -16,8 +16,9 @@
   | { kind: 'lost' };
 
 /**
- * What is known of a write that has not ended: nothing of it can be on record; a copy is on its way; or a copy was never
- * answered, and may have been carried out or be carried out later, until a newer copy is answered.
+ * What is known of a write that has not ended: nothing of it can be on record; a copy is on its way; or a
+ * copy was never answered, and may have been carried out or be carried out later, until a newer copy is
+ * answered.
  */
 export type WriteProgress = 'waiting' | 'sent' | 'unanswered';
 
@@ -28,23 +29,30 @@
   deletes: string[];
   /** The key that tells whether a write without a reply was carried out; its value carries the `writeId`. */
   verifyKey: string;
-  /** Idempotency key, unique to the write; null if it leaves no value with one: then no value means that it was carried out. */
+  /**
+   * Idempotency key, unique to the write; null if it leaves no value with one: then no value means that it
+   * was carried out.
+   */
   writeId: string | null;
   /** Smaller goes first; see {@link WritePriority}. */
   priority: number;
   /** Among writes of the same priority: smaller goes first, as if each team's writes took turns. */
   turn?: number;
   onResult: (result: WriteResult) => void;
-  /** Sent in a transaction of its own. Set by the writer when a transaction was rejected, so that it alone fails. */
+  /**
+   * Sent in a transaction of its own. Set by the writer when a transaction was rejected, so that it alone
+   * fails.
+   */
   alone?: boolean;
   /** Kept by the writer. */
   progress?: WriteProgress;
 }
 
 /**
- * The order of writes that wait. Users wait for cancellations and acceptances; tasks wait for final states with dependents and
- * for the machine registry. Machines go before acceptances: one change registers up to a few hundred, and nothing starts on
- * them before; behind the acceptances of a burst they would be idle until the last job was accepted.
+ * The order of writes that wait. Users wait for cancellations and acceptances; tasks wait for final states
+ * with dependents and for the machine registry. Machines go before acceptances: one change registers up to a
+ * few hundred, and nothing starts on them before; behind the acceptances of a burst they would be idle until
+ * the last job was accepted.
  */
 export const WritePriority = {
   cancel: 0,
--- a/src/core/storage/fenced-writer.ts
+++ b/src/core/storage/fenced-writer.ts
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Refused or unanswered: the same batch again. Its conditions let at most one of the copies through, however late the first
-   * one is carried out; a conflict is then resolved by reading.
+   * Refused or unanswered: the same batch again. Its conditions let at most one of the copies through,
+   * however late the first one is carried out; a conflict is then resolved by reading.
    */
   private retry(batch: FencedWrite[], reply: StoreReply): void {
     const isOverRate = reply.kind === 'refused' && reply.busy;
@@ -163,7 +163,10 @@
     this.queue.unshift(...unaffected);
   }
 
-  /** A condition of the write failed: either an earlier copy of it was carried out, or something else is on record. */
+  /**
+   * A condition of the write failed: either an earlier copy of it was carried out, or something else is on
+   * record.
+   */
   private settleConflict(write: FencedWrite): void {
     this.io.store({ kind: 'get', key: write.verifyKey }, StorePriority.leader, (reply) => {
       const result = conflictResult(write, reply);
@@ -177,7 +180,10 @@
   }
 }
 
-/** What became of a write whose condition failed, by what its `verifyKey` holds; null if that could not be read. */
+/**
+ * What became of a write whose condition failed, by what its `verifyKey` holds; null if that could not be
+ * read.
+ */
 function conflictResult(write: FencedWrite, reply: StoreReply): WriteResult | null {
   const { writeId } = write;
   if (reply.kind === 'item') {
--- a/src/core/storage/job-reads.ts
+++ b/src/core/storage/job-reads.ts
@@ -1,4 +1,5 @@
-// Reads single jobs from the store: the record of an open job, with its further values, and the final state of an ended one.
+// Reads single jobs from the store: the record of an open job, with its further values, and the final state
+// of an ended one.
 import type { JobId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, StoreReply } from '../base/model.ts';
--- a/src/core/storage/job-record-reader.ts
+++ b/src/core/storage/job-record-reader.ts
@@ -1,5 +1,6 @@
-// Answers questions about jobs that this controller does not have in memory, from the store. Many questions at once are sorted
-// by one transaction that only compares; the records of those that exist are then read one by one.
+// Answers questions about jobs that this controller does not have in memory, from the store. Many questions
+// at once are sorted by one transaction that only compares; the records of those that exist are then read one
+// by one.
 import type { JobId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreCondition, StoreReply, UserResponse } from '../base/model.ts';
@@ -62,7 +63,10 @@
     this.finalStates.delete(oldest);
   }
 
-  /** Answers what the status of a job is: `status`, `ended`, `not-found`, or `retry` when it cannot be read now. */
+  /**
+   * Answers what the status of a job is: `status`, `ended`, `not-found`, or `retry` when it cannot be read
+   * now.
+   */
   readStatus(id: JobId, respond: (response: UserResponse) => void): void {
     const known = this.cachedFinalState(id);
     if (known !== null) return respond(known);
--- a/src/core/storage/job-record.ts
+++ b/src/core/storage/job-record.ts
@@ -1,6 +1,6 @@
-// How jobs and their final states are stored. A job's record is one value, and further ones for a list of dependencies that is
-// longer than a value may be; all are written in one transaction and deleted in one, so whoever finds the first finds the rest.
-// The field names of the stored form belong to this module alone.
+// How jobs and their final states are stored. A job's record is one value, and further ones for a list of
+// dependencies that is longer than a value may be; all are written in one transaction and deleted in one, so
+// whoever finds the first finds the rest. The field names of the stored form belong to this module alone.
 import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
 import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
 import { jsonBytes, TRANSACTION_MAX_BYTES } from './json-size.ts';
@@ -191,7 +191,9 @@
   return jsonBytes(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
 }
 
-/** The dependencies in portions of which the first fits the job's own value and each other a value of its own. */
+/**
+ * The dependencies in portions of which the first fits the job's own value and each other a value of its own.
+ */
 function splitDependencies(value: StoredJobRecord, maxBytes: number): JobId[][] {
   const { awaits = [], ...rest } = value.s;
   const parts: JobId[][] = [];
--- a/src/core/storage/reply-timeout.ts
+++ b/src/core/storage/reply-timeout.ts
@@ -1,5 +1,5 @@
-// How long the reply to a transaction is waited for. Only one is on its way at a time: one that will never be answered must
-// not hold up the rest for long, and one that is repeated too soon is found on record.
+// How long the reply to a transaction is waited for. Only one is on its way at a time: one that will never be
+// answered must not hold up the rest for long, and one that is repeated too soon is found on record.
 import type { Millis } from '../../types/index.ts';
 
 /** Replies take some milliseconds, now and then a few hundred. */
--- a/src/core/storage/shard-records.ts
+++ b/src/core/storage/shard-records.ts
@@ -1,5 +1,5 @@
-// How the records of the shard are stored: which controller leads, the marker that the leader key has moved, and the last
-// failover. The field names of the stored form belong to this module alone.
+// How the records of the shard are stored: which controller leads, the marker that the leader key has moved,
+// and the last failover. The field names of the stored form belong to this module alone.
 import type { NodeId, Revision, WallTime } from '../../types/index.ts';
 import type { StoreItem } from '../base/model.ts';
 import { CONFIGURED_LEADER_KEY, LEADER_KEY } from './keys.ts';
--- a/src/core/storage/shared-record.ts
+++ b/src/core/storage/shared-record.ts
@@ -1,11 +1,11 @@
-// A record in the store that many small facts share, rewritten whole when one of them has changed: changes a second are scarce,
-// and a value holds several kilobytes.
+// A record in the store that many small facts share, rewritten whole when one of them has changed: changes a
+// second are scarce, and a value holds several kilobytes.
 import type { Revision } from '../../types/index.ts';
 import type { FencedWriter } from './fenced-writer.ts';
 
 /**
- * Layout of the values, read and written by all versions from 0.1 on that may serve side by side; a record of another layout is
- * refused, see leader/failover.ts.
+ * Layout of the values, read and written by all versions from 0.1 on that may serve side by side; a record of
+ * another layout is refused, see leader/failover.ts.
  */
 export const SHARED_RECORD_VERSION = 1;
 
--- a/src/core/storage/write-batch.ts
+++ b/src/core/storage/write-batch.ts
@@ -19,7 +19,9 @@
   return (first.turn ?? 0) > (second.turn ?? 0);
 }
 
-/** How many writes at the head of the queue fit one transaction; at least one of a queue that is not empty. */
+/**
+ * How many writes at the head of the queue fit one transaction; at least one of a queue that is not empty.
+ */
 export function batchSize(queue: readonly FencedWrite[], limits: StoreLimits): number {
   let changes = 0;
   let bytes = 0;
--- a/src/core/storage/write-id.ts
+++ b/src/core/storage/write-id.ts
@@ -1,4 +1,5 @@
-// The idempotency key that stored values carry: a write whose reply was lost finds out by it whether it was carried out.
+// The idempotency key that stored values carry: a write whose reply was lost finds out by it whether it was
+// carried out.
 import type { StoreItem } from '../base/model.ts';
 
 /** The idempotency key of the write that made this value; undefined if it carries none. */
--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -231,7 +231,8 @@
     world.run(6);
     world.runS = 600;
     world.submit(limitedJob('run-1', { tasks: 3 }));
-    // The change is made between the end of the leader's lease and the next leader's term, and news of it comes late.
+    // The change is made between the end of the leader's lease and the next leader's term, and news of it
+    // comes late.
     world.crash(world.owner!);
     while (world.state.keys.has(CONFIGURED_LEADER_KEY)) world.run(0.001);
     world.run(0.004);
--- a/test/production-version.test.ts
+++ b/test/production-version.test.ts
@@ -1,5 +1,5 @@
-// The version in production beside configuration documents: it must not be elected once there are any. Its program is built
-// from this repository's history.
+// The version in production beside configuration documents: it must not be elected once there are any. Its
+// program is built from this repository's history.
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFileSync, spawn } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -14,7 +14,9 @@
 import { team } from './support/operator.ts';
 
 const WORK = 'target/production';
-/** Longer than the lease of a controller that stands still, and than the election of the next leader takes. */
+/**
+ * Longer than the lease of a controller that stands still, and than the election of the next leader takes.
+ */
 const FAILOVER_MS = 7000;
 
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
--- a/test/read-after-write.test.ts
+++ b/test/read-after-write.test.ts
@@ -1,5 +1,6 @@
-// Right after a job was accepted, has ended or was confirmed as cancelled, users ask at all nodes within milliseconds, repeat
-// their submission, and some cancel; also while replies of the store are lost (docs/safety.md, point 15).
+// Right after a job was accepted, has ended or was confirmed as cancelled, users ask at all nodes within
+// milliseconds, repeat their submission, and some cancel; also while replies of the store are lost
+// (docs/safety.md, point 15).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, StoreRequest, UserResponse } from '../src/core/base/model.ts';
@@ -16,7 +17,10 @@
   answersByNews: Map<string, number>;
 }
 
-/** From now on users ask about every first news of a job; every fifth job that is accepted is cancelled at once. */
+/**
+ * From now on users ask about every first news of a job; every fifth job that is accepted is cancelled at
+ * once.
+ */
 function observeClosely(world: SimulatedWorld): CloseObservations {
   const known = new Set<string>();
   const answersByNews = new Map<string, number>();
@@ -244,7 +248,8 @@
       for (const [what, changes, kind] of infeasibleCases)
         for (const node of nodes) {
           const firstRequest = world.ask(node, { op: 'submit', spec: job(`run-${++jobNumber}`, changes) });
-          // The same contents under the name of a job that runs, and a cancellation of a job that nobody knows.
+          // The same contents under the name of a job that runs, and a cancellation of a job that nobody
+          // knows.
           const repeatedRequest = world.ask(node, { op: 'submit', spec: job(idOf(1), changes) });
           const cancellation = world.ask(node, { op: 'cancel', id: `run-${jobNumber + 5000}` as JobId });
           world.run(2.2);
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -1,5 +1,5 @@
-// Controllers and machines that restart within a fraction of a second, late messages of their earlier processes, and requests
-// repeated after they were carried out (docs/safety.md, point 13).
+// Controllers and machines that restart within a fraction of a second, late messages of their earlier
+// processes, and requests repeated after they were carried out (docs/safety.md, point 13).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
@@ -52,7 +52,8 @@
     const { owner: leader } = world;
     restart(world, follower);
     world.run(0.5);
-    // Whatever numbers its new requests have, it never takes the response about the other job; nor under the very same number.
+    // Whatever numbers its new requests have, it never takes the response about the other job; nor under the
+    // very same number.
     const requestIds: number[] = [];
     world.tapPeer = (message) => {
       if (message.kind === 'user-request') requestIds.push(message.id);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,5 +1,5 @@
-// Two versions side by side: `fixtures/production.json` holds records and frames exactly as the last version without
-// dependencies wrote them. Limits of the store fall while records of the larger size are stored.
+// Two versions side by side: `fixtures/production.json` holds records and frames exactly as the last version
+// without dependencies wrote them. Limits of the store fall while records of the larger size are stored.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
@@ -17,7 +17,9 @@
   readFileSync(new URL('./fixtures/production.json', import.meta.url), 'utf8'),
 ) as { records: Record<string, Json>; frames: Record<string, string> };
 
-/** With a message of its own: without one, the runner searches the source for the failed line, for minutes. */
+/**
+ * With a message of its own: without one, the runner searches the source for the failed line, for minutes.
+ */
 const assertTrue = (value: boolean | undefined, message = 'this must hold') =>
   assert.equal(value, true, message);
 const NODES = ['node-0', 'node-1', 'node-2'];
@@ -88,7 +90,8 @@
   });
 
   it('are split when larger than a value may be by now; nothing is missing at any moment, with or without a failover', () => {
-    // Both pages are due to be written: one names a job that is over, one a machine that another page has too.
+    // Both pages are due to be written: one names a job that is over, one a machine that another page has
+    // too.
     const lines = Array.from({ length: 80 }, (_, i) => [
       `i-${String(i).padStart(6, '0')}`,
       'box',
@@ -171,7 +174,8 @@
     assert.equal(world.submit(spec, 'node-1')?.kind, 'accepted');
     const parts = () => [...world.state.keys.keys()].filter((k) => k.startsWith('a/run-last/')).length;
     assertTrue(parts() >= 2, `${parts()} parts`);
-    // The last one named stands in the last part: a leader that reads only the first value would start the job.
+    // The last one named stands in the last part: a leader that reads only the first value would start the
+    // job.
     for (const node of NODES) world.crash(node);
     world.run(5);
     for (const node of NODES) world.start(node);
