--- a/src/core/admission/fallback-admission.ts
+++ b/src/core/admission/fallback-admission.ts
@@ -1,6 +1,7 @@
-// Fallback admission: submissions to a controller that cannot reach the leader are stored by that controller itself. The
-// record is the same that the leader would write, under the same conditions, so that only one of them is ever written; the
-// leader finds it by its watch on stored jobs (accepted-jobs-watch.ts), a later leader when it reads all of them.
+// Fallback admission: submissions to a controller that cannot reach the leader are stored by that controller
+// itself. The record is the same that the leader would write, under the same conditions, so that only one of
+// them is ever written; the leader finds it by its watch on stored jobs (accepted-jobs-watch.ts), a later
+// leader when it reads all of them.
 import type { Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, Settings, StorePut, StoreReply, UserResponse } from '../base/model.ts';
@@ -94,7 +95,10 @@
     return retryLater('too many submissions at once', jitteredRetryS(this.io, afterS), true);
   }
 
-  /** The record in one value; only the leader writes longer ones, of which others would have to gather the parts. */
+  /**
+   * The record in one value; only the leader writes longer ones, of which others would have to gather the
+   * parts.
+   */
   private recordPuts(spec: JobSpec): StorePut[] | null {
     const writeId = `${this.writeIdPrefix}.${++this.lastWriteId}`;
     const record = { spec, acceptedAt: this.io.wallTime, cancelled: false, writeId, dependencyParts: 0 };
--- a/src/core/admission/feasibility.ts
+++ b/src/core/admission/feasibility.ts
@@ -25,7 +25,9 @@
 const LONGEST_WRITE_ID = '-'.repeat(48);
 const LONGEST_TIME = 1e13 as WallTime;
 
-/** Why the job's record would not fit one transaction of the store, even in several values; null if it does. */
+/**
+ * Why the job's record would not fit one transaction of the store, even in several values; null if it does.
+ */
 export function oversizeReason(spec: JobSpec, limits: StoreLimits): string | null {
   const record = {
     spec,
--- a/src/core/admission/load-shedder.ts
+++ b/src/core/admission/load-shedder.ts
@@ -1,7 +1,7 @@
-// Load shedding (docs/scale.md). The signal is how late this controller's timer fires, or how long the oldest heartbeat has
-// been waiting to be read, whichever is more. Heartbeats, cancellations and results are never rejected; scheduling cycles and
-// autoscaling run less often, then status requests and at last submissions are sent back at once, by the other controllers
-// too, from the load that the leader reports to them.
+// Load shedding (docs/scale.md). The signal is how late this controller's timer fires, or how long the oldest
+// heartbeat has been waiting to be read, whichever is more. Heartbeats, cancellations and results are never
+// rejected; scheduling cycles and autoscaling run less often, then status requests and at last submissions
+// are sent back at once, by the other controllers too, from the load that the leader reports to them.
 import { addMs, elapsedMs, type Instant, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { UserRequest, UserResponse } from '../base/model.ts';
@@ -34,7 +34,10 @@
 /** Delays from which a level begins, and below which it ends, by level. */
 const ENTER_LEVEL_MS = [0, 200, 600];
 const LEAVE_LEVEL_MS = [0, 100, 300];
-/** Of ten status requests so many are sent back, by level; some always pass, so that no job stays unknown for long. */
+/**
+ * Of ten status requests so many are sent back, by level; some always pass, so that no job stays unknown for
+ * long.
+ */
 const STATUS_REQUESTS_SHED = [0, 5, 9];
 const REPORT_INTERVAL_MS = 1000;
 /** How long another controller's report is valid. */
@@ -57,10 +60,12 @@
 export class LoadShedder {
   /** How late the timer fires or heartbeats are read, as a moving average in milliseconds. */
   delayMs = 0;
+  /** This controller's level. */
   level: LoadLevel = 0;
   /**
-   * Little memory is left. Every accepted job is kept until its end, so no more are accepted; nothing that is stored is ever
-   * dropped for it, and status requests, heartbeats and cancellations, which leave nothing behind, are served.
+   * Little memory is left. Every accepted job is kept until its end, so no more are accepted; nothing that is
+   * stored is ever dropped for it, and status requests, heartbeats and cancellations, which leave nothing
+   * behind, are served.
    */
   isMemoryShort = false;
   private lastTick: Instant | null = null;
@@ -72,9 +77,9 @@
   constructor(private readonly io: ControllerIo) {}
 
   /**
-   * To be called with every tick; returns what to report to the other controllers, if anything. `queuedMs`: how long the
-   * oldest heartbeat has been waiting to be read. `backlogS`: seconds that it takes to write what waits. `memory`: the
-   * fraction of the memory limit in use.
+   * To be called with every tick; returns what to report to the other controllers, if anything. `queuedMs`:
+   * how long the oldest heartbeat has been waiting to be read. `backlogS`: seconds that it takes to write
+   * what waits. `memory`: the fraction of the memory limit in use.
    */
   tick(queuedMs: number, backlogS: number, memory = 0): LoadReport | null {
     const { now } = this.io;
@@ -134,7 +139,10 @@
     return load !== undefined && this.io.now < load.validUntil ? load : null;
   }
 
-  /** How much longer than usual, in milliseconds, a write by this controller may take without its being unreachable. */
+  /**
+   * How much longer than usual, in milliseconds, a write by this controller may take without its being
+   * unreachable.
+   */
   slownessMs(node: NodeId): number {
     const load = this.loadOf(node);
     return load === null ? 0 : load.backlogS * 1000 + load.level * SLOWNESS_PER_LEVEL_MS;
@@ -167,7 +175,10 @@
   }
 }
 
-/** From `afterS` to twice that, in whole seconds, at random: users who are sent back together do not retry together. */
+/**
+ * From `afterS` to twice that, in whole seconds, at random: users who are sent back together do not retry
+ * together.
+ */
 export function jitteredRetryS(io: ControllerIo, afterS: number): number {
   return Math.max(1, Math.round(afterS + (io.random.below(1001) / 1000) * afterS));
 }
--- a/src/core/admission/team-throttle.ts
+++ b/src/core/admission/team-throttle.ts
@@ -1,6 +1,6 @@
-// Which teams are sent back first when more is submitted than can be written: those that submit more than an even share of
-// the recent submissions. Counts decay by half every few seconds and are kept for configured teams only, so that no flood of
-// names displaces another team.
+// Which teams are sent back first when more is submitted than can be written: those that submit more than an
+// even share of the recent submissions. Counts decay by half every few seconds and are kept for configured
+// teams only, so that no flood of names displaces another team.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
@@ -59,19 +59,27 @@
     }
   }
 
-  /** How many times its even share of the recent submissions the team submits; 1 for the only one that does. */
+  /**
+   * How many times its even share of the recent submissions the team submits; 1 for the only one that does.
+   */
   overuseFactor(team: TeamName): number {
     if (this.totalCount <= 0) return 1;
     return (this.recentCount(team) * Math.max(1, this.activeTeams)) / this.totalCount;
   }
 
-  /** Whether to send the team back while there is too much to write: a team alone, or one beyond its even share. */
+  /**
+   * Whether to send the team back while there is too much to write: a team alone, or one beyond its even
+   * share.
+   */
   isThrottled(team: TeamName): boolean {
     if (this.activeTeams <= 1) return true;
     return this.recentCount(team) > MIN_THROTTLED_COUNT && this.overuseFactor(team) > MAX_OVERUSE_FACTOR;
   }
 
-  /** Seconds after which a team that is sent back should retry: longer, the more it submits beyond its even share. */
+  /**
+   * Seconds after which a team that is sent back should retry: longer, the more it submits beyond its even
+   * share.
+   */
   retryAfterS(team: TeamName, waitS: number): number {
     return Math.min(MAX_RETRY_AFTER_S, waitS * Math.max(1, this.overuseFactor(team)));
   }
--- a/src/core/base/agent-model.ts
+++ b/src/core/base/agent-model.ts
@@ -9,13 +9,16 @@
   ZoneName,
 } from '../../types/index.ts';
 
-/** State of a task on its machine. `waiting`: for the other tasks of its gang. `saving`: a checkpoint, before it stops. */
+/**
+ * State of a task on its machine. `waiting`: for the other tasks of its gang. `saving`: a checkpoint, before
+ * it stops.
+ */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `peers`: another task of its gang ended. `alone`: the others of its gang did not start in time.
- * `no_room`, `busy`, `unknown`: the machine refused to start it, for lack of free capacity, because the task is in use there
- * already, or because it does not know the task.
+ * Why a task exited. `peers`: another task of its gang ended. `alone`: the others of its gang did not start
+ * in time. `no_room`, `busy`, `unknown`: the machine refused to start it, for lack of free capacity, because
+ * the task is in use there already, or because it does not know the task.
  */
 export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
--- a/src/core/base/dependency-health.ts
+++ b/src/core/base/dependency-health.ts
@@ -1,5 +1,5 @@
-// Logs that the store or the cloud is unavailable: at once, then at growing intervals, and when it serves again. Without this
-// a controller that can do nothing for its users would say nothing at all.
+// Logs that the store or the cloud is unavailable: at once, then at growing intervals, and when it serves
+// again. Without this a controller that can do nothing for its users would say nothing at all.
 import { addMs, elapsedMs, type Instant, LONG_AGO } from '../../types/index.ts';
 import type { LogFields, LogLevel } from './log.ts';
 
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -30,8 +30,8 @@
   | { kind: 'peer-up'; node: NodeId }
   | { kind: 'peer-down'; node: NodeId }
   /**
-   * Time has passed. `queuedMs`: how long the oldest heartbeat has been waiting to be read. `memory`: the fraction of the
-   * memory limit in use.
+   * Time has passed. `queuedMs`: how long the oldest heartbeat has been waiting to be read. `memory`: the
+   * fraction of the memory limit in use.
    */
   | { kind: 'tick'; queuedMs?: number; memory?: number };
 
@@ -55,8 +55,8 @@
 
 /** A source of random numbers; the only one of the core. */
 export interface Random {
-  /** A whole number from 0 up to, not including, n. */
-  below(n: number): number;
+  /** A whole number from 0 up to, not including, the bound. */
+  below(bound: number): number;
 }
 
 /** Ids of requests to other controllers have 32 bits (peer.proto). */
@@ -74,12 +74,16 @@
   wallTime = 0 as WallTime;
   /** How much further apart recurring work is done than without overload; set by the load shedder. */
   intervalFactor = 1;
+  /** The only source of random numbers. */
   readonly random: Random;
   private effects: Effect[] = [];
   private nextTag = 1;
   private lastRequestId: number;
   private readonly openRequests = new Map<number, (reply: never) => void>();
-  /** Callbacks of store requests that were given up before they were sent; called at the beginning of the next step. */
+  /**
+   * Callbacks of store requests that were given up before they were sent; called at the beginning of the next
+   * step.
+   */
   private givenUp: ((reply: StoreReply) => void)[] = [];
   private readonly storeHealth: DependencyHealth;
   private readonly cloudHealth: DependencyHealth;
@@ -91,8 +95,8 @@
     addrs = { state: '', cloud: '' },
   ) {
     this.random = random;
-    // If every run began with the same number, a response to a request of the previous run would be taken for one to another
-    // request: a controller may have restarted before it arrives.
+    // If every run began with the same number, a response to a request of the previous run would be taken for
+    // one to another request: a controller may have restarted before it arrives.
     this.lastRequestId = random.below(REQUEST_IDS);
     const log = (level: LogLevel, message: string, fields: LogFields) => this.log(level, message, fields);
     this.storeHealth = new DependencyHealth('state service', addrs.state, log);
@@ -136,7 +140,9 @@
     return this.lastRequestId;
   }
 
-  /** Sends a request to the store, when the budget allows; one that is given up before that counts as refused. */
+  /**
+   * Sends a request to the store, when the budget allows; one that is given up before that counts as refused.
+   */
   store(
     request: StoreRequest,
     priority: StorePriority,
--- a/src/core/base/job-model.ts
+++ b/src/core/base/job-model.ts
@@ -1,7 +1,10 @@
 // Jobs as their users submit them.
 import type { JobId, TeamName, TypeName, ZoneName } from '../../types/index.ts';
 
-/** `array`: tasks run independently. `gang`: all tasks run at once. `service`: tasks run until the job is cancelled. */
+/**
+ * `array`: tasks run independently. `gang`: all tasks run at once. `service`: tasks run until the job is
+ * cancelled.
+ */
 export type JobKind = 'array' | 'gang' | 'service';
 
 /** 3 is the most urgent. */
@@ -42,7 +45,10 @@
   checkpointDurationS: number;
   /** Seconds from acceptance within which the job should be done; null for no deadline. */
   deadlineS: number | null;
-  /** Jobs that must be done before any task of this one starts; absent when there are none, as in older records. */
+  /**
+   * Jobs that must be done before any task of this one starts; absent when there are none, as in older
+   * records.
+   */
   dependsOn?: JobId[];
 }
 
--- a/src/core/base/peer-model.ts
+++ b/src/core/base/peer-model.ts
@@ -44,7 +44,10 @@
   | { kind: 'forwarded-heartbeat'; id: number; heartbeat: ForwardedHeartbeat }
   | { kind: 'forwarded-heartbeat-response'; id: number; response: ForwardedHeartbeatResponse };
 
-/** A heartbeat as one controller forwards it to another: in full, or as the difference to one forwarded before. */
+/**
+ * A heartbeat as one controller forwards it to another: in full, or as the difference to one forwarded
+ * before.
+ */
 export type ForwardedHeartbeat =
   | { kind: 'full'; heartbeat: Heartbeat }
   | {
@@ -54,7 +57,9 @@
       seq: number;
       fencingToken: FencingToken;
       preemptionNoticeS: number | null;
-      /** Number of the heartbeat, of the same epoch, from which the tasks differ; the rest is as in that one. */
+      /**
+       * Number of the heartbeat, of the same epoch, from which the tasks differ; the rest is as in that one.
+       */
       baseSeq: number;
       /** Indices in its task list of tasks that are not in this one, or not in that state. */
       removed: number[];
@@ -63,6 +68,7 @@
     };
 
 /**
- * `full-heartbeat-required`: the base of the delta is not the heartbeat read last. Null: the sender is not the leader.
+ * `full-heartbeat-required`: the base of the delta is not the heartbeat read last. Null: the sender is not
+ * the leader.
  */
 export type ForwardedHeartbeatResponse = HeartbeatResponse | { kind: 'full-heartbeat-required' } | null;
--- a/src/core/base/settings-model.ts
+++ b/src/core/base/settings-model.ts
@@ -1,7 +1,11 @@
-// Settings of a deployment: the controllers, the teams and their limits, and the limits of the services that they depend on.
+// Settings of a deployment: the controllers, the teams and their limits, and the limits of the services that
+// they depend on.
 import type { NodeId, TeamName, ZoneName } from '../../types/index.ts';
 
-/** Limits of the store: the lower of those in force and those announced, since both must be kept to from the start. */
+/**
+ * Limits of the store: the lower of those in force and those announced, since both must be kept to from the
+ * start.
+ */
 export interface StoreLimits {
   /** Requests of all controllers together. */
   requestsPerS: number;
@@ -60,9 +64,9 @@
   teams: Team[];
   objectives: Objective[];
   /**
-   * Agents send a heartbeat every `heartbeatS` and stop their tasks when none has been answered for `leaseS`. Tasks of a gang
-   * wait `gangWaitS` for the others to start, and end `gangPeerS` after one of the others has. Tasks of a job whose
-   * cancellation was confirmed must have ended after `cancelS`.
+   * Agents send a heartbeat every `heartbeatS` and stop their tasks when none has been answered for `leaseS`.
+   * Tasks of a gang wait `gangWaitS` for the others to start, and end `gangPeerS` after one of the others
+   * has. Tasks of a job whose cancellation was confirmed must have ended after `cancelS`.
    */
   workers: { heartbeatS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
   store: StoreLimits;
--- a/src/core/base/store-request-budget.ts
+++ b/src/core/base/store-request-budget.ts
@@ -1,6 +1,6 @@
-// One budget for all requests of a controller to the store. The store counts the requests of all controllers together and
-// refuses those above its limit, whatever they are for: the renewal of a leader's lease must never be among these, and must
-// never wait behind a user's status request.
+// One budget for all requests of a controller to the store. The store counts the requests of all controllers
+// together and refuses those above its limit, whatever they are for: the renewal of a leader's lease must
+// never be among these, and must never wait behind a user's status request.
 import { addMs, type Instant, LONG_AGO } from '../../types/index.ts';
 import { TokenBucket } from './token-bucket.ts';
 
@@ -24,14 +24,20 @@
   queuedAt: Instant;
 }
 
-/** Fraction of the store's limit that all controllers together use; the rest is for differing clocks and vain retries. */
+/**
+ * Fraction of the store's limit that all controllers together use; the rest is for differing clocks and vain
+ * retries.
+ */
 const USED_FRACTION = 0.94;
 /** Fraction of the limit that each controller but the leader may use while there is a leader. */
 const FOLLOWER_FRACTION = 0.14;
 /** A query that cannot be sent within this time is given up, and its user sent back. */
 const QUERY_TIMEOUT_MS = 800;
 const MAX_QUEUED_QUERIES = 400;
-/** After a refusal for too many requests the rate falls by this factor, and not below that; it recovers by so much a second. */
+/**
+ * After a refusal for too many requests the rate falls by this factor, and not below that; it recovers by so
+ * much a second.
+ */
 const SLOWDOWN_FACTOR = 0.6;
 const MIN_PACE = 0.2;
 const RECOVERY_PER_S = 0.1;
@@ -49,8 +55,9 @@
   private slowedDownAt: Instant = LONG_AGO;
   /** By priority. */
   private readonly queues: QueuedRequest[][] = [[], [], [], []];
-  /** Number of requests sent, and refused as too many; for operators. */
+  /** Number of requests sent, for operators. */
   sent = 0;
+  /** Number of requests refused as too many, for operators. */
   refused = 0;
 
   constructor(
@@ -117,7 +124,10 @@
       while (queue.length > 0 && this.bucket.take(now)) this.sendNow(queue.shift()!.send);
   }
 
-  /** The store refused a request as one too many: every controller slows down, whichever of them used up the limit. */
+  /**
+   * The store refused a request as one too many: every controller slows down, whichever of them used up the
+   * limit.
+   */
   onThrottled(now: Instant): void {
     this.refused++;
     this.bucket.empty();
--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -1,5 +1,5 @@
-// Jobs that other controllers accepted without the leader (fallback admission): the leader watches the stored jobs and
-// opens those that it does not know.
+// Jobs that other controllers accepted without the leader (fallback admission): the leader watches the stored
+// jobs and opens those that it does not know.
 import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -65,7 +65,8 @@
 
   private onChanges(reply: StoreReply): void {
     this.isRequestOpen = false;
-    // A later leader may have started a job that is found too late: it is listed again, or left to that leader.
+    // A later leader may have started a job that is found too late: it is listed again, or left to that
+    // leader.
     if (reply.kind !== 'changes' || !this.mayAdopt()) return this.listAgainLater();
     const deleted = new Set(reply.deletes);
     for (const item of reply.puts) if (!deleted.has(item.key)) this.jobs.adopt(item);
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,6 +1,7 @@
-// Jobs that depend on other jobs (a directed acyclic graph). Only what is stored counts: a job becomes ready when the final
-// state of the last of its dependencies is `done`, and is cancelled as soon as one of them is cancelled, directly or through
-// others. Nothing of this is stored; a leader derives it anew from the jobs' records (docs/safety.md).
+// Jobs that depend on other jobs (a directed acyclic graph). Only what is stored counts: a job becomes ready
+// when the final state of the last of its dependencies is `done`, and is cancelled as soon as one of them is
+// cancelled, directly or through others. Nothing of this is stored; a leader derives it anew from the jobs'
+// records (docs/safety.md).
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -108,7 +109,10 @@
 
   // ---- cancellation
 
-  /** The job's cancellation is stored, or follows from one that is: all that depend on it are cancelled, at any distance. */
+  /**
+   * The job's cancellation is stored, or follows from one that is: all that depend on it are cancelled, at
+   * any distance.
+   */
   onCancelled(job: Job): void {
     this.removeEdges(job);
     this.cancelDependents(job.id);
@@ -152,8 +156,8 @@
   // ---- priority and deadlines
 
   /**
-   * Passes priority and deadline from jobs on to those that they depend on, beginning with these; only jobs whose values
-   * change pass them on.
+   * Passes priority and deadline from jobs on to those that they depend on, beginning with these; only jobs
+   * whose values change pass them on.
    */
   private propagateUrgency(ids: Iterable<JobId>): void {
     const worklist = [...ids];
@@ -173,7 +177,9 @@
     }
   }
 
-  /** Wall time in milliseconds by which the job must start to meet its deadline and those of its dependents. */
+  /**
+   * Wall time in milliseconds by which the job must start to meet its deadline and those of its dependents.
+   */
   private latestStart(job: Job): number {
     const { deadlineS } = job.spec;
     const ownDeadline = deadlineS === null ? Number.POSITIVE_INFINITY : job.acceptedAt + deadlineS * 1000;
@@ -183,9 +189,9 @@
   // ---- uncertainty
 
   /**
-   * Whether the job may turn out to be cancelled because of a dependency whose final state has not been read yet, or whose
-   * cancellation may be stored already. Until that is known users are told nothing of the job: another controller may have
-   * told one of them that it is cancelled.
+   * Whether the job may turn out to be cancelled because of a dependency whose final state has not been read
+   * yet, or whose cancellation may be stored already. Until that is known users are told nothing of the job:
+   * another controller may have told one of them that it is cancelled.
    */
   isUncertain(job: Job): boolean {
     if (job.unmetDependencies.size === 0) return false;
--- a/src/core/jobs/dependency-check.ts
+++ b/src/core/jobs/dependency-check.ts
@@ -1,17 +1,19 @@
-// Whether the dependencies of a submitted job were ever accepted: the one place that decides, for the leader and for
-// fallback admission. Only the store shows that a job was never accepted: another controller may have accepted it a moment
-// ago, or it may be long over.
+// Whether the dependencies of a submitted job were ever accepted: the one place that decides, for the leader
+// and for fallback admission. Only the store shows that a job was never accepted: another controller may have
+// accepted it a moment ago, or it may be long over.
 import type { JobId } from '../../types/index.ts';
 import type { JobKind, JobSpec, UserResponse } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
 import type { JobRecordReader } from '../storage/job-record-reader.ts';
 
-/** What the controller that checks knows of a job for certain: its kind, that it is over, or nothing (null). */
+/**
+ * What the controller that checks knows of a job for certain: its kind, that it is over, or nothing (null).
+ */
 export type KnownJobKind = (id: JobId) => JobKind | 'over' | null;
 
 /**
- * Calls `accept` if all dependencies exist and may end; else responds to the user. A job that was accepted before is not
- * checked again: the user is told its status.
+ * Calls `accept` if all dependencies exist and may end; else responds to the user. A job that was accepted
+ * before is not checked again: the user is told its status.
  */
 export function checkDependencies(
   spec: JobSpec,
--- a/src/core/jobs/done-bitmap-record.ts
+++ b/src/core/jobs/done-bitmap-record.ts
@@ -1,12 +1,14 @@
-// How bitmaps of done tasks are stored: each value holds parts of the bitmaps of many jobs. The short field names belong
-// to the stored form alone.
+// How bitmaps of done tasks are stored: each value holds parts of the bitmaps of many jobs. The short field
+// names belong to the stored form alone.
 import type { JobId } from '../../types/index.ts';
 import type { StoreItem } from '../base/model.ts';
 
 /** Keys of the stored bitmaps. */
 export const DONE_BITMAP_PREFIX = 'd/';
 
-/** Parts are named by the task where they begin, in units of this; versions before 0.2 know whole units only. */
+/**
+ * Parts are named by the task where they begin, in units of this; versions before 0.2 know whole units only.
+ */
 export const BITMAP_UNIT_TASKS = 32_768;
 
 /** Bytes that a value may take beside its parts. */
--- a/src/core/jobs/final-state-lookup.ts
+++ b/src/core/jobs/final-state-lookup.ts
@@ -1,5 +1,5 @@
-// Reads the final states of jobs that open jobs depend on and of which nothing is known, within a fraction of the
-// request budget, until each of them is known to be open, done or cancelled.
+// Reads the final states of jobs that open jobs depend on and of which nothing is known, within a fraction of
+// the request budget, until each of them is known to be open, done or cancelled.
 import { addMs, type Instant, type JobId, LONG_AGO, type WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreReply } from '../base/model.ts';
--- a/src/core/jobs/job-acceptance.ts
+++ b/src/core/jobs/job-acceptance.ts
@@ -1,4 +1,5 @@
-// How jobs enter the table: submissions that the leader stores, and jobs that other controllers have stored without it.
+// How jobs enter the table: submissions that the leader stores, and jobs that other controllers have stored
+// without it.
 import type { JobId, Revision, TeamName, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, StoreItem, StorePut, UserResponse } from '../base/model.ts';
@@ -55,7 +56,10 @@
     return this.accepting.has(id);
   }
 
-  /** Stores a submitted job and responds once that is done; a repeated submission meanwhile shares the outcome. */
+  /**
+   * Stores a submitted job and responds once that is done; a repeated submission meanwhile shares the
+   * outcome.
+   */
   accept(spec: JobSpec, respond: Respond): void {
     const responders = this.accepting.get(spec.id);
     if (responders !== undefined) {
--- a/src/core/jobs/job-ordering.ts
+++ b/src/core/jobs/job-ordering.ts
@@ -1,11 +1,15 @@
-// In which order waiting jobs of the same priority are served: by the time left until an objective of theirs is missed.
+// In which order waiting jobs of the same priority are served: by the time left until an objective of theirs
+// is missed.
 import type { Instant } from '../../types/index.ts';
 import type { Objective } from '../base/model.ts';
 import type { Job } from './job.ts';
 
 /** Within this from being ready a job without objectives or deadline should start. */
 const DEFAULT_MAX_WAIT_S = 300;
-/** Slack of a job that has missed all its objectives, before its age is subtracted: more than of any that has not. */
+/**
+ * Slack of a job that has missed all its objectives, before its age is subtracted: more than of any that has
+ * not.
+ */
 const MISSED_SLACK_S = 1e6;
 
 /** Weights of the newest run in the moving averages of run times, and of their ratios to users' estimates. */
@@ -71,8 +75,9 @@
   }
 
   /**
-   * Seconds after acceptance by which the job's tasks should start, one for each objective, earliest first. Waits count
-   * from when the job became ready; deadlines, its own and those of jobs that depend on it, from acceptance.
+   * Seconds after acceptance by which the job's tasks should start, one for each objective, earliest first.
+   * Waits count from when the job became ready; deadlines, its own and those of jobs that depend on it, from
+   * acceptance.
    */
   startBy(job: Job): number[] {
     const runS = this.estimates.runS(job);
@@ -91,7 +96,10 @@
     return starts.sort((a, b) => a - b);
   }
 
-  /** Seconds until the next objective that can still be met; jobs beyond all theirs come last, the oldest first. */
+  /**
+   * Seconds until the next objective that can still be met; jobs beyond all theirs come last, the oldest
+   * first.
+   */
   slackS(job: Job, now: Instant, wallTime: number): number {
     return slackOf(this.deadlinesS(job, now, wallTime), ageS(job, now, wallTime));
   }
@@ -113,7 +121,10 @@
   }
 }
 
-/** Seconds after acceptance by which the tasks should start for the objective; null if it says nothing of the job. */
+/**
+ * Seconds after acceptance by which the tasks should start for the objective; null if it says nothing of the
+ * job.
+ */
 function startForObjective(job: Job, objective: Objective, readyS: number, runS: number): number | null {
   const { kind, withinS, times } = objective;
   const { deadlineS } = job.spec;
@@ -123,7 +134,10 @@
   return null;
 }
 
-/** Seconds left until the first of these starts; if there is none, more than of any job that has one, and less with age. */
+/**
+ * Seconds left until the first of these starts; if there is none, more than of any job that has one, and less
+ * with age.
+ */
 export const slackOf = (startsS: readonly number[], jobAgeS: number): number =>
   startsS[0] ?? MISSED_SLACK_S - jobAgeS;
 
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -1,5 +1,5 @@
-// The open jobs of the shard, and what happens to them: restoring them at the beginning of a term, results of tasks, and
-// (in job-acceptance.ts and job-termination.ts) acceptance, cancellation and the end.
+// The open jobs of the shard, and what happens to them: restoring them at the beginning of a term, results of
+// tasks, and (in job-acceptance.ts and job-termination.ts) acceptance, cancellation and the end.
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, StoreItem, UserResponse } from '../base/model.ts';
@@ -21,11 +21,15 @@
   readonly openJobs = new Map<JobId, Job>();
   /** Open jobs with tasks that wait for a machine, without blocked ones. */
   readonly waitingJobs = new Set<Job>();
-  /** See {@link JobEvents}, as for the callbacks below. */
+  /** Follows jobs on behalf of their dependents; null until it is set. */
   listener: JobListener | null = null;
+  /** See {@link JobEvents.onAccepted}. */
   onAccepted: (job: Job) => void = () => {};
+  /** See {@link JobEvents.onEnded}. */
   onEnded: (job: Job) => void = () => {};
+  /** See {@link JobEvents.onCancellationFailed}. */
   onCancellationFailed: () => void = () => {};
+  /** See {@link JobEvents.onClosed}. */
   onClosed: (job: Job, status: FinalStatus) => void = () => {};
   private readonly io: ControllerIo;
   private readonly progress: ArrayProgress;
@@ -115,8 +119,9 @@
   /** A machine has reported that the task is done. */
   completeTask(job: Job, index: number): void {
     if (job.spec.kind === 'service' || !job.setDone(index)) return;
-    // The tasks of a gang complete together. If each result were waited for, some might never arrive: a machine that has
-    // kept a result ends that task at once when it is started again, and the others would wait for it in vain.
+    // The tasks of a gang complete together. If each result were waited for, some might never arrive: a
+    // machine that has kept a result ends that task at once when it is started again, and the others would
+    // wait for it in vain.
     if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.tasks; task++) job.setDone(task);
     if (job.remainingTasks === 0) this.termination.finish(job);
     else this.progress.markChanged(job, index);
--- a/src/core/jobs/job-termination.ts
+++ b/src/core/jobs/job-termination.ts
@@ -1,5 +1,5 @@
-// Cancellation and the final state of jobs. Both are writes to the job's record, conditional on its revision, so that
-// `done` and `cancelled` exclude each other. A user is told of either only once it is stored.
+// Cancellation and the final state of jobs. Both are writes to the job's record, conditional on its revision,
+// so that `done` and `cancelled` exclude each other. A user is told of either only once it is stored.
 import type { Revision, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, UserResponse } from '../base/model.ts';
@@ -55,9 +55,10 @@
   }
 
   /**
-   * Cancels the job at its user's request, and responds once that is stored. No more of its tasks start from the request
-   * on, before the cancellation is stored: if the write is executed but its reply is lost, a controller that reads the
-   * record tells the user that the job is cancelled while this leader does not know it (docs/safety.md, point 15).
+   * Cancels the job at its user's request, and responds once that is stored. No more of its tasks start from
+   * the request on, before the cancellation is stored: if the write is executed but its reply is lost, a
+   * controller that reads the record tells the user that the job is cancelled while this leader does not know
+   * it (docs/safety.md, point 15).
    */
   cancel(job: Job, respond: (response: UserResponse) => void): void {
     if (job.cancelled) return respond({ kind: 'ended', id: job.id, status: 'cancelled' });
@@ -123,8 +124,8 @@
   }
 
   /**
-   * The stored record says that the job is cancelled: by a copy of a write that was given up as refused and executed
-   * late. Every controller that reads the record says so, and from now on this one too.
+   * The stored record says that the job is cancelled: by a copy of a write that was given up as refused and
+   * executed late. Every controller that reads the record says so, and from now on this one too.
    */
   onStoredCancellation(job: Job, item: StoreItem): void {
     if (job.cancelled || job.isWritingRecord) return;
@@ -172,7 +173,10 @@
     this.close(job, stored.status, stored.endedAt ?? endedAt);
   }
 
-  /** The stored record has another revision than the one known: conditional on that, no final state could be written. */
+  /**
+   * The stored record has another revision than the one known: conditional on that, no final state could be
+   * written.
+   */
   private readRecordAgain(job: Job): void {
     job.isWritingRecord = true;
     this.io.store({ kind: 'get', key: OPEN_JOB_PREFIX + job.id }, StorePriority.leader, (reply) => {
@@ -196,7 +200,10 @@
     runAfterWrite(job);
   }
 
-  /** Sends the write that cancels or ends the job. Until its result no other write to the job's record is begun. */
+  /**
+   * Sends the write that cancels or ends the job. Until its result no other write to the job's record is
+   * begun.
+   */
   private sendTerminalWrite(job: Job, write: FencedWrite): void {
     const { onResult } = write;
     write.onResult = (result) => {
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -34,7 +34,10 @@
   attempt: Attempt;
   machine: MachineId;
   state: 'sent' | 'fetching' | 'waiting' | 'running' | 'saving';
-  /** Number of the heartbeat that the start command answered; only a later one can show that it was not executed. */
+  /**
+   * Number of the heartbeat that the start command answered; only a later one can show that it was not
+   * executed.
+   */
   sentSeq: number;
   sentAt: Instant;
   runningAt: Instant | null;
@@ -52,11 +55,16 @@
   readonly phases: Uint8Array;
   /** Tasks whose results were reported. */
   private readonly doneTasks: TaskBitmap;
-  /** Of these the ones whose results are stored, so that their machines may forget them; null while there are none. */
+  /**
+   * Of these the ones whose results are stored, so that their machines may forget them; null while there are
+   * none.
+   */
   private recordedTasks: TaskBitmap | null = null;
+  /** Number of tasks whose results were reported. */
   doneCount = 0;
-  /** Tasks in the state `running` on their machines. */
+  /** Number of tasks that run on their machines. */
   runningTasks = 0;
+  /** Numbers of tasks in the phases of these names. */
   waitingTasks = 0;
   queuedTasks = 0;
   unlocatedTasks = 0;
@@ -77,37 +85,50 @@
   /** Tasks that are on machines or may be, by index. */
   readonly assignments = new Map<number, TaskAssignment>();
   /**
-   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up since and
-   * started elsewhere; such an assignment must never replace the real one, nor free the task when it is removed.
+   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up
+   * since and started elsewhere; such an assignment must never replace the real one, nor free the task when
+   * it is removed.
    */
   private duplicateAssignments: TaskAssignment[] = [];
   /** Tasks that became free again, the next to start last; some may have been started since. */
   private readonly freedTasks: number[] = [];
   /** Tasks from this index on were never started under this term. */
   private nextUnstartedTask = 0;
-  /** Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since. */
+  /**
+   * Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since.
+   */
   mayHaveUnlocatedTasks: boolean;
   /** Number of its tasks on machines and in queues, by zone. */
   readonly zones = new Map<ZoneName, number>();
 
-  /** Failures in a row without a success, and the machines where they happened. */
+  /** Number of failures since the last success. */
   failures = 0;
+  /** The machines where they happened. */
   readonly failedOn = new Set<MachineId>();
+  /** No task is started before this. */
   retryAt: Instant = LONG_AGO;
-  /** The attempt that the tasks of a gang share, and whether it has begun to run. */
+  /** The attempt that the tasks of a gang share; null while none of them is assigned. */
   gangAttempt: Attempt | null = null;
+  /** Whether that attempt has begun to run. */
   gangHasRun = false;
 
-  /** It depends on jobs that are not known to be done: none of its tasks may start, and they count as no demand. */
+  /**
+   * It depends on jobs that are not known to be done: none of its tasks may start, and they count as no
+   * demand.
+   */
   isBlocked: boolean;
   /** Those jobs; kept by {@link Dependencies}. */
   readonly unmetDependencies = new Set<JobId>();
   /** When its waiting began: when the last job that it depends on was done, else its acceptance. */
   readyWall: WallTime;
+  /** The same by this controller's monotonic clock, as far as it has seen it. */
   readyAt: Instant;
   /** Its own priority, or the highest of the jobs that depend on it. */
   priority: Priority;
-  /** Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
+  /**
+   * Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their
+   * deadlines.
+   */
   inheritedDeadline = Number.POSITIVE_INFINITY;
   /** Seconds until it should start, as of the last scheduling cycle that ranked it. */
   slackS: number | null = null;
@@ -138,6 +159,7 @@
     if (mayHaveUnlocatedTasks) this.nextUnstartedTask = spec.tasks;
   }
 
+  /** The job's id. */
   get id(): JobId {
     return this.spec.id;
   }
@@ -225,10 +247,10 @@
   }
 
   /**
-   * A task is not on the machine of the assignment any more. It is free again only when its last assignment is removed.
-   * `certain`: it was on that machine under this term. Otherwise the assignment may stem from an old heartbeat that was
-   * delayed until a new leader read it, and its removal proves nothing: the task may have been started long before on
-   * another machine, of which this leader has had no heartbeat.
+   * A task is not on the machine of the assignment any more. It is free again only when its last assignment
+   * is removed. `certain`: it was on that machine under this term. Otherwise the assignment may stem from an
+   * old heartbeat that was delayed until a new leader read it, and its removal proves nothing: the task may
+   * have been started long before on another machine, of which this leader has had no heartbeat.
    */
   removeAssignment(assignment: TaskAssignment, certain: boolean): void {
     const { index } = assignment;
@@ -305,8 +327,8 @@
   }
 
   /**
-   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may have read
-   * it and told the job's user, who must not be given an older status here.
+   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may
+   * have read it and told the job's user, who must not be given an older status here.
    */
   get mayHaveEnded(): boolean {
     return this.terminalWrite !== null && this.terminalWrite.progress !== 'waiting';
--- a/src/core/jobs/task-bitmap.ts
+++ b/src/core/jobs/task-bitmap.ts
@@ -1,7 +1,8 @@
 // A set of task indices of one job, one bit each; its bytes are what is stored of done tasks.
 
-/** Bit `i & 7` of byte `i >> 3` stands for task `i`. */
+/** A set of tasks as a bitmap. */
 export class TaskBitmap {
+  /** Bit `i & 7` of byte `i >> 3` stands for task `i`. */
   readonly bytes: Uint8Array;
 
   constructor(tasks: number) {
@@ -18,7 +19,10 @@
     this.bytes[index >> 3] = (this.bytes[index >> 3] ?? 0) | (1 << (index & 7));
   }
 
-  /** Adds the tasks of a part of another bitmap, of which the first bit stands for the task `from`, a multiple of 8. */
+  /**
+   * Adds the tasks of a part of another bitmap, of which the first bit stands for the task `from`, a multiple
+   * of 8.
+   */
   addAll(from: number, part: Uint8Array): void {
     const start = from >> 3;
     const end = Math.min(part.length, this.bytes.length - start);
--- a/src/core/teams/max-min-fairness.ts
+++ b/src/core/teams/max-min-fairness.ts
@@ -1,6 +1,6 @@
-// Weighted max-min fair shares of several resources at once, by progressive filling: the allocation of every party grows at
-// the rate of its weight until it has all its demand, or a resource that it needs is used up. Growth is measured in dominant
-// shares ("Dominant Resource Fairness", Ghodsi et al.).
+// Weighted max-min fair shares of several resources at once, by progressive filling: the allocation of every
+// party grows at the rate of its weight until it has all its demand, or a resource that it needs is used up.
+// Growth is measured in dominant shares ("Dominant Resource Fairness", Ghodsi et al.).
 
 /** One number for each resource, in the same order everywhere; see `Resources`. */
 export type Amounts = readonly number[];
@@ -17,7 +17,10 @@
 
 const EPSILON = 1e-9;
 
-/** The greatest fraction that an amount takes of any resource's capacity; 1 for a resource of which there is none. */
+/**
+ * The greatest fraction that an amount takes of any resource's capacity; 1 for a resource of which there is
+ * none.
+ */
 export function dominantShare(amount: Amounts, capacity: Amounts): number {
   let most = 0;
   for (let r = 0; r < capacity.length; r++)
@@ -125,7 +128,10 @@
   }
 }
 
-/** The fraction of its demand that a party is guaranteed: of all resources alike, as its tasks need them together. */
+/**
+ * The fraction of its demand that a party is guaranteed: of all resources alike, as its tasks need them
+ * together.
+ */
 function guaranteedFraction(party: ShareDemand): number {
   let fraction = Number.POSITIVE_INFINITY;
   for (let r = 0; r < party.demand.length; r++)
@@ -133,7 +139,10 @@
   return Number.isFinite(fraction) ? Math.min(1, Math.max(0, fraction)) : 0;
 }
 
-/** Takes the guarantees from the capacity that is left; with less capacity than that, all guarantees shrink alike. */
+/**
+ * Takes the guarantees from the capacity that is left; with less capacity than that, all guarantees shrink
+ * alike.
+ */
 function allocateGuarantees(guaranteed: number[], parties: readonly ShareDemand[], left: number[]): void {
   const sums = left.map((_, r) =>
     parties.reduce((sum, party, i) => sum + party.demand[r]! * guaranteed[i]!, 0),
--- a/src/core/teams/quota.ts
+++ b/src/core/teams/quota.ts
@@ -1,5 +1,5 @@
-// Teams' limits and guarantees, enforced by the leader. What may be in use counts as used. The machine table keeps the sums
-// up to date: it says which tasks come and go, and on which machines anything may run.
+// Teams' limits and guarantees, enforced by the leader. What may be in use counts as used. The machine table
+// keeps the sums up to date: it says which tasks come and go, and on which machines anything may run.
 import type { TeamName, TypeName } from '../../types/index.ts';
 import type { JobSpec, Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
--- a/src/core/teams/usage-accounting.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -1,6 +1,7 @@
-// What became of each team's work, by class, for operators who ask which work is served least. Totals of ended jobs are
-// stored, rarely, in values that many accounts share; open jobs are counted from their own records. A new leader goes on
-// from the stored totals: jobs that ended in the seconds since are missing from them, and nothing else.
+// What became of each team's work, by class, for operators who ask which work is served least. Totals of
+// ended jobs are stored, rarely, in values that many accounts share; open jobs are counted from their own
+// records. A new leader goes on from the stored totals: jobs that ended in the seconds since are missing from
+// them, and nothing else.
 import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, StoreReply } from '../base/model.ts';
@@ -29,26 +30,26 @@
 /** Accounts in one log line: those least served. */
 const MAX_LOGGED_ACCOUNTS = 40;
 /**
- * Classes are named by users: above this number of accounts all further classes of a team are counted together, so that no
- * flood of new names displaces known ones.
+ * Classes are named by users: above this number of accounts all further classes of a team are counted
+ * together, so that no flood of new names displaces known ones.
  */
 const MAX_ACCOUNTS = 2000;
 const OTHER_CLASSES = '(others)';
 
 /** A stored value with the totals of some accounts. */
-class AccountPage {
+class AccountRecord {
   readonly names = new Set<AccountName>();
   isDirty = false;
-  constructor(readonly record: SharedRecord) {}
+  constructor(readonly shared: SharedRecord) {}
 }
 
 /** Counts ended work by team and class, stores the totals, and logs which work is served least. */
 export class UsageAccounting {
   private readonly totals = new Map<AccountName, WorkTotals>();
-  private readonly pages: AccountPage[] = [];
-  /** The page on which an account's totals are stored. */
-  private readonly pageOfAccount = new Map<AccountName, AccountPage>();
-  private readonly maxAccountsPerPage: number;
+  private readonly records: AccountRecord[] = [];
+  /** The record in which an account's totals are stored. */
+  private readonly recordOfAccount = new Map<AccountName, AccountRecord>();
+  private readonly maxAccountsPerRecord: number;
   /** Whether the totals of earlier terms have been read. */
   private loading: 'not-read' | 'reading' | 'read' = 'not-read';
   private nextReadAt: Instant = LONG_AGO;
@@ -60,7 +61,7 @@
     private readonly writer: FencedWriter,
     private readonly term: Revision,
   ) {
-    this.maxAccountsPerPage = Math.max(1, Math.floor(writer.maxValueBytes / MAX_ACCOUNT_BYTES));
+    this.maxAccountsPerRecord = Math.max(1, Math.floor(writer.maxValueBytes / MAX_ACCOUNT_BYTES));
     this.nextLogAt = addMs(io.now, LOG_INTERVAL_MS);
   }
 
@@ -90,8 +91,8 @@
       totals = { jobsEnded: 0, jobsDone: 0, tasksDone: 0, cpuS: 0 };
       this.totals.set(name, totals);
     }
-    const page = this.pageOfAccount.get(name);
-    if (page !== undefined) page.isDirty = true;
+    const record = this.recordOfAccount.get(name);
+    if (record !== undefined) record.isDirty = true;
     return totals;
   }
 
@@ -124,49 +125,50 @@
   }
 
   private restore(item: StoreItem): void {
-    const page = new AccountPage(new SharedRecord(this.writer, item.key, item.revision));
-    this.pages.push(page);
+    const record = new AccountRecord(new SharedRecord(this.writer, item.key, item.revision));
+    this.records.push(record);
     for (const [name, stored] of decodeAccounts(item)) {
       const totals = this.totalsToChange(name);
       totals.jobsEnded += stored.jobsEnded;
       totals.jobsDone += stored.jobsDone;
       totals.tasksDone += stored.tasksDone;
       totals.cpuS += stored.cpuS;
-      this.addToPage(name, page);
+      this.addToRecord(name, record);
     }
   }
 
-  private addToPage(name: AccountName, page: AccountPage): void {
-    page.names.add(name);
-    if (!this.pageOfAccount.has(name)) this.pageOfAccount.set(name, page);
+  private addToRecord(name: AccountName, record: AccountRecord): void {
+    record.names.add(name);
+    if (!this.recordOfAccount.has(name)) this.recordOfAccount.set(name, record);
   }
 
   private write(): void {
     for (const name of this.totals.keys()) {
-      if (this.pageOfAccount.has(name)) continue;
-      const page = this.pageWithSpace();
-      this.addToPage(name, page);
-      page.isDirty = true;
+      if (this.recordOfAccount.has(name)) continue;
+      const record = this.recordWithSpace();
+      this.addToRecord(name, record);
+      record.isDirty = true;
     }
-    for (const page of this.pages) if (page.isDirty && !page.record.isWriting) this.writePage(page);
+    for (const record of this.records)
+      if (record.isDirty && !record.shared.isWriting) this.writeRecord(record);
   }
 
-  private pageWithSpace(): AccountPage {
-    const page = this.pages.find((candidate) => candidate.names.size < this.maxAccountsPerPage);
-    if (page !== undefined) return page;
-    const key = `${USAGE_PREFIX}${this.term}.${this.pages.length + 1}`;
-    const created = new AccountPage(new SharedRecord(this.writer, key, 0 as Revision));
-    this.pages.push(created);
+  private recordWithSpace(): AccountRecord {
+    const record = this.records.find((candidate) => candidate.names.size < this.maxAccountsPerRecord);
+    if (record !== undefined) return record;
+    const key = `${USAGE_PREFIX}${this.term}.${this.records.length + 1}`;
+    const created = new AccountRecord(new SharedRecord(this.writer, key, 0 as Revision));
+    this.records.push(created);
     return created;
   }
 
-  private writePage(page: AccountPage): void {
-    page.isDirty = false;
+  private writeRecord(record: AccountRecord): void {
+    record.isDirty = false;
     const accounts: [AccountName, WorkTotals][] = [];
-    for (const name of page.names)
-      if (this.pageOfAccount.get(name) === page) accounts.push([name, this.totals.get(name)!]);
-    page.record.write(encodeAccounts(accounts), WritePriority.sharedRecord, (ok) => {
-      if (!ok) page.isDirty = true;
+    for (const name of record.names)
+      if (this.recordOfAccount.get(name) === record) accounts.push([name, this.totals.get(name)!]);
+    record.shared.write(encodeAccounts(accounts), WritePriority.sharedRecord, (ok) => {
+      if (!ok) record.isDirty = true;
     });
   }
 
--- a/src/core/teams/usage-record.ts
+++ b/src/core/teams/usage-record.ts
@@ -1,5 +1,5 @@
-// How usage accounting is stored: each value holds the totals of many pairs of a team and a class. Joined names, short field
-// names and tuples belong to the stored form alone.
+// How usage accounting is stored: each value holds the totals of many pairs of a team and a class. Joined
+// names, short field names and tuples belong to the stored form alone.
 import type { StoreItem } from '../base/model.ts';
 
 /** Keys of the stored totals. */
@@ -8,7 +8,10 @@
 /** Classes are named by users: longer names are cut, so that no name makes a value too large to write. */
 export const MAX_ACCOUNT_NAME_LENGTH = 60;
 
-/** Bytes that one account takes at most: a name of three-byte characters, four numbers, and what is around them. */
+/**
+ * Bytes that one account takes at most: a name of three-byte characters, four numbers, and what is around
+ * them.
+ */
 export const MAX_ACCOUNT_BYTES = 3 * MAX_ACCOUNT_NAME_LENGTH + 100;
 
 /** Names the account of a team and a class. */
--- a/src/core/teams/usage-summary.ts
+++ b/src/core/teams/usage-summary.ts
@@ -1,4 +1,5 @@
-// What became of the work of each team by class, for operators: totals of ended jobs, together with the open jobs.
+// What became of the work of each team by class, for operators: totals of ended jobs, together with the open
+// jobs.
 import type { WallTime } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 import { type AccountName, splitAccountName, type WorkTotals } from './usage-record.ts';
--- a/src/core/teams/usage.ts
+++ b/src/core/teams/usage.ts
@@ -1,12 +1,12 @@
-// What teams and classes use on machines and in their queues, by machine type: sums kept up to date by the machine table as
-// tasks come and go.
+// What teams and classes use on machines and in their queues, by machine type: sums kept up to date by the
+// machine table as tasks come and go.
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 
 /**
- * Amounts of the three resources: CPUs, GPUs, memory in GB. A tuple, because code on hot paths walks through the resources
- * by number; the same order holds in max-min-fairness.ts.
+ * Amounts of the three resources: CPUs, GPUs, memory in GB. A tuple, because code on hot paths walks through
+ * the resources by number; the same order holds in max-min-fairness.ts.
  */
 export type Resources = [cpus: number, gpus: number, memoryGb: number];
 
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -1,5 +1,5 @@
-// Jobs that depend on other jobs: nothing starts early, a cancellation goes down the graph and is never taken back, whichever
-// controller is the leader and however leadership changes.
+// Jobs that depend on other jobs: nothing starts early, a cancellation goes down the graph and is never taken
+// back, whichever controller is the leader and however leadership changes.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
--- a/test/job-stream.test.ts
+++ b/test/job-stream.test.ts
@@ -1,5 +1,6 @@
-// A steady stream of jobs with one task each, a quarter of them cancelled, under each of several faults: no status request
-// stays unanswered, requests to the store stay within their limit, and nothing grows without bound (docs/safety.md, point 15).
+// A steady stream of jobs with one task each, a quarter of them cancelled, under each of several faults: no
+// status request stays unanswered, requests to the store stay within their limit, and nothing grows without
+// bound (docs/safety.md, point 15).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobId } from '../src/types/index.ts';
@@ -108,7 +109,10 @@
   return ids;
 }
 
-/** Runs the world for the stream's duration; returns the most requests and changes that the store served in a second. */
+/**
+ * Runs the world for the stream's duration; returns the most requests and changes that the store served in a
+ * second.
+ */
 function runAndMeasureStoreLoad(world: SimulatedWorld): { requests: number; writes: number } {
   const most = { requests: 0, writes: 0 };
   let counted = 0;
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -185,7 +185,8 @@
         /memory/.test(rejected.reason),
     );
     assert.equal(rejection(leader, 'submit')?.kind, 'retry');
-    // Forwarded by a controller that does not know of it: a new job is rejected, the repetition of an accepted one is not.
+    // Forwarded by a controller that does not know of it: a new job is rejected, the repetition of an
+    // accepted one is not.
     const submissions = [job('run-2'), job('run-1', { tasks: 6, cpus: 4 })].map((spec) =>
       world.ask(follower, { op: 'submit', spec }),
     );
