--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -12,20 +12,9 @@
 import type { JobSpec, JobStatus, Priority } from '../base/model.ts';
 import type { FencedWrite } from '../storage/fenced-writer.ts';
 import { hasBit, TaskBitmap } from './task-bitmap.ts';
+import { TaskPhase, TaskPhases } from './task-phases.ts';
 
-/** Where a task is, as far as the leader knows. */
-export enum TaskPhase {
-  /** Waits for a machine. */
-  Waiting = 0,
-  /** In the queue of a machine, not started. */
-  Queued = 1,
-  /** Has an assignment: it is on a machine, or may be. */
-  Active = 2,
-  /** Its result was reported. */
-  Done = 3,
-  /** May be on a machine that has not sent a heartbeat to this leader yet. */
-  Unlocated = 4,
-}
+export { TaskPhase } from './task-phases.ts';
 
 /** A task on a machine, as far as is known or cannot be ruled out. */
 export interface TaskAssignment {
@@ -51,8 +40,7 @@
 
 /** A job whose final state is not stored yet. */
 export class Job {
-  /** The {@link TaskPhase} of each task. */
-  readonly phases: Uint8Array;
+  private readonly taskPhases: TaskPhases;
   /** Tasks whose results were reported. */
   private readonly doneTasks: TaskBitmap;
   /**
@@ -60,14 +48,8 @@
    * none.
    */
   private recordedTasks: TaskBitmap | null = null;
-  /** Number of tasks whose results were reported. */
-  doneCount = 0;
   /** Number of tasks that run on their machines. */
   runningTasks = 0;
-  /** Numbers of tasks in the phases of these names. */
-  waitingTasks = 0;
-  queuedTasks = 0;
-  unlocatedTasks = 0;
 
   /** Its cancellation is stored, or follows from that of a job that it depends on. */
   cancelled = false;
@@ -90,10 +72,6 @@
    * it is removed.
    */
   private duplicateAssignments: TaskAssignment[] = [];
-  /** Tasks that became free again, the next to start last; some may have been started since. */
-  private readonly freedTasks: number[] = [];
-  /** Tasks from this index on were never started under this term. */
-  private nextUnstartedTask = 0;
   /**
    * Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since.
    */
@@ -154,9 +132,8 @@
     this.mayHaveUnlocatedTasks = mayHaveUnlocatedTasks;
     this.doneTasks = new TaskBitmap(spec.tasks);
     const phase = mayHaveUnlocatedTasks ? TaskPhase.Unlocated : TaskPhase.Waiting;
-    this.phases = new Uint8Array(spec.tasks).fill(phase);
-    this.countPhase(phase, spec.tasks);
-    if (mayHaveUnlocatedTasks) this.nextUnstartedTask = spec.tasks;
+    this.taskPhases = new TaskPhases(spec.tasks, phase);
+    this.updateWaitingJobs();
   }
 
   /** The job's id. */
@@ -176,37 +153,44 @@
 
   // ---- phases of tasks
 
+  /** The {@link TaskPhase} of each task. */
+  get phases(): Uint8Array {
+    return this.taskPhases.byTask;
+  }
+
+  /** Number of tasks that wait for a machine. */
+  get waitingTasks(): number {
+    return this.taskPhases.waiting;
+  }
+
+  /** Number of tasks in queues of machines. */
+  get queuedTasks(): number {
+    return this.taskPhases.queued;
+  }
+
+  /** Number of tasks that may be on machines that have not sent a heartbeat to this leader yet. */
+  get unlocatedTasks(): number {
+    return this.taskPhases.unlocated;
+  }
+
+  /** Number of tasks whose results were reported. */
+  get doneCount(): number {
+    return this.taskPhases.done;
+  }
+
   /** Index of the next task to place, without taking it; -1 if none waits. */
   nextWaitingTask(): number {
-    while (this.freedTasks.length > 0) {
-      const index = this.freedTasks.at(-1)!;
-      if (this.phases[index] === TaskPhase.Waiting) return index;
-      this.freedTasks.pop();
-    }
-    const { tasks } = this.spec;
-    while (this.nextUnstartedTask < tasks && this.phases[this.nextUnstartedTask] !== TaskPhase.Waiting)
-      this.nextUnstartedTask++;
-    return this.nextUnstartedTask < tasks ? this.nextUnstartedTask : -1;
+    return this.taskPhases.nextWaiting();
   }
 
-  /** Moves a task to a phase, and keeps the counts and `waitingJobs` in step. */
+  /** Moves a task to a phase, and keeps `waitingJobs` in step. */
   setPhase(index: number, to: TaskPhase): void {
-    const from = this.phases[index] as TaskPhase;
-    if (from === to) return;
-    this.countPhase(from, -1);
-    this.countPhase(to, 1);
-    this.phases[index] = to;
-    if (to === TaskPhase.Waiting) this.freedTasks.push(index);
+    if (this.taskPhases.set(index, to)) this.updateWaitingJobs();
   }
 
-  private countPhase(phase: TaskPhase, change: number): void {
-    if (phase === TaskPhase.Waiting) {
-      this.waitingTasks += change;
-      if (this.waitingTasks > 0 && !this.isOver && !this.isBlocked) this.waitingJobs?.add(this);
-      else this.waitingJobs?.delete(this);
-    } else if (phase === TaskPhase.Unlocated) this.unlocatedTasks += change;
-    else if (phase === TaskPhase.Queued) this.queuedTasks += change;
-    else if (phase === TaskPhase.Done) this.doneCount += change;
+  private updateWaitingJobs(): void {
+    if (this.waitingTasks > 0 && !this.isOver && !this.isBlocked) this.waitingJobs?.add(this);
+    else this.waitingJobs?.delete(this);
   }
 
   /** Number of tasks that wait for a machine, or in a machine's queue. */
