--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -12,20 +12,9 @@
 import type { JobSpec, JobStatus, Priority } from '../base/model.ts';
 import type { FencedWrite } from '../storage/fenced-writer.ts';
 import { hasBit, TaskBitmap } from './task-bitmap.ts';
+import { TaskPhase, TaskPhases } from './task-phases.ts';
 
-/** Where a task is, as far as the leader knows. */
-export enum TaskPhase {
-  /** Waits for a machine. */
-  Waiting = 0,
-  /** In the queue of a machine, not started. */
-  Queued = 1,
-  /** Has an assignment: it is on a machine, or may be. */
-  Active = 2,
-  /** Its result was reported. */
-  Done = 3,
-  /** May be on a machine that has not sent a heartbeat to this leader yet. */
-  Unlocated = 4,
-}
+export { TaskPhase } from './task-phases.ts';
 
 /** A task on a machine, as far as is known or cannot be ruled out. */
 export interface TaskAssignment {
@@ -34,7 +23,10 @@
   attempt: Attempt;
   machine: MachineId;
   state: 'sent' | 'fetching' | 'waiting' | 'running' | 'saving';
-  /** Number of the heartbeat that the start command answered; only a later one can show that it was not executed. */
+  /**
+   * Number of the heartbeat that the start command answered; only a later one can show that it was not
+   * executed.
+   */
   sentSeq: number;
   sentAt: Instant;
   runningAt: Instant | null;
@@ -48,18 +40,16 @@
 
 /** A job whose final state is not stored yet. */
 export class Job {
-  /** The {@link TaskPhase} of each task. */
-  readonly phases: Uint8Array;
+  private readonly taskPhases: TaskPhases;
   /** Tasks whose results were reported. */
   private readonly doneTasks: TaskBitmap;
-  /** Of these the ones whose results are stored, so that their machines may forget them; null while there are none. */
+  /**
+   * Of these the ones whose results are stored, so that their machines may forget them; null while there are
+   * none.
+   */
   private recordedTasks: TaskBitmap | null = null;
-  doneCount = 0;
-  /** Tasks in the state `running` on their machines. */
+  /** Number of tasks that run on their machines. */
   runningTasks = 0;
-  waitingTasks = 0;
-  queuedTasks = 0;
-  unlocatedTasks = 0;
 
   /** Its cancellation is stored, or follows from that of a job that it depends on. */
   cancelled = false;
@@ -77,37 +67,46 @@
   /** Tasks that are on machines or may be, by index. */
   readonly assignments = new Map<number, TaskAssignment>();
   /**
-   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up since and
-   * started elsewhere; such an assignment must never replace the real one, nor free the task when it is removed.
+   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up
+   * since and started elsewhere; such an assignment must never replace the real one, nor free the task when
+   * it is removed.
    */
   private duplicateAssignments: TaskAssignment[] = [];
-  /** Tasks that became free again, the next to start last; some may have been started since. */
-  private readonly freedTasks: number[] = [];
-  /** Tasks from this index on were never started under this term. */
-  private nextUnstartedTask = 0;
-  /** Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since. */
+  /**
+   * Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since.
+   */
   mayHaveUnlocatedTasks: boolean;
   /** Number of its tasks on machines and in queues, by zone. */
   readonly zones = new Map<ZoneName, number>();
 
-  /** Failures in a row without a success, and the machines where they happened. */
+  /** Number of failures since the last success. */
   failures = 0;
+  /** The machines where they happened. */
   readonly failedOn = new Set<MachineId>();
+  /** No task is started before this. */
   retryAt: Instant = LONG_AGO;
-  /** The attempt that the tasks of a gang share, and whether it has begun to run. */
+  /** The attempt that the tasks of a gang share; null while none of them is assigned. */
   gangAttempt: Attempt | null = null;
+  /** Whether that attempt has begun to run. */
   gangHasRun = false;
 
-  /** It depends on jobs that are not known to be done: none of its tasks may start, and they count as no demand. */
+  /**
+   * It depends on jobs that are not known to be done: none of its tasks may start, and they count as no
+   * demand.
+   */
   isBlocked: boolean;
   /** Those jobs; kept by {@link Dependencies}. */
   readonly unmetDependencies = new Set<JobId>();
   /** When its waiting began: when the last job that it depends on was done, else its acceptance. */
   readyWall: WallTime;
+  /** The same by this controller's monotonic clock, as far as it has seen it. */
   readyAt: Instant;
   /** Its own priority, or the highest of the jobs that depend on it. */
   priority: Priority;
-  /** Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their deadlines. */
+  /**
+   * Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their
+   * deadlines.
+   */
   inheritedDeadline = Number.POSITIVE_INFINITY;
   /** Seconds until it should start, as of the last scheduling cycle that ranked it. */
   slackS: number | null = null;
@@ -133,11 +132,11 @@
     this.mayHaveUnlocatedTasks = mayHaveUnlocatedTasks;
     this.doneTasks = new TaskBitmap(spec.tasks);
     const phase = mayHaveUnlocatedTasks ? TaskPhase.Unlocated : TaskPhase.Waiting;
-    this.phases = new Uint8Array(spec.tasks).fill(phase);
-    this.countPhase(phase, spec.tasks);
-    if (mayHaveUnlocatedTasks) this.nextUnstartedTask = spec.tasks;
+    this.taskPhases = new TaskPhases(spec.tasks, phase);
+    this.updateWaitingJobs();
   }
 
+  /** The job's id. */
   get id(): JobId {
     return this.spec.id;
   }
@@ -154,37 +153,44 @@
 
   // ---- phases of tasks
 
+  /** The {@link TaskPhase} of each task. */
+  get phases(): Uint8Array {
+    return this.taskPhases.byTask;
+  }
+
+  /** Number of tasks that wait for a machine. */
+  get waitingTasks(): number {
+    return this.taskPhases.waiting;
+  }
+
+  /** Number of tasks in queues of machines. */
+  get queuedTasks(): number {
+    return this.taskPhases.queued;
+  }
+
+  /** Number of tasks that may be on machines that have not sent a heartbeat to this leader yet. */
+  get unlocatedTasks(): number {
+    return this.taskPhases.unlocated;
+  }
+
+  /** Number of tasks whose results were reported. */
+  get doneCount(): number {
+    return this.taskPhases.done;
+  }
+
   /** Index of the next task to place, without taking it; -1 if none waits. */
   nextWaitingTask(): number {
-    while (this.freedTasks.length > 0) {
-      const index = this.freedTasks.at(-1)!;
-      if (this.phases[index] === TaskPhase.Waiting) return index;
-      this.freedTasks.pop();
-    }
-    const { tasks } = this.spec;
-    while (this.nextUnstartedTask < tasks && this.phases[this.nextUnstartedTask] !== TaskPhase.Waiting)
-      this.nextUnstartedTask++;
-    return this.nextUnstartedTask < tasks ? this.nextUnstartedTask : -1;
+    return this.taskPhases.nextWaiting();
   }
 
-  /** Moves a task to a phase, and keeps the counts and `waitingJobs` in step. */
+  /** Moves a task to a phase, and keeps `waitingJobs` in step. */
   setPhase(index: number, to: TaskPhase): void {
-    const from = this.phases[index] as TaskPhase;
-    if (from === to) return;
-    this.countPhase(from, -1);
-    this.countPhase(to, 1);
-    this.phases[index] = to;
-    if (to === TaskPhase.Waiting) this.freedTasks.push(index);
+    if (this.taskPhases.set(index, to)) this.updateWaitingJobs();
   }
 
-  private countPhase(phase: TaskPhase, change: number): void {
-    if (phase === TaskPhase.Waiting) {
-      this.waitingTasks += change;
-      if (this.waitingTasks > 0 && !this.isOver && !this.isBlocked) this.waitingJobs?.add(this);
-      else this.waitingJobs?.delete(this);
-    } else if (phase === TaskPhase.Unlocated) this.unlocatedTasks += change;
-    else if (phase === TaskPhase.Queued) this.queuedTasks += change;
-    else if (phase === TaskPhase.Done) this.doneCount += change;
+  private updateWaitingJobs(): void {
+    if (this.waitingTasks > 0 && !this.isOver && !this.isBlocked) this.waitingJobs?.add(this);
+    else this.waitingJobs?.delete(this);
   }
 
   /** Number of tasks that wait for a machine, or in a machine's queue. */
@@ -225,10 +231,10 @@
   }
 
   /**
-   * A task is not on the machine of the assignment any more. It is free again only when its last assignment is removed.
-   * `certain`: it was on that machine under this term. Otherwise the assignment may stem from an old heartbeat that was
-   * delayed until a new leader read it, and its removal proves nothing: the task may have been started long before on
-   * another machine, of which this leader has had no heartbeat.
+   * A task is not on the machine of the assignment any more. It is free again only when its last assignment
+   * is removed. `certain`: it was on that machine under this term. Otherwise the assignment may stem from an
+   * old heartbeat that was delayed until a new leader read it, and its removal proves nothing: the task may
+   * have been started long before on another machine, of which this leader has had no heartbeat.
    */
   removeAssignment(assignment: TaskAssignment, certain: boolean): void {
     const { index } = assignment;
@@ -305,8 +311,8 @@
   }
 
   /**
-   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may have read
-   * it and told the job's user, who must not be given an older status here.
+   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may
+   * have read it and told the job's user, who must not be given an older status here.
    */
   get mayHaveEnded(): boolean {
     return this.terminalWrite !== null && this.terminalWrite.progress !== 'waiting';
