--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -1,7 +1,6 @@
-// Services beside gangs and arrays, machines that are up before anything was asked for, and teams whose share is counted in
-// accelerators.
+// Services beside gangs and arrays, machines that are up before any submission, and teams whose guarantee is in GPUs.
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { describe, it } from 'node:test';
 import { Job } from '../src/core/jobs/job.ts';
 import { Quota } from '../src/core/teams/quota.ts';
 import type { Instant, JobId, Revision, TeamName, TypeName, WallTime, ZoneName } from '../src/types/index.ts';
@@ -9,145 +8,155 @@
 
 const BOX = 'box' as TypeName;
 const NORTH = 'north' as ZoneName;
-const quiet = (w: SimulatedWorld) => assert.deepEqual(w.broken, []);
-/** Machines that are up, and that nobody on record has rented. */
-const upAtStart = (w: SimulatedWorld, n: number, zones: ZoneName[] = [NORTH]): void => {
-  for (let i = 0; i < n; i++)
-    w.machine(`i-${900_000 + i}` as never, BOX, zones[i % zones.length]!, false).boot();
+const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
+/** Boots machines that no request on record asked for. */
+const bootUnrequested = (world: SimulatedWorld, count: number, zones: ZoneName[] = [NORTH]): void => {
+  for (let i = 0; i < count; i++)
+    world.machine(`i-${900_000 + i}` as never, BOX, zones[i % zones.length]!, false).boot();
 };
-const running = (w: SimulatedWorld): number =>
-  [...w.workers.values()].reduce((n, x) => n + x.live().length, 0);
+const liveTasks = (world: SimulatedWorld): number =>
+  [...world.workers.values()].reduce((sum, worker) => sum + worker.live().length, 0);
 
-test('machines up before anything was asked for work while a burst of submissions is still being written', () => {
-  const w = new SimulatedWorld({
-    store: { requestsPerS: 200, writesPerS: 8, maxValueKb: 8, maxTransactionOps: 4 },
-    currentWritesPerS: 8,
+describe('services', () => {
+  it('starts work on machines that were up before any submission while a burst of submissions is being written', () => {
+    const world = new SimulatedWorld({
+      store: { requestsPerS: 200, writesPerS: 8, maxValueKb: 8, maxTransactionOps: 4 },
+      currentWritesPerS: 8,
+    });
+    world.cloud.capacity = 0;
+    world.runS = 60;
+    bootUnrequested(world, 6);
+    assert.ok(
+      world.until(
+        () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+        5,
+      ),
+    );
+    for (let i = 0; i < 60; i++) world.ask(world.owner!, { op: 'submit', spec: job(`run-${i}`) });
+    world.run(2.5);
+    // Registered only after all acceptances, the machines could start nothing before those are written.
+    assert.ok(world.nodes.get(world.owner!)!.leaderTerm!.writer.backlog > 0);
+    assert.ok(liveTasks(world) >= 4, `${liveTasks(world)}`);
+    assertNoRuleBroken(world);
   });
-  w.cloud.capacity = 0;
-  w.runS = 60;
-  upAtStart(w, 6);
-  assert.ok(w.until(() => w.owner !== undefined && w.nodes.get(w.owner)!.leaderTerm!.failover.isComplete, 5));
-  for (let i = 0; i < 60; i++) w.ask(w.owner!, { op: 'submit', spec: job(`run-${i}`) });
-  w.run(2.5);
-  // Behind the acceptances, their place on record would come last, and nothing may start before.
-  assert.ok(w.nodes.get(w.owner!)!.leaderTerm!.writer.backlog > 0);
-  assert.ok(running(w) >= 4, `${running(w)}`);
-  quiet(w);
-});
 
-test('machines up before anything was asked for are known again after a crash in the first seconds, and returned idle', () => {
-  const w = new SimulatedWorld();
-  upAtStart(w, 4);
-  w.run(1);
-  for (const n of w.nodeNames) w.crash(n);
-  w.run(3);
-  for (const n of w.nodeNames) w.start(n);
-  w.cloud.capacity = 0;
-  w.submit(job('run-1', { tasks: 4 }));
-  assert.ok(w.until(() => w.isDone('run-1'), 60));
-  assert.ok(
-    w.until(() => w.cloud.released.length === 4, 150),
-    `${w.cloud.released.length}`,
-  );
-  quiet(w);
-});
+  it('knows machines that were up before any submission after a crash in the first seconds, and releases them idle', () => {
+    const world = new SimulatedWorld();
+    bootUnrequested(world, 4);
+    world.run(1);
+    for (const node of world.nodeNames) world.crash(node);
+    world.run(3);
+    for (const node of world.nodeNames) world.start(node);
+    world.cloud.capacity = 0;
+    world.submit(job('run-1', { tasks: 4 }));
+    assert.ok(world.until(() => world.isDone('run-1'), 60));
+    assert.ok(
+      world.until(() => world.cloud.released.length === 4, 150),
+      `${world.cloud.released.length}`,
+    );
+    assertNoRuleBroken(world);
+  });
 
-test('a service takes an idle machine, though less urgent gangs wait that would need it whole', () => {
-  const w = new SimulatedWorld();
-  w.cloud.capacity = 0;
-  upAtStart(w, 3);
-  w.submit(job('run-1', { class: 'train', kind: 'gang', tasks: 4, cpus: 8, priority: 2 }));
-  w.run(3);
-  // The first is of a class that nothing is known of.
-  for (const id of ['run-2', 'run-3']) {
-    w.submit(job(id, { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
-    w.run(4);
-    assert.equal(w.holders('run-1').length, 0);
-    assert.ok(w.holders(id).length > 0, id);
-  }
-  quiet(w);
-});
+  it('places a service on an idle machine, though gangs of a lower priority wait that would need all of it', () => {
+    const world = new SimulatedWorld();
+    world.cloud.capacity = 0;
+    bootUnrequested(world, 3);
+    world.submit(job('run-1', { class: 'train', kind: 'gang', tasks: 4, cpus: 8, priority: 2 }));
+    world.run(3);
+    // The first is of a class that nothing is known of.
+    for (const id of ['run-2', 'run-3']) {
+      world.submit(job(id, { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
+      world.run(4);
+      assert.equal(world.holders('run-1').length, 0);
+      assert.ok(world.holders(id).length > 0, id);
+    }
+    assertNoRuleBroken(world);
+  });
 
-test('a team that is guaranteed accelerators only is within its guarantee by those, one guaranteed nothing never', () => {
-  const q = new Quota(
-    new Map(
-      [
-        { name: 'seers' as TeamName, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
-        { name: 'none' as TeamName, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
-      ].map((t) => [t.name, t]),
-    ),
-  );
-  const of = (team: string, gpus: number): Job =>
-    new Job(
-      job('run-1', { team: team as TeamName, gpus, tasks: 4 }),
-      1 as Revision,
-      0 as WallTime,
-      0 as Instant,
-      false,
+  it('counts a team that is guaranteed GPUs only as within its guarantee by GPUs, one without a guarantee never', () => {
+    const quota = new Quota(
+      new Map(
+        [
+          { name: 'seers' as TeamName, cpus: 0, cpusMax: 0, gpus: 4, gpusMax: 8 },
+          { name: 'none' as TeamName, cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 },
+        ].map((team) => [team.name, team]),
+      ),
     );
-  assert.ok(q.withinGuarantee(of('seers', 2)));
-  assert.ok(!q.withinGuarantee(of('seers', 0)));
-  assert.ok(!q.withinGuarantee(of('none', 2)));
-  q.add(of('seers', 1), 3, BOX);
-  assert.ok(q.withinGuarantee(of('seers', 1)));
-  assert.ok(!q.withinGuarantee(of('seers', 2)));
-  assert.equal(q.allowedTasks(of('seers', 2)), 2);
-});
+    const jobOf = (team: string, gpus: number): Job =>
+      new Job(
+        job('run-1', { team: team as TeamName, gpus, tasks: 4 }),
+        1 as Revision,
+        0 as WallTime,
+        0 as Instant,
+        false,
+      );
+    assert.ok(quota.withinGuarantee(jobOf('seers', 2)));
+    assert.ok(!quota.withinGuarantee(jobOf('seers', 0)));
+    assert.ok(!quota.withinGuarantee(jobOf('none', 2)));
+    quota.add(jobOf('seers', 1), 3, BOX);
+    assert.ok(quota.withinGuarantee(jobOf('seers', 1)));
+    assert.ok(!quota.withinGuarantee(jobOf('seers', 2)));
+    assert.equal(quota.allowedTasks(jobOf('seers', 2)), 2);
+  });
 
-test('a cut zone leaves a spread service half its replicas; nothing of it is regrouped, and a cancellation ends all', () => {
-  const w = new SimulatedWorld({
-    workers: { heartbeatS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
+  it('keeps half the replicas of a spread service when a zone is cut off, regroups none, and cancels all', () => {
+    const world = new SimulatedWorld({
+      workers: { heartbeatS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
+    });
+    const zones = ['north', 'south'] as ZoneName[];
+    bootUnrequested(world, 6, zones);
+    world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 6, priority: 3, spread: true }));
+    assert.ok(world.until(() => liveTasks(world) === 6, 30));
+    const south = [...world.workers.values()].filter((worker) => worker.zone === 'south');
+    for (const worker of south) for (const node of world.nodeNames) world.cut(worker.id, node, 'hold');
+    world.run(5);
+    const leader = world.owner!;
+    world.crash(leader);
+    world.run(4);
+    world.start(leader);
+    world.run(15);
+    // Replicas that cannot be reached may still be up: no more than half may be in the remaining zone.
+    assert.equal(
+      world.holders('run-1').filter((id) => world.workers.get(id)!.zone === NORTH).length > 0,
+      true,
+    );
+    const north = [...world.workers.values()].filter((worker) => worker.zone === NORTH);
+    assert.equal(
+      north.reduce((sum, worker) => sum + worker.live().length, 0),
+      3,
+    );
+    for (const worker of south) for (const node of world.nodeNames) world.heal(worker.id, node);
+    assert.ok(
+      world.until(() => liveTasks(world) === 6, 90),
+      `${liveTasks(world)}`,
+    );
+    world.insist({ op: 'cancel', id: 'run-1' as JobId }, world.owner);
+    world.run(40);
+    assert.equal(liveTasks(world), 0);
+    assertNoRuleBroken(world);
   });
-  const zones = ['north', 'south'] as ZoneName[];
-  upAtStart(w, 6, zones);
-  w.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 6, priority: 3, spread: true }));
-  assert.ok(w.until(() => running(w) === 6, 30));
-  const south = [...w.workers.values()].filter((x) => x.zone === 'south');
-  for (const x of south) for (const n of w.nodeNames) w.cut(x.id, n, 'hold');
-  w.run(5);
-  const { owner } = w;
-  w.crash(owner!);
-  w.run(4);
-  w.start(owner!);
-  w.run(15);
-  // Those that cannot be heard may still be up: no more than half may be in the zone that is left.
-  assert.equal(w.holders('run-1').filter((id) => w.workers.get(id)!.zone === NORTH).length > 0, true);
-  const north = [...w.workers.values()].filter((x) => x.zone === NORTH);
-  assert.equal(
-    north.reduce((n, x) => n + x.live().length, 0),
-    3,
-  );
-  for (const x of south) for (const n of w.nodeNames) w.heal(x.id, n);
-  assert.ok(
-    w.until(() => running(w) === 6, 90),
-    `${running(w)}`,
-  );
-  w.insist({ op: 'cancel', id: 'run-1' as JobId }, w.owner);
-  w.run(40);
-  assert.equal(running(w), 0);
-  quiet(w);
-});
 
-test('a replica joins a machine that runs services only at once, without waiting for its next report', () => {
-  const w = new SimulatedWorld({
-    workers: { heartbeatS: 4, leaseS: 20, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
+  it('starts a replica at once on a machine that runs services only, without waiting for its next heartbeat', () => {
+    const world = new SimulatedWorld({
+      workers: { heartbeatS: 4, leaseS: 20, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
+    });
+    world.reportMs = 4000;
+    world.leaseMs = 20_000;
+    world.cloud.capacity = 0;
+    bootUnrequested(world, 1);
+    world.submit(job('run-0', { class: 'watch', kind: 'service', priority: 3, cpus: 1 }));
+    assert.ok(world.until(() => liveTasks(world) === 1, 20));
+    world.run(9);
+    const waitsMs: number[] = [];
+    for (let i = 1; i < 7; i++) {
+      world.submit(job(`run-${i}`, { class: 'watch', kind: 'service', priority: 3, cpus: 1 }));
+      const submittedAt = world.now;
+      assert.ok(world.until(() => liveTasks(world) === i + 1, 10));
+      waitsMs.push(world.now - submittedAt);
+      world.run(4.3 + 0.3 * i);
+    }
+    // Two thirds of the time a response is held there; else the wait is up to a heartbeat period.
+    assert.ok(waitsMs.filter((ms) => ms < 500).length >= 4, waitsMs.join());
+    assertNoRuleBroken(world);
   });
-  w.reportMs = 4000;
-  w.leaseMs = 20_000;
-  w.cloud.capacity = 0;
-  upAtStart(w, 1);
-  w.submit(job('run-0', { class: 'watch', kind: 'service', priority: 3, cpus: 1 }));
-  assert.ok(w.until(() => running(w) === 1, 20));
-  w.run(9);
-  const waits: number[] = [];
-  for (let i = 1; i < 7; i++) {
-    w.submit(job(`run-${i}`, { class: 'watch', kind: 'service', priority: 3, cpus: 1 }));
-    const asked = w.now;
-    assert.ok(w.until(() => running(w) === i + 1, 10));
-    waits.push(w.now - asked);
-    w.run(4.3 + 0.3 * i);
-  }
-  // Two thirds of the time an answer is held there; else it is up to a report period.
-  assert.ok(waits.filter((ms) => ms < 500).length >= 4, waits.join());
-  quiet(w);
 });
