--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -3,6 +3,7 @@
 import type { Heartbeat, JobSpec, MachineType, TaskStatus } from '../base/model.ts';
 import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
+import { maxTasksPerZone } from '../jobs/zone-constraints.ts';
 import type { Resources } from '../teams/usage.ts';
 
 const EPS = 1e-9;
@@ -197,7 +198,7 @@
 
 export function isZoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
   if (job.spec.oneZone) for (const z of used.keys()) if (z !== zone) return false;
-  return !job.spec.spread || (used.get(zone) ?? 0) < Math.ceil(job.spec.tasks / 2);
+  return !job.spec.spread || (used.get(zone) ?? 0) < maxTasksPerZone(job.spec);
 }
 
 /** Room for the task after everything on the machine and what is queued ahead of it. */
