--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
-// Scales the fleet out and in: requests machines for the demand that the supply does not cover, and releases
-// idle ones.
+// Scales the fleet out and in: requests machines for demand that the supply does not cover, releases idle
+// ones.
 import {
   addMs,
   type Instant,
--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -1,5 +1,4 @@
-// One plan: packs the tasks of one job after the other onto the supply, and requests machines for what does
-// not fit.
+// One plan: packs the tasks of each job onto the supply, and requests machines for what does not fit.
 import type { MachineId, ZoneName } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 import { isGang, tasksPerMachine } from '../jobs/placement-constraints.ts';
@@ -14,8 +13,7 @@
 /** Machines that the cloud provides for one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 /**
- * Requests for one offer in a plan; of what was refused last time one request finds out whether there is
- * more.
+ * Requests for one offer in a plan; after a refusal one request finds out whether there are more machines.
  */
 const MAX_REQUESTS_PER_OFFER = 8;
 const MAX_REQUESTS_AFTER_REFUSAL = 1;
@@ -61,10 +59,7 @@
     else this.provide(job, tasks, null);
   }
 
-  /**
-   * Spare capacity for gangs bound to a zone is kept in parts that hold the largest of them, each in one
-   * zone.
-   */
+  /** Spare capacity for gangs bound to a zone is kept in parts for the largest of them, each in one zone. */
   provideSpare({ job, tasks, maxTasksPerJob }: SpareRequirement): void {
     if (job.spec.kind !== 'gang' || !job.spec.oneZone) {
       this.provide(job, tasks, null);
--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -65,10 +65,7 @@
   return Math.max(0, slots);
 }
 
-/**
- * The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may have
- * capacity.
- */
+/** The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may fit. */
 class PoolCapacity {
   /** First by GPUs, then by CPUs. */
   private readonly byGpus: MachineCapacity[][][] = [];
@@ -138,10 +135,7 @@
     return found;
   }
 
-  /**
-   * Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many there was
-   * any.
-   */
+  /** Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many. */
   use(job: Job, tasks: number, zone: ZoneName | null, needed: Set<MachineId>): number {
     const scope = scopeOf(job, zone);
     if (this.hasFailed(job, scope)) return 0;
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -30,8 +30,7 @@
   ) {}
 
   /**
-   * Reads the list when it is time; `recovered`: all machines on record are known, so that an unknown one is
-   * new.
+   * Reads the list when it is time; `recovered`: all machines on record are known, so an unknown one is new.
    */
   tick(recovered: boolean): void {
     if (this.isListing || this.io.now < this.nextList) return;
--- a/src/core/autoscaling/demand-planner.ts
+++ b/src/core/autoscaling/demand-planner.ts
@@ -1,5 +1,4 @@
-// Plans capacity for the demand: the open jobs in the order in which they are provided for, and spare
-// capacity.
+// Plans capacity for the demand: the open jobs, the hardest to place first, and spare capacity.
 import type { MachineId, TeamName, TypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
--- a/src/core/autoscaling/fleet-report.ts
+++ b/src/core/autoscaling/fleet-report.ts
@@ -1,5 +1,4 @@
-// Logs now and then what the fleet is made of and what it works on, for operators who look into how well they
-// match.
+// Logs periodically what the fleet is made of and what it works on, for operators.
 import { addMs, type Instant, LONG_AGO, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobTable } from '../jobs/job-table.ts';
--- a/src/core/autoscaling/offer-selection.ts
+++ b/src/core/autoscaling/offer-selection.ts
@@ -9,10 +9,7 @@
 import type { OfferBackoff } from './offer-backoff.ts';
 import type { ZoneReachability } from './zone-reachability.ts';
 
-/**
- * An offer above this many times the price at which the task could run elsewhere is used for urgent work
- * only.
- */
+/** Offers above this many times the lowest price at which the task could run are for urgent work only. */
 const MAX_PRICE_RATIO = 8;
 /** Jobs of this priority or above are urgent at once. */
 const URGENT_PRIORITY = 2;
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,5 +1,4 @@
-// Releases machines to the cloud: idle ones that nothing is planned for, drained ones, and those that never
-// came up.
+// Releases machines to the cloud: idle ones that no plan uses, drained ones, and those that never came up.
 import { addMs, type Instant, LONG_AGO, type MachineId, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply } from '../base/model.ts';
@@ -15,10 +14,7 @@
 const RETRY_DELAY_MS: Millis = 1000;
 /** An idle machine is kept for the first minute. */
 const MIN_AGE_MS: Millis = 60_000;
-/**
- * An idle machine is kept as long as a new one would take to get ready: that costs at most twice the best
- * choice.
- */
+/** An idle machine is kept for about a boot time: that costs at most twice what the best choice would. */
 const IDLE_MS_PER_BOOT_S = 400;
 /** A machine that is not up by then never comes up. */
 const BOOT_TIMEOUT_MS_PER_BOOT_S = 4000;
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -82,8 +82,7 @@
 
   private onReply(request: ScaleOutRequest, reply: CloudReply): void {
     request.isInFlight = false;
-    // An unanswered request may have been carried out: it is repeated under its own name until it is
-    // answered.
+    // An unanswered request may have been carried out: it is repeated, under its own name.
     if (reply.kind !== 'rented' && reply.kind !== 'no-capacity') {
       request.retryAt = addMs(this.io.now, RETRY_DELAY_MS);
       return;
--- a/src/core/autoscaling/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -73,10 +73,7 @@
     this.classes.set(job.spec.class, known);
   }
 
-  /**
-   * What to keep for each class; `readyS`: how long a new machine takes until a task of the job can run on
-   * it.
-   */
+  /** What to keep for each class; `readyS`: seconds until a task of the job can run on a new machine. */
   requirements(readyS: (job: Job) => number): SpareRequirement[] {
     const requirements: SpareRequirement[] = [];
     if (this.windowMs < MIN_WINDOW_MS) return requirements;
@@ -110,10 +107,7 @@
     };
   }
 
-  /**
-   * Tasks of the class expected to arrive within a time, at the rate seen lately; infinite while no rate is
-   * known.
-   */
+  /** Tasks of the class expected within a time, at the rate seen lately; infinite while no rate is known. */
   expectedArrivals(className: string, withinMs: Millis): number {
     const known = this.classes.get(className);
     const { windowMs } = this;
@@ -147,10 +141,7 @@
   }
 }
 
-/**
- * Standard normal quantile for shares from a half up, to within a few hundredths (Abramowitz and Stegun,
- * 26.2.22).
- */
+/** Standard normal quantile for shares from 0.5, within a few hundredths (Abramowitz and Stegun, 26.2.22). */
 export function quantile(share: number): number {
   const probability = Math.min(MAX_SHARE, Math.max(MIN_SHARE, share));
   const t = Math.sqrt(-2 * Math.log(1 - probability));
--- a/src/core/autoscaling/zone-reachability.ts
+++ b/src/core/autoscaling/zone-reachability.ts
@@ -4,10 +4,7 @@
 import type { ControllerIo } from '../base/io.ts';
 import type { Machine } from '../machines/machine.ts';
 
-/**
- * A zone counts as unreachable when more than this fraction of its machines, and at least so many, are
- * silent.
- */
+/** A zone is unreachable when more than this fraction of its machines, and at least so many, are silent. */
 const MAX_SILENT_FRACTION = 0.7;
 const MIN_SILENT_MACHINES = 3;
 /** How long it counts as such once its silent machines have been released and nothing more is known of it. */
@@ -32,8 +29,8 @@
 
   /**
    * Brings the zones up to date with the machines. A zone stays unreachable for a while, or until one of its
-   * machines is heard. A controller that hears from no zone at all is cut off itself, and counts none as
-   * unreachable.
+   * machines sends a heartbeat. A controller that hears from no zone at all is itself cut off, and takes none
+   * for unreachable.
    */
   update(machines: Iterable<Machine>): void {
     const zones = countHeartbeats(machines);
--- a/src/core/scheduling/bin-packing.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -15,10 +15,7 @@
 const PRICE_WEIGHT = 0.4;
 /** Fuller machines are filled first: emptier ones drain, for tasks that need them whole or to be returned. */
 const FREE_CPUS_WEIGHT = 1.5;
-/**
- * The weight of a start that takes all the slack of a job in a dependency chain, and the most that it counts
- * for.
- */
+/** The weight of a start that takes all slack of a job in a dependency chain, and its upper bound. */
 const LATE_START_WEIGHT = 2;
 const MAX_LATE_START_PENALTY = 1;
 const MIN_FETCH_GB_PER_S = 1e-3;
--- a/src/core/scheduling/capacity-search.ts
+++ b/src/core/scheduling/capacity-search.ts
@@ -2,10 +2,7 @@
 import type { JobSpec } from '../base/model.ts';
 import type { CapacityBucket } from '../machines/machine.ts';
 
-/**
- * Whether a machine of the bucket may have the CPUs and GPUs that a task needs; cheaper than asking each
- * machine.
- */
+/** Whether machines of the bucket may have the CPUs and GPUs that a task needs; cheaper than asking each. */
 export const bucketMayFit = (bucket: CapacityBucket, spec: JobSpec): boolean =>
   bucket.cpusBelow > spec.cpus && bucket.gpusBelow > spec.gpus;
 
--- a/src/core/scheduling/class-values.ts
+++ b/src/core/scheduling/class-values.ts
@@ -107,8 +107,7 @@
   }
 
   /**
-   * What capacity on a machine of the type is worth to the class, of at least this priority, that it is worth
-   * most to.
+   * What capacity on such a machine is worth to the class, of at least this priority, that values it most.
    */
   valueOfCapacity(capacity: Capacity, type: TypeName, spot: boolean, minPriority: number): number {
     let best = 0;
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,6 +1,5 @@
 // In which order waiting jobs are served: priority, then teams within their guarantee, then the slack to the
-// next deadline that can still be met; while capacity is short, deferred jobs (late-job-selection.ts) come
-// last.
+// next deadline that can still be met; deferred jobs (late-job-selection.ts) come last.
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
 import { ageS, type JobOrdering, type RuntimeEstimates, slackOf } from '../jobs/job-ordering.ts';
@@ -24,10 +23,7 @@
 }
 
 const MIN_DURATION_S = 1;
-/**
- * Services have no estimate; one that competes with jobs of its priority is taken for a long job, not for
- * none.
- */
+/** Services have no estimate; one that competes with jobs of its priority counts as a long job. */
 const ASSUMED_SERVICE_RUN_S = 300;
 
 /** A machine set that lacks capacity for all that waits for it. */
@@ -138,10 +134,7 @@
     return machineSets;
   }
 
-  /**
-   * Jobs of one group: those that can be in time by the deadlines that they are kept for, then the deferred
-   * ones.
-   */
+  /** Jobs of one group: those that can be in time, by the deadlines they are kept for, then deferred ones. */
   private rankGroup(
     group: readonly WaitingJob[],
     shortages: ReadonlyMap<MachineSet, Shortage>,
--- a/src/core/scheduling/late-job-selection.ts
+++ b/src/core/scheduling/late-job-selection.ts
@@ -10,10 +10,7 @@
 /** A waiting job. */
 export interface Candidate {
   readonly job: Job;
-  /**
-   * Seconds from now by which its tasks should have started, one for each objective that can still be met, in
-   * order.
-   */
+  /** Seconds from now by which its tasks should start, for each objective that can still be met, in order. */
   readonly deadlines: readonly number[];
   /** What its waiting tasks need of the scarce resource. */
   readonly amount: number;
@@ -80,10 +77,7 @@
   return { inTime: considered.filter((entry) => !deferred.has(entry)), late };
 }
 
-/**
- * The index of the entry's first later deadline that is after the given time: what is due before has been
- * settled.
- */
+/** The index of the entry's next deadline after the given time: what is due before has been settled. */
 function nextDeadlineAfter(entry: Entry<Candidate>, dueS: number): number {
   const { deadlines } = entry.candidate;
   let index = entry.deadlineIndex + 1;
--- a/src/core/scheduling/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -128,16 +128,14 @@
   }
 
   /**
-   * The fraction of what the set's machines run that ends in a second, from the mean run time of each class
-   * there.
+   * The fraction of what the set's machines run that ends in a second, by the mean run time of each class.
    */
   private completionRate({ resource, types }: MachineSet): number {
     let endingPerS = 0;
     let used = 0;
     for (const [className, { sum, spec }] of this.usage.on(types, 'classes')) {
       used += sum[resource];
-      // With their estimate of 0, services would count as ending every second, and capacity would never seem
-      // short.
+      // With their estimate of 0, services would seem to end every second, and capacity never to be short.
       if (spec.kind === 'service') continue;
       const runS = this.estimates.meanRunS(className, spec.estimatedRunS);
       endingPerS += sum[resource] / Math.max(MIN_DURATION_S, runS);
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,6 +1,5 @@
 // Machines reserved for a large task or a gang while capacity for it comes free on them. Without
-// reservations, small tasks refill each gap as it opens, and a task that needs most of a machine waits for
-// ever.
+// reservations, small tasks refill each gap as it opens, and a task that needs most of a machine starves.
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -26,10 +25,7 @@
 const MACHINES_SAMPLED_PER_RESERVATION = 6;
 /** A job is large if its tasks are worth this many times those of the least valuable class. */
 const LARGE_VALUE_RATIO = 2;
-/**
- * A preemption counts like so many seconds more, and must free the capacity at least so much sooner than the
- * task's end.
- */
+/** A preemption counts like so many seconds more, and must free capacity this much before the task's end. */
 const PREEMPTION_PENALTY_S = 4;
 const MIN_PREEMPTION_GAIN_S = 8;
 
@@ -39,8 +35,7 @@
 }
 
 /**
- * When a machine will have capacity for a task if nothing more is put on it, and the tasks to preempt for
- * that.
+ * When a machine will have capacity for a task if it gets no more work, and the tasks to preempt for that.
  */
 interface ExpectedCapacity {
   inS: number;
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,5 +1,4 @@
-// Scheduling cycles: places the tasks of waiting jobs in the order of their ranking, what fair shares owe
-// first.
+// Scheduling cycles: places the tasks of waiting jobs by their ranking, what fair shares owe first.
 import { addMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -31,10 +30,7 @@
 /** Cycles are at least this far apart, and further with many jobs waiting. */
 const CYCLE_INTERVAL_MS = 40;
 const CYCLE_INTERVAL_MS_PER_JOB = 0.4;
-/**
- * Somewhere in a large fleet something changes all the time; a cycle for each change would cost more than it
- * finds.
- */
+/** In a large fleet something changes all the time; a cycle for each change would cost more than it finds. */
 const CYCLE_INTERVAL_MS_PER_MACHINE = 0.03;
 const MAX_CYCLE_INTERVAL_MS = 250;
 const MAX_TASKS_PER_CYCLE = 400;
--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -115,10 +115,7 @@
     this.reservations.reserve(job, Math.min(allowedTasks, job.waitingTasks), null);
   }
 
-  /**
-   * Fuller machines score better, so the next tasks of the job would come to the same machine: no need to
-   * search.
-   */
+  /** Fuller machines score better, so a search for the job's next task would find the same machine again. */
   private placeOnSame(machine: Machine, job: Job, maxTasks: number): number {
     let placed = 0;
     while (placed < maxTasks && this.isSuitable(machine, job)) {
@@ -138,10 +135,7 @@
     );
   }
 
-  /**
-   * Random among the best machines with free capacity, else among the best whose queue is below the
-   * threshold.
-   */
+  /** Random among the best machines with free capacity, else among the best queues below the threshold. */
   private chooseMachine(job: Job, isZoneBound: boolean): Machine | null {
     // A job that failed on one machine tries others; one that failed on many may go anywhere again.
     const avoided = job.failedOn.size < MAX_AVOIDED_MACHINES ? job.failedOn : null;
--- a/src/core/scheduling/unplaceable-jobs.ts
+++ b/src/core/scheduling/unplaceable-jobs.ts
@@ -1,5 +1,4 @@
-// Jobs for which a search has found no machine, so that the same search is not repeated for jobs that need as
-// much.
+// Jobs for which a search found no machine, so that it is not repeated for jobs that need as much.
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { needsAtLeast, placementKey } from '../jobs/placement-constraints.ts';
