--- a/src/core/machines/capacity-checks.ts
+++ b/src/core/machines/capacity-checks.ts
@@ -2,6 +2,7 @@
 import type { ZoneName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
+import { maxTasksPerZone } from '../jobs/zone-constraints.ts';
 import type { QueuedTask } from './machine-tasks.ts';
 
 /** Sums of fractions drift; a demand that exceeds the capacity by no more than this still fits. */
@@ -64,5 +65,5 @@
   if (job.spec.oneZone) {
     for (const usedZone of used.keys()) if (usedZone !== zone) return false;
   }
-  return !job.spec.spread || (used.get(zone) ?? 0) < Math.ceil(job.spec.tasks / 2);
+  return !job.spec.spread || (used.get(zone) ?? 0) < maxTasksPerZone(job.spec);
 }
