--- /dev/null
+++ b/test/machine-safety.test.ts
@@ -0,0 +1,261 @@
+// What the leader may conclude about machines, and what it may do to them: leases, heartbeats, quotas, the cloud (docs/safety.md).
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import { Job, type TaskAssignment } from '../src/core/jobs/job.ts';
+import { OPEN_JOB_PREFIX } from '../src/core/storage/keys.ts';
+import type { Attempt, Instant, MachineId, Revision, TeamName, WallTime } from '../src/types/index.ts';
+import { assertUnbroken } from './support/long-job.ts';
+import { job, SimulatedWorld } from './support/simulated-world.ts';
+
+/** Starts what `submitNext` submits on one of two machines; the other is idle. */
+function startBesideIdle(world: SimulatedWorld, submitNext: () => void): { busy: string; idle: string } {
+  world.runS = 3;
+  world.submit(job('run-0', { tasks: 2, cpus: 8 }));
+  assert.ok(world.until(() => world.isDone('run-0')));
+  world.runS = 300;
+  submitNext();
+  assert.ok(world.until(() => world.holders('run-1').length === 1));
+  world.run(2);
+  const [busy] = world.holders('run-1');
+  const idle = [...world.workers.keys()].find((m) => m !== busy);
+  assert.ok(busy !== undefined && idle !== undefined);
+  return { busy, idle };
+}
+
+describe('silent and unreconciled machines', () => {
+  it('a task on a silent machine starts elsewhere only when the lease of the machine has run out', () => {
+    const world = new SimulatedWorld();
+    const { busy, idle } = startBesideIdle(world, () => world.submit(job('run-1')));
+    world.cloud.down = true;
+    for (const node of world.nodes.keys()) world.cut(busy, node, 'drop');
+    world.run(8);
+    assert.deepEqual(world.holders('run-1'), [busy]);
+    assert.ok(world.until(() => world.holders('run-1').includes(idle), 10));
+    assertUnbroken(world);
+  });
+
+  it('a new leader starts nothing that may be on an unreconciled machine, and counts that machine in quotas', () => {
+    const world = new SimulatedWorld();
+    const team = 'small' as TeamName;
+    const { busy, idle } = startBesideIdle(world, () => world.submit(job('run-1', { team, cpus: 6 })));
+    world.cloud.down = true;
+    for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
+    const first = world.owner!;
+    world.crash(first);
+    const controller = [...world.nodes.keys()].find((n) => n !== first)!;
+    assert.equal(world.submit(job('run-2', { team, cpus: 6 }), controller)?.kind, 'accepted');
+    world.run(6);
+    assert.deepEqual(world.holders('run-2'), []);
+    world.start(first);
+    // In the end the former leader's bound has passed, and all starts on the machine that is left.
+    assert.ok(world.until(() => [...world.holders('run-1'), ...world.holders('run-2')].includes(idle), 60));
+    assertUnbroken(world);
+  });
+
+  it('a task that may be on an unreconciled machine is not started on an idle one, whatever its team', () => {
+    const world = new SimulatedWorld();
+    const { busy } = startBesideIdle(world, () => world.submit(job('run-1')));
+    world.cloud.down = true;
+    for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
+    world.crash(world.owner!);
+    world.run(14);
+    assert.deepEqual(
+      world.holders('run-1').filter((m) => m !== busy),
+      [],
+    );
+    assertUnbroken(world);
+  });
+
+  it("a team's quota holds, also while a new leader has not reconciled all machines", () => {
+    const world = new SimulatedWorld();
+    world.runS = 20;
+    world.submit(job('run-1', { team: 'small' as TeamName, tasks: 9 }));
+    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    world.run(2);
+    world.crash(world.owner!);
+    const controller = [...world.nodes.keys()][0]!;
+    world.submit(job('run-2', { team: 'small' as TeamName, tasks: 3 }), controller);
+    assert.ok(world.until(() => world.isDone('run-1', controller) && world.isDone('run-2', controller), 300));
+    assertUnbroken(world);
+  });
+
+  // The incident behind this: signet's rough day, a partition of 40 s that holds messages back (docs/incidents/late-report.md).
+  it('a heartbeat delayed by a partition does not replace the new attempt of a task that was given up', () => {
+    const world = new SimulatedWorld();
+    world.runS = 60;
+    world.cloud.capacity = 2;
+    world.submit(job('run-1', { cpus: 8, tasks: 2 }));
+    assert.ok(world.until(() => world.holders('run-1').length === 2));
+    world.run(2);
+    const [cutOff] = world.holders('run-1');
+    // The cloud is down too, so that the silent machine cannot be released.
+    world.cloud.down = true;
+    for (const node of ['node-0', 'node-1', 'node-2']) world.cut(cutOff!, node, 'hold');
+    world.run(25);
+    world.cloud.down = false;
+    world.cloud.capacity = 5;
+    world.cloud.serve = (
+      (real) => (op) =>
+        op.kind === 'release' ? { kind: 'refused', busy: false } : real.call(world.cloud, op)
+    )(world.cloud.serve);
+    assert.ok(world.until(() => world.holders('run-1').filter((m) => m !== cutOff).length === 2, 60));
+    for (const node of ['node-0', 'node-1', 'node-2']) world.heal(cutOff!, node);
+    assert.ok(world.until(() => world.isDone('run-1'), 200));
+    assert.equal(world.logs.filter((l) => l.includes('listed by a second machine')).length, 0);
+    assertUnbroken(world);
+  });
+
+  it('a second assignment of a task neither replaces the first nor frees the task when it is removed', () => {
+    const assignedJob = new Job(job('run-1'), 1 as Revision, 0 as WallTime, 0 as Instant, false);
+    const entry = (machine: string): TaskAssignment => ({
+      job: assignedJob,
+      index: 0,
+      attempt: 1 as Attempt,
+      machine: machine as MachineId,
+      state: 'running',
+      sentSeq: -1,
+      sentAt: 0 as Instant,
+      runningAt: null,
+      stopping: null,
+    });
+    const [first, second] = [entry('i-1'), entry('i-2')];
+    assignedJob.addAssignment(first);
+    assignedJob.addAssignment(second);
+    assignedJob.removeAssignment(second, true);
+    assert.equal(assignedJob.assignments.get(0), first);
+    assignedJob.addAssignment(second);
+    assignedJob.removeAssignment(first, true);
+    assert.equal(assignedJob.waitingTasks, 0);
+    assignedJob.removeAssignment(second, true);
+    assert.equal(assignedJob.waitingTasks, 1);
+  });
+});
+
+describe('machines while the leader is cut off', () => {
+  it('a leader cut off from the store steps down, and its machines follow the new leader', () => {
+    const world = new SimulatedWorld();
+    world.runS = 30;
+    world.submit(job('run-1', { tasks: 6 }));
+    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    const formerLeader = world.owner!;
+    world.state.refused.add(formerLeader);
+    assert.ok(world.until(() => world.owner !== undefined && world.owner !== formerLeader, 20));
+    const controller = [...world.nodes.keys()].find((n) => n !== formerLeader)!;
+    assert.ok(world.until(() => world.isDone('run-1', controller), 200));
+    assertUnbroken(world);
+  });
+
+  // The incident behind this: brazos, all machines lost at once (docs/incidents/owner-out-of-reach.md).
+  it('heartbeats of agents that cannot reach the leader go through another controller, and their tasks live on', () => {
+    const world = new SimulatedWorld();
+    world.runS = 40;
+    world.submit(job('run-1', { tasks: 8 }));
+    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    world.run(3);
+    const leader = world.owner!;
+    for (const machineId of world.workers.keys()) world.cut(machineId, leader, 'drop');
+    world.run(30);
+    assert.equal(world.owner, leader);
+    assert.ok(world.until(() => world.isDone('run-1', leader), 60));
+    assert.equal(
+      [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
+      8,
+    );
+    assert.deepEqual(world.cloud.released, []);
+    assertUnbroken(world);
+  });
+
+  it('a new leader that cannot read the records for a while releases no machine before it could send a heartbeat', () => {
+    const world = new SimulatedWorld();
+    world.runS = 90;
+    world.submit(job('run-1', { tasks: 8 }));
+    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    world.run(3);
+    world.state.unreadable = OPEN_JOB_PREFIX;
+    for (const node of [...world.nodes.keys()]) world.crash(node);
+    world.run(5);
+    for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
+    world.run(30);
+    world.state.unreadable = null;
+    world.run(10);
+    assert.deepEqual(world.cloud.released, []);
+    assert.ok(world.holders('run-1').length > 0);
+    assertUnbroken(world);
+  });
+
+  it('a leader cut off from the store does not take leases for expired that a later leader renews', () => {
+    const world = new SimulatedWorld();
+    world.runS = 60;
+    world.submit(job('run-1', { tasks: 12 }));
+    assert.ok(world.until(() => world.holders('run-1').length >= 3));
+    world.run(3);
+    const first = world.owner!;
+    const [leaderMachine, ...otherMachines] = world.holders('run-1');
+    // One machine stays with the leader, on the same side of the partition; its tasks have exited.
+    for (const task of world.workers.get(leaderMachine!)!.tasks.values()) {
+      task.state = 'exited';
+      task.why = 'done';
+    }
+    for (const other of ['state', 'cloud', 'user', ...otherMachines, ...world.nodes.keys()])
+      if (other !== first) world.cut(first, other, 'drop');
+    for (const other of world.nodes.keys()) if (other !== first) world.cut(leaderMachine!, other, 'drop');
+    world.run(25);
+    assert.notEqual(world.owner, undefined);
+    assert.notEqual(world.owner, first);
+    assertUnbroken(world);
+  });
+});
+
+describe('rental and release of machines', () => {
+  it('a new leader is not delayed by the cloud, and releases no machine before it had time to send a heartbeat', () => {
+    const world = new SimulatedWorld();
+    world.runS = 60;
+    world.submit(job('run-1', { tasks: 8 }));
+    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    world.run(3);
+    world.cloud.down = true;
+    const first = world.owner!;
+    for (const node of ['node-0', 'node-1', 'node-2']) world.crash(node);
+    world.run(5);
+    for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
+    assert.equal(world.submit(job('run-2'), first)?.kind, 'accepted');
+    world.run(30);
+    world.cloud.down = false;
+    world.run(10);
+    assert.deepEqual(world.cloud.released, []);
+    assertUnbroken(world);
+  });
+
+  it('an unanswered rental request is repeated under its own name, so nothing is rented twice', () => {
+    const world = new SimulatedWorld();
+    world.run(2);
+    world.cloud.loseNextAnswer = true;
+    world.submit(job('run-1'));
+    assert.ok(world.until(() => world.isDone('run-1')));
+    assert.equal(world.cloud.hires.size, 1);
+  });
+
+  it('machines that never boot are released', () => {
+    const world = new SimulatedWorld();
+    world.cloud.bootS = -1;
+    world.submit(job('run-1'));
+    world.run(40);
+    assert.ok(world.cloud.released.length > 0);
+  });
+
+  it('a machine that fails what it starts is released, and the job runs elsewhere', () => {
+    const world = new SimulatedWorld();
+    world.submit(job('run-0', { tasks: 4, cpus: 8 }));
+    assert.ok(world.until(() => world.holders('run-0').length === 4));
+    const bad = [...world.workers.values()][0]!;
+    bad.faulty = true;
+    for (const id of ['run-1', 'run-2', 'run-3', 'run-4']) world.submit(job(id, { tasks: 4, cpus: 8 }));
+    for (const id of ['run-1', 'run-2', 'run-3', 'run-4'])
+      assert.ok(
+        world.until(() => world.isDone(id), 300),
+        id,
+      );
+    assert.ok(world.cloud.released.includes(bad.id));
+    assertUnbroken(world);
+  });
+});
--- /dev/null
+++ b/test/rule-checker.test.ts
@@ -0,0 +1,229 @@
+// The checker that judges histories of faults by the rules of the users: each rule by a history that breaks it.
+import assert from 'node:assert/strict';
+import { describe, it } from 'node:test';
+import type { JobSpec, UserResponse } from '../src/core/base/model.ts';
+import type { JobId, TeamName } from '../src/types/index.ts';
+import { CANCEL_MS, limitOf, unfit } from './support/checked-world.ts';
+import { type OnMachine, type Room, RuleChecker, ScannedPlacements } from './support/rule-checker.ts';
+import { job, SimulatedWorld } from './support/simulated-world.ts';
+
+const id = 'run-1' as JobId;
+
+const northMachine = { id: 'i-1', type: 'box', zone: 'north', spot: false };
+
+const southMachine = { id: 'i-2', type: 'box', zone: 'south', spot: false };
+
+function createFixture(): {
+  checker: RuleChecker;
+  running: OnMachine[];
+  accept: (spec: JobSpec) => void;
+  /** The free capacity of machines. */
+  freeCapacity: Room[];
+  respond: (response: UserResponse, at?: number) => void;
+} {
+  const running: OnMachine[] = [];
+  const freeCapacity: Room[] = [];
+  const world = new SimulatedWorld();
+  const limits = {
+    cancelMs: CANCEL_MS,
+    limitOf,
+    unfit: (s: JobSpec) => unfit(world, s),
+    rooms: () => freeCapacity,
+  };
+  const checker = new RuleChecker(limits, new ScannedPlacements(() => running));
+  const respond = (a: UserResponse, at = 1000) => checker.told(at, at, { op: 'status', id }, a);
+  const accept = (spec: JobSpec) => {
+    checker.asked(0, { op: 'submit', spec });
+    checker.told(1, 0, { op: 'submit', spec }, { kind: 'accepted', id: spec.id });
+  };
+  return { checker, running, accept, freeCapacity, respond };
+}
+
+const queuedResponse: UserResponse = { kind: 'status', id, status: 'queued', done: 0, running: 0 };
+
+const endedResponse = (status: 'done' | 'cancelled'): UserResponse => ({ kind: 'ended', id, status });
+
+const violations: [string, (fixture: ReturnType<typeof createFixture>) => void][] = [
+  [
+    'ran_twice',
+    ({ checker, running, accept }) => {
+      accept(job(id));
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.placing(5, `${id}/0`, southMachine);
+    },
+  ],
+  [
+    'quota',
+    ({ checker, running, accept }) => {
+      accept(job(id, { team: 'small' as TeamName, tasks: 2, cpus: 4 }));
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.placing(5, `${id}/1`, southMachine);
+    },
+  ],
+  [
+    'wrong_place',
+    ({ checker, running, accept }) => {
+      accept(job(id, { oneZone: true, tasks: 2 }));
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.placing(5, `${id}/1`, southMachine);
+    },
+  ],
+  [
+    'wrong_place',
+    ({ checker, running, accept }) => {
+      accept(job(id, { spread: true, tasks: 2 }));
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.placing(5, `${id}/1`, { ...northMachine, id: 'i-3' });
+    },
+  ],
+  [
+    'ran_cancelled',
+    ({ checker, running, accept, respond }) => {
+      accept(job(id));
+      checker.asked(900, { op: 'cancel', id });
+      respond(endedResponse('cancelled'));
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.look(1000 + CANCEL_MS);
+      assert.deepEqual(checker.broken, []);
+      checker.look(1001 + CANCEL_MS);
+    },
+  ],
+  [
+    'ran_cancelled',
+    ({ checker, accept, respond }) => {
+      accept(job(id));
+      checker.asked(900, { op: 'cancel', id });
+      respond(endedResponse('cancelled'));
+      checker.placing(1001 + CANCEL_MS, `${id}/0`, northMachine);
+    },
+  ],
+  [
+    'forgotten',
+    ({ accept, respond }) => {
+      accept(job(id));
+      respond({ kind: 'not-found' });
+    },
+  ],
+  [
+    'forgotten',
+    ({ checker, accept }) => {
+      accept(job(id));
+      checker.troublesOver(10_000);
+      checker.asked(80_000, { op: 'status', id });
+      checker.look(85_000);
+      assert.deepEqual(checker.broken, []);
+      checker.look(85_001);
+    },
+  ],
+  ['invented', ({ respond }) => respond(queuedResponse)],
+  [
+    'not_done',
+    ({ checker, accept, respond }) => {
+      accept(job(id, { tasks: 2 }));
+      checker.completed(`${id}/0`);
+      respond(endedResponse('done'));
+    },
+  ],
+  [
+    'went_back',
+    ({ checker, accept, respond }) => {
+      accept(job(id));
+      checker.completed(`${id}/0`);
+      respond(endedResponse('done'));
+      // An older response to a request from before that one is allowed.
+      checker.told(2000, 900, { op: 'status', id }, queuedResponse);
+      assert.deepEqual(checker.broken, []);
+      respond(queuedResponse, 2000);
+    },
+  ],
+  [
+    'went_back',
+    ({ accept, respond }) => {
+      accept(job(id));
+      respond(endedResponse('cancelled'));
+    },
+  ],
+  [
+    'started_cancelled',
+    ({ checker, accept, respond }) => {
+      accept(job(id));
+      checker.asked(900, { op: 'cancel', id });
+      respond(endedResponse('cancelled'));
+      // A start command that was on its way at that moment is allowed.
+      checker.placing(5000, `${id}/0`, northMachine);
+      assert.deepEqual(checker.broken, []);
+      checker.placing(5200, `${id}/0`, northMachine);
+    },
+  ],
+  [
+    'ran_cancelled',
+    ({ checker, running, accept, respond }) => {
+      accept(job(id));
+      checker.asked(900, { op: 'cancel', id });
+      running.push({ task: `${id}/0`, machine: northMachine });
+      respond(endedResponse('cancelled'));
+      // Its machine hangs, so that nothing is seen of it, and goes on.
+      running.pop();
+      checker.look(1000 + CANCEL_MS + 2000);
+      assert.deepEqual(checker.broken, []);
+      running.push({ task: `${id}/0`, machine: northMachine });
+      checker.look(1000 + CANCEL_MS + 4000);
+    },
+  ],
+  [
+    'left_waiting',
+    ({ checker, accept, freeCapacity }) => {
+      accept(job(id, { team: 'small' as TeamName, cpus: 4 }));
+      checker.troublesOver(10_000);
+      // No capacity, then capacity that is gone in between: it does not wait needlessly.
+      for (let at = 10_000; at < 60_000; at += 1000) checker.look(at);
+      freeCapacity.push({ machine: northMachine, cpus: 4, gpus: 0, memoryGb: 8 });
+      for (let at = 60_000; at < 120_000; at += 1000) checker.look(at);
+      freeCapacity[0]!.cpus = 3;
+      checker.look(120_000);
+      freeCapacity[0]!.cpus = 4;
+      for (let at = 121_000; at <= 211_000; at += 1000) checker.look(at);
+      assert.deepEqual(checker.broken, []);
+      checker.look(211_001);
+    },
+  ],
+  [
+    'accepted_unfit',
+    ({ accept }) => {
+      accept(job(id, { cpus: 99 }));
+    },
+  ],
+  [
+    'accepted_unfit',
+    ({ accept }) => {
+      const { image: _, ...rest } = job(id);
+      accept(rest as JobSpec);
+    },
+  ],
+  [
+    'nothing_ran',
+    ({ checker, accept }) => {
+      accept(job(id));
+      checker.close(100_000);
+    },
+  ],
+];
+
+describe('the rule checker', () => {
+  it('the rule checker reports each rule that a history breaks, and nothing for a history that breaks none', () => {
+    for (const [rule, history] of violations) {
+      const fixture = createFixture();
+      history(fixture);
+      assert.equal(fixture.checker.broken.length, 1, rule);
+      assert.match(fixture.checker.broken[0]!, new RegExp(` ${rule}: `));
+    }
+    const { checker, accept, respond } = createFixture();
+    accept(job(id));
+    checker.placing(5, `${id}/0`, northMachine);
+    checker.completed(`${id}/0`);
+    respond(endedResponse('done'));
+    checker.look(2000);
+    checker.close(3000);
+    assert.deepEqual(checker.broken, []);
+  });
+});
--- /dev/null
+++ b/test/support/long-job.ts
@@ -0,0 +1,49 @@
+// Scenarios that begin with a job whose tasks run for longer than the scenario lasts.
+import assert from 'node:assert/strict';
+import type { JobSpec } from '../../src/core/base/model.ts';
+import { type Judged, judge } from './checked-world.ts';
+import { job, SimulatedWorld } from './simulated-world.ts';
+
+const JOB_ID = 'run-1';
+const TASK_RUN_S = 500;
+const DEFAULT_BOOT_S = 5;
+
+/** The controllers of a world: the leader, and all others. */
+export interface Roles {
+  leader: string;
+  others: string[];
+}
+
+/** The world's own checks have found nothing wrong. */
+export const assertUnbroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
+
+/** A world in which an array `run-1` of eight tasks has started; boots take `bootS` seconds. */
+export function startLongArray(
+  over: Partial<JobSpec> = {},
+  bootS = DEFAULT_BOOT_S,
+): Roles & { world: SimulatedWorld } {
+  const world = new SimulatedWorld();
+  return { world, ...startLongJob(world, job(JOB_ID, { tasks: 8, ...over }), bootS) };
+}
+
+/** The same with a single task, judged by the users' rules, and with all agents connected to the first leader. */
+export function startCheckedLongJob(
+  over: Partial<JobSpec> = {},
+  bootS = DEFAULT_BOOT_S,
+): Roles & { world: SimulatedWorld; checks: Judged } {
+  const world = new SimulatedWorld();
+  const checks = judge(world);
+  // Agents connect to the first controller, which is the first leader.
+  world.spread = false;
+  return { world, checks, ...startLongJob(world, job(JOB_ID, over), bootS) };
+}
+
+function startLongJob(world: SimulatedWorld, spec: JobSpec, bootS: number): Roles {
+  for (const type of world.cloud.types) type.bootS = bootS;
+  world.runS = TASK_RUN_S;
+  assert.equal(world.submit(spec)?.kind, 'accepted');
+  assert.ok(world.until(() => world.holders(spec.id).length > 0));
+  world.run(3);
+  const leader = world.owner!;
+  return { leader, others: [...world.nodes.keys()].filter((node) => node !== leader) };
+}
