--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -173,7 +173,9 @@
     return this.loadShedder.rejection(op, leader, this.writeBacklogS);
   }
 
-  /** Takes one input, at the given times of the monotonic and the wall clock; returns its effects in order. */
+  /**
+   * Takes one input, at the given times of the monotonic and the wall clock; returns its effects in order.
+   */
   step(now: Instant, wall: WallTime, input: Input): Effect[] {
     this.io.beginStep(now, wall);
     this.dispatch(input);
--- a/src/core/controller/command-authority.ts
+++ b/src/core/controller/command-authority.ts
@@ -1,4 +1,5 @@
-// What this controller may do to machines and jobs while its leader lease is held, or has just run out (docs/safety.md).
+// What this controller may do to machines and jobs while its leader lease is held, or has just run out
+// (docs/safety.md).
 import type { Instant, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -7,7 +8,7 @@
 
 /** Milliseconds for each second of a worker's lease, with the drift between two monotonic clocks. */
 const LEASE_MS_PER_S = 1001;
-/** For what is on its way when the last command is sent. */
+/** Time for what is in transit when the last command is sent. */
 const COMMAND_MARGIN_MS = 1500;
 
 /** Tells whether another controller has said something lately. */
@@ -41,9 +42,9 @@
   }
 
   /**
-   * Whether machines may be commanded and their leases renewed under this term. Fencing tokens keep the machines of a
-   * later leader from this controller's commands; this bound lets a later leader, and a user who cancelled with it,
-   * rely on everything here being gone in time.
+   * Whether machines may be commanded and their leases renewed under this term. Fencing tokens keep the
+   * machines of a later leader from this controller's commands; this bound lets a later leader, and a user
+   * who cancelled with it, rely on everything here being gone in time.
    */
   mayCommand(): boolean {
     if (this.election.term === null) return false;
@@ -58,10 +59,11 @@
   }
 
   /**
-   * Whether tasks may be started. Beyond its lease a leader that is out of the others' reach can't know whether one of
-   * them has become the leader and has confirmed the cancellation of a job; none of its tasks may be started from then
-   * on. One that hears from them all would hear of that as well, and goes on as in an outage. But nobody tells it of a
-   * change of the configuration that none of them may have read yet: with documents it starts nothing beyond its lease.
+   * Whether tasks may be started. Beyond its lease a leader that is out of the others' reach can't know
+   * whether one of them has become the leader and has confirmed the cancellation of a job; none of its tasks
+   * may be started from then on. One that hears from them all would learn of that as well, and goes on as in
+   * an outage. But none of them tells it of a change of the configuration that none of them may have read
+   * yet: with documents it starts nothing beyond its lease.
    */
   mayStart(): boolean {
     if (this.configuration.isOverdue) return false;
@@ -70,7 +72,9 @@
     return this.settings.peers.every((peer) => this.peerLiveness.isAlive(peer.node));
   }
 
-  /** Whether a job found on record may be adopted: only while no other controller can have become the leader. */
+  /**
+   * Whether a job found on record may be adopted: only while no other controller can have become the leader.
+   */
   mayAdopt(term: Revision): boolean {
     return this.election.term === term && this.election.holdsLease;
   }
--- a/src/core/controller/controller-status.ts
+++ b/src/core/controller/controller-status.ts
@@ -1,4 +1,5 @@
-// What load balancers and operators ask a controller about itself: whether it is ready, and a description of its state.
+// What load balancers and operators ask a controller about itself: whether it is ready, and a description of
+// its state.
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -30,7 +31,7 @@
     this.dependencies = dependencies;
   }
 
-  /** Whether this controller can serve users: as the leader, by way of one that it can reach, or from the records. */
+  /** Whether this controller can serve users: as the leader, by one that it can reach, or from the records. */
   get isReady(): boolean {
     const { io, leadership, configuration, machineTypes } = this.dependencies;
     if (leadership.leaderTerm?.failover.isUnreadable) return false;
--- a/src/core/controller/heartbeat-router.ts
+++ b/src/core/controller/heartbeat-router.ts
@@ -1,5 +1,5 @@
-// Heartbeats at any controller: served here by the leader, else forwarded or relayed to it, deferred until there is one, or
-// redirected.
+// Heartbeats at any controller: served here by the leader, else forwarded or relayed to it, deferred until
+// there is one, or redirected.
 import { type FencingToken, type Instant, NEVER, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type {
@@ -27,7 +27,7 @@
   relay: HeartbeatRelay;
 }
 
-/** Routes heartbeats to the leader, by the way that is open. */
+/** Routes heartbeats to the leader, by the path that is open. */
 export class HeartbeatRouter {
   private readonly io: ControllerIo;
   private readonly self: NodeId;
@@ -47,14 +47,16 @@
     this.relay = dependencies.relay;
   }
 
-  /** A heartbeat of an agent connected here; with too many of them, it is redirected before anything is read. */
+  /**
+   * A heartbeat of an agent connected here; with too many of them, it is redirected before anything is read.
+   */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     const target = this.balancer.onHeartbeat(heartbeat.machine);
     if (target !== null) respond({ kind: 'redirect', node: target });
     else this.route(heartbeat, respond);
   }
 
-  /** A relayed heartbeat is answered like one that came directly, or with null by a controller that does not lead. */
+  /** A relayed heartbeat is answered like one that came directly; null: this controller does not lead. */
   onRelayedHeartbeat(node: NodeId, id: number, heartbeat: Heartbeat): void {
     const respond = (response: HeartbeatResponse | null) =>
       this.io.emit({ kind: 'peer', node, message: { kind: 'relayed-heartbeat-response', id, response } });
@@ -91,7 +93,7 @@
     return this.leadership.leaderTerm !== null && this.leadership.authority.mayCommand();
   }
 
-  /** Whether the machine has seen a higher token than this leader's: another has taken over, and this term ends. */
+  /** Whether the machine has seen a higher token: another leader has taken over, and this term ends. */
   private isSuperseded(token: FencingToken): boolean {
     const { leaderTerm, election } = this.leadership;
     if (leaderTerm === null || token <= leaderTerm.machines.fencingToken) return false;
--- a/src/core/controller/leader-requests.ts
+++ b/src/core/controller/leader-requests.ts
@@ -1,4 +1,5 @@
-// Users' requests at the leader: submissions, questions about jobs and cancellations, served under the present term.
+// Users' requests at the leader: submissions, questions about jobs and cancellations, served under the
+// present term.
 import type { JobId } from '../../types/index.ts';
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { JobSpec, UserRequest } from '../base/model.ts';
@@ -48,8 +49,9 @@
   }
 
   /**
-   * Without its lease or the state service the leader can't confirm a cancellation, but machines still follow it: what
-   * its user has no use for any more ends now, and is marked when the record can be written, if the term still stands.
+   * Without its lease or the state service the leader can't confirm a cancellation, but machines still follow
+   * it: what its user has no use for any more ends now, and is marked when the record can be written, if the
+   * term still stands.
    */
   cancelUnconfirmed(request: UserRequest): void {
     const { leaderTerm } = this.leadership;
--- a/src/core/controller/leaderless-requests.ts
+++ b/src/core/controller/leaderless-requests.ts
@@ -1,4 +1,5 @@
-// Users' requests with no leader in reach: the records still tell a job's state, and new jobs can be put on record.
+// Users' requests with no leader in reach: the records still tell a job's state, and new jobs can be put on
+// record.
 import type { FallbackAdmission } from '../admission/fallback-admission.ts';
 import type { UserRequest } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
--- a/src/core/controller/leadership.ts
+++ b/src/core/controller/leadership.ts
@@ -63,7 +63,7 @@
     return leader?.node === this.self ? null : leader;
   }
 
-  /** The term of this controller while no other can be the leader, so that what it answers to users is not stale. */
+  /** The term of this controller while no other can be the leader: its responses to users are not stale. */
   get currentTerm(): LeaderTerm | null {
     return this.election.holdsLease ? this.leaderTerm : null;
   }
@@ -118,7 +118,7 @@
     });
   }
 
-  /** A write under this term found another leader; under an earlier term of this controller that is nothing new. */
+  /** A write found another leader; under an earlier term of this controller that is nothing new. */
   private onSuperseded(term: Revision): void {
     if (this.election.term === term) this.election.stepDown('a write found another leader');
   }
--- a/src/core/controller/peer-announcer.ts
+++ b/src/core/controller/peer-announcer.ts
@@ -4,7 +4,7 @@
 import type { PeerMessage } from '../base/model.ts';
 import type { PeerRegistry } from '../membership/peer-registry.ts';
 
-/** The load of this controller as the others are told of it. */
+/** The message that tells the other controllers of this one's load. */
 export type LoadMessage = Extract<PeerMessage, { kind: 'load' }>;
 
 const NO_TERM = 0 as Revision;
@@ -38,7 +38,9 @@
     for (const node of this.peers.connectedPeers) this.sendHello(node, term);
   }
 
-  /** Tells its load to all controllers that take forwarded heartbeats; older versions don't know the message. */
+  /**
+   * Tells its load to all controllers that take forwarded heartbeats; older versions don't know the message.
+   */
   broadcastLoad(load: Omit<LoadMessage, 'kind' | 'leaderTerm'>, term: Revision | null): void {
     for (const node of this.peers.forwardingPeers)
       this.io.emit({ kind: 'peer', node, message: { kind: 'load', ...load, leaderTerm: term ?? NO_TERM } });
--- a/src/core/controller/response-deadlines.ts
+++ b/src/core/controller/response-deadlines.ts
@@ -1,4 +1,5 @@
-// Users' requests are answered in time, whatever happens inside the service: with a retry when nothing else has come.
+// Users' requests are answered in time, whatever happens inside the service: with a retry when nothing else
+// has come.
 import { addMs, type Instant } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { UserResponse } from '../base/model.ts';
@@ -20,7 +21,7 @@
     private readonly jobRecords: JobRecordReader,
   ) {}
 
-  /** A responder that answers once; if it is not called within the time, the user is told to retry. */
+  /** A responder that answers once; if it is not called within the time, the response is to retry. */
   within(timeoutMs: number, respond: UserResponder): UserResponder {
     const request: OpenRequest = { respond, deadline: addMs(this.io.now, timeoutMs) };
     this.openRequests.add(request);
--- a/src/core/controller/user-request-router.ts
+++ b/src/core/controller/user-request-router.ts
@@ -1,4 +1,5 @@
-// Users' requests at any controller: served here by the leader, else forwarded to it, else served without one.
+// Users' requests at any controller: served here by the leader, else forwarded to it, else served without
+// one.
 import { addMs, type Instant, type NodeId } from '../../types/index.ts';
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -21,8 +22,8 @@
 /** When a user is answered at the latest: clients give up questions after 2 s, submissions after 5 s. */
 const RESPONSE_TIMEOUT_MS = { status: 1500, submit: 3500, cancel: 3500 };
 /**
- * How long the leader may take for a forwarded request. A submission that it does not answer soon is accepted here: at
- * most one of the two records is made.
+ * How long the leader may take for a forwarded request. A submission that it does not answer soon is accepted
+ * here: at most one of the two records is made.
  */
 const FORWARD_TIMEOUT_MS = { status: 700, submit: 150, cancel: 3000 };
 /** When the leader answers a forwarded request at the latest. */
@@ -76,7 +77,9 @@
     this.forward(request, respondOnce);
   }
 
-  /** A request that another controller has forwarded; a null response says that this one is not the leader. */
+  /**
+   * A request that another controller has forwarded; a null response says that this one is not the leader.
+   */
   onForwardedRequest(node: NodeId, id: number, request: UserRequest): void {
     const respond = (response: UserResponse | null) =>
       this.io.emit({ kind: 'peer', node, message: { kind: 'user-response', id, response } });
@@ -123,8 +126,9 @@
   }
 
   /**
-   * Whether the submission has dependencies while a controller of an earlier version, which would start the job at once
-   * as the leader, may be connected. Such a job is not accepted; if it is known already, its state is told.
+   * Whether the submission has dependencies while a controller of an earlier version, which would start the
+   * job at once as the leader, may be connected. Such a job is not accepted; if it is known already, the
+   * response is its status.
    */
   private refuseDependencies(request: UserRequest, respond: UserResponder): boolean {
     if (request.op !== 'submit' || request.spec.dependsOn === undefined) return false;
@@ -150,8 +154,8 @@
   }
 
   /**
-   * How long the leader may take. One that has much to write, and says so, is given more: a second record of the job
-   * made here meanwhile would only fail its transaction, and all else that is in it.
+   * How long the leader may take. One that has much to write, and says so, is given more: a second record of
+   * the job made here meanwhile would only fail its transaction, and all else that is in it.
    */
   private forwardTimeoutMs(op: UserRequest['op'], leader: NodeId): number {
     if (op !== 'submit') return FORWARD_TIMEOUT_MS[op];
@@ -162,6 +166,6 @@
 
 const jobIdOf = (request: UserRequest) => (request.op === 'submit' ? request.spec.id : request.id);
 
-/** A response names its job; one about another job answers a request from before this controller was restarted. */
+/** A response names its job; one about another job answers a request from before this controller restarted. */
 const isAbout = (response: UserResponse, request: UserRequest): boolean =>
   !('id' in response) || response.id === jobIdOf(request);
--- a/src/core/leader/early-lease-renewal.ts
+++ b/src/core/leader/early-lease-renewal.ts
@@ -7,18 +7,19 @@
 
 /** A heartbeat is sent this long before it is read, at the most: later its agent drops the response. */
 const HEARTBEAT_MAX_AGE_MS = 4500;
-/** Two controllers' wall clocks are never this far apart: they keep within some tens of milliseconds of true time. */
+/** Wall clocks of controllers are never this far apart: they keep within tens of milliseconds of true time. */
 const WALL_CLOCK_SKEW_MS = 1000;
 /** Twice what monotonic clocks drift apart. */
 const CLOCK_DRIFT_FACTOR = 1.001;
 
 /**
- * Decides whether a machine may be answered, and its lease renewed, before the records are read. What an earlier leader
- * confirmed as cancelled may run there, and this leader does not know it yet. So the last response that the machine took
- * must have come from a leader that knew: then what was cancelled later was confirmed later, and the machine, first
- * answered within a lease of that response, may be given leases until all must be gone within `cancel_s` of what may
- * have been confirmed. It came from a leader that knew if the machine has seen no later token, and that leader had read
- * the records more than a lease ago: a response from before that has run out.
+ * Decides whether a machine may be answered, and its lease renewed, before the records are read. What an
+ * earlier leader confirmed as cancelled may run there, and this leader does not know it yet. So the last
+ * response that the machine took must have come from a leader that knew: then what was cancelled later was
+ * confirmed later, and the machine, first answered within a lease of that response, may be given leases until
+ * all must be gone within `cancel_s` of what may have been confirmed. It came from a leader that knew if the
+ * machine has seen no later token, and that leader had read the records more than a lease ago: a response
+ * from before that has run out.
  */
 export class EarlyLeaseRenewal {
   private readonly firstAnsweredAt = new Map<MachineId, Instant>();
@@ -37,7 +38,9 @@
     this.leaseMs = leaseS * 1000 * CLOCK_DRIFT_FACTOR;
   }
 
-  /** Whether the machine, which has seen the token, may be answered; notes that it is, as all callers do so. */
+  /**
+   * Whether the machine, which has seen the token, may be answered; notes that it is, as all callers do so.
+   */
   mayRenew(machine: MachineId, seenToken: FencingToken): boolean {
     const firstAnsweredAt = this.firstAnsweredAt.get(machine);
     if (firstAnsweredAt !== undefined)
--- a/src/core/leader/failover.ts
+++ b/src/core/leader/failover.ts
@@ -1,5 +1,5 @@
-// Failover, from the election of a new leader to the moment when it knows all jobs and what runs where: it reads the records,
-// then reconciles them with the machines.
+// Failover, from the election of a new leader to the moment when it knows all jobs and what runs where: it
+// reads the records, then reconciles them with the machines.
 import type { Instant, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobTable } from '../jobs/job-table.ts';
--- a/src/core/leader/heartbeat-handler.ts
+++ b/src/core/leader/heartbeat-handler.ts
@@ -1,4 +1,5 @@
-// Heartbeats at the leader: read into the machine table and answered with commands, or kept until the records are read.
+// Heartbeats at the leader: read into the machine table and answered with commands, or kept until the records
+// are read.
 import { addMs, type Instant, NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { ForwardedHeartbeat, Heartbeat } from '../base/model.ts';
@@ -19,8 +20,8 @@
 /** A heartbeat that had to wait for the records is answered this soon after it has been read. */
 const RESPONSE_AFTER_WAIT_MS = 500;
 /**
- * So many pending heartbeats are read on a tick and, as other inputs come, so many with each: the heartbeats of a whole
- * fleet must not hold up the timer.
+ * So many pending heartbeats are read on a tick and, as other inputs come, so many with each: the heartbeats
+ * of a whole fleet must not delay the timer.
  */
 const PENDING_PER_TICK = 30;
 const PENDING_PER_STEP = 2;
@@ -35,7 +36,7 @@
   machineAdoption: MachineAdoption;
 }
 
-/** Takes heartbeats in under the fencing token of one term; its callers have checked that it may command machines. */
+/** Takes heartbeats in under the token of one term; its callers have checked that it may command machines. */
 export class HeartbeatHandler {
   private readonly machines: MachineTable;
   private readonly recovery: RecoveryState;
@@ -55,8 +56,9 @@
   }
 
   /**
-   * The response to an idle machine is held for a moment, so that work arriving meanwhile starts without waiting for
-   * the next heartbeat. `respondBy`: when the agent must be answered, if its heartbeat has waited before.
+   * The response to an idle machine is held for a moment, so that work arriving meanwhile starts without
+   * waiting for the next heartbeat. `respondBy`: when the agent must be answered, if its heartbeat has waited
+   * before.
    */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
     if (!this.recovery.isLoaded) return this.onEarlyHeartbeat(heartbeat, respond, respondBy);
@@ -64,13 +66,14 @@
     if (machine === null) return respond({ kind: 'redirect', node: null });
     const commands = this.machines.onHeartbeat(machine, heartbeat);
     if (commands === null) return this.onOldHeartbeat(machine, heartbeat, respond);
-    // Only a newer heartbeat shows it: a late copy sent the agent away from the response that was held for it.
+    // Only a newer heartbeat shows it: a late copy sent the agent away from the response that was held for
+    // it.
     this.heldResponses.release(machine);
     if (machine.isReconciled) this.machines.register(machine);
     this.heldResponses.add(machine, commands, respond, respondBy);
   }
 
-  /** A delta is read only if the heartbeat that it builds on was the last to be read: else the whole is asked for. */
+  /** A delta is read only if the heartbeat that it builds on was the last read; else the whole is required. */
   onForwardedHeartbeat(forwarded: ForwardedHeartbeat, respond: ForwardedHeartbeatResponder): void {
     if (forwarded.kind === 'full') return this.onHeartbeat(forwarded.heartbeat, respond);
     if (!this.recovery.isLoaded) return this.onEarlyDelta(forwarded, respond);
@@ -96,8 +99,8 @@
   }
 
   /**
-   * Raising the token is all that may be done before the records are read. A heartbeat sent after that waits for them:
-   * answered unread, its machine would be heard from a whole heartbeat interval later.
+   * Raising the token is all that may be done before the records are read. A heartbeat sent after that waits
+   * for them: answered unread, the next one to be read would come a whole heartbeat interval later.
    */
   private onEarlyHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant): void {
     const { fencingToken } = this.machines;
@@ -145,7 +148,7 @@
     };
   }
 
-  /** Reads up to so many heartbeats that came before the records were read, and answers those that waited too long. */
+  /** Reads up to `limit` pending heartbeats once the records are read; answers those that waited too long. */
   private readPending(limit: number): void {
     if (this.recovery.isLoaded) {
       this.earlyLeaseRenewal.end();
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -1,5 +1,5 @@
-// Responses to heartbeats that are held for a moment: work that comes or is placed meanwhile starts at once, instead of
-// waiting for the machine's next heartbeat.
+// Responses to heartbeats that are held for a moment: work that comes or is placed meanwhile starts at once,
+// instead of waiting for the machine's next heartbeat.
 import { addMs, type Instant, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command } from '../base/model.ts';
@@ -8,7 +8,7 @@
 import type { HeartbeatResponder } from './responders.ts';
 import type { TermAuthority } from './term-authority.ts';
 
-/** A busy machine's response waits this long at most for the next scheduling cycle, if it has capacity for work that waits. */
+/** How long the response to a busy machine with free capacity waits for the next scheduling cycle, at most. */
 const CYCLE_WAIT_MAX_MS = 300;
 /** Longest time for which the response to a machine without commands is held; agents wait for 4 s. */
 const HOLD_MAX_MS = 2800;
@@ -55,7 +55,8 @@
     this.machines = dependencies.machines;
     this.scheduler = dependencies.scheduler;
     this.authority = dependencies.authority;
-    // Agents give up after 4 s; and they report a change on the machine only once the last heartbeat is answered.
+    // Agents give up after 4 s; and they report a change on the machine only once the last heartbeat is
+    // answered.
     this.holdMs = Math.min(HOLD_MAX_MS, dependencies.heartbeatS * 1000);
   }
 
@@ -63,7 +64,9 @@
     return this.held.has(machine.id);
   }
 
-  /** The heartbeat is answered at once if there are commands, else within a moment, and before `respondBy`. */
+  /**
+   * The heartbeat is answered at once if there are commands, else within a moment, and before `respondBy`.
+   */
   add(machine: Machine, commands: Command[], respond: HeartbeatResponder, respondBy: Instant): void {
     const heldUntil = Math.min(addMs(this.io.now, this.holdMs), respondBy) as Instant;
     const runsServicesOnly = hasOnlyRunningServices(machine);
@@ -116,7 +119,7 @@
     response.respond({ kind: 'commands', fencingToken: this.machines.fencingToken, commands });
   }
 
-  /** For experiments with a refused leader: which machines still follow it (scripts/refused-leader.ts reads this). */
+  /** Which machines still follow a refused leader; scripts/refused-leader.ts reads this. */
   private logBeyondLease(machine: Machine): void {
     const jobs = new Set([...machine.assignments.values()].map((assignment) => assignment.job.id));
     this.io.log('debug', 'answered beyond the hold', { machine: machine.id, jobs: [...jobs] });
@@ -135,9 +138,9 @@
   }
 
   /**
-   * There are no commands for the machine before long, and it has capacity for work that may come: it is idle, or has
-   * services only, which do not end by themselves. With anything else on it the response goes at once, as the end of a
-   * task would be reported late.
+   * There are no commands for the machine before long, and it has capacity for work that may come: it is
+   * idle, or has services only, which do not end by themselves. With anything else on it the response goes at
+   * once, as the end of a task would be reported late.
    */
   private awaitsWork({ machine, commands, runsServicesOnly }: HeldResponse): boolean {
     if (commands.length > 0 || !machine.isReconciled || machine.drainReason !== null) return false;
--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -1,5 +1,5 @@
-// What a leader does during one term; each term starts with a new one of these. Composes the parts of the term, and ticks
-// them in order.
+// What a leader does during one term; each term starts with a new one of these. Composes the parts of the
+// term, and ticks them in order.
 import { addMs, type Instant, LONG_AGO, NEVER, type Revision } from '../../types/index.ts';
 import type { Autoscaler } from '../autoscaling/autoscaler.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -8,7 +8,7 @@
 import { Rollout } from '../configuration/rollout.ts';
 import { AcceptedJobsWatch } from '../jobs/accepted-jobs-watch.ts';
 import { Dependencies } from '../jobs/dependencies.ts';
-import type { Job, TaskAssignment } from '../jobs/job.ts';
+import type { TaskAssignment } from '../jobs/job.ts';
 import type { JobTable } from '../jobs/job-table.ts';
 import type { CapacityIndex } from '../machines/capacity-index.ts';
 import type { Machine } from '../machines/machine.ts';
@@ -25,6 +25,7 @@
 import { Failover } from './failover.ts';
 import { HeartbeatHandler } from './heartbeat-handler.ts';
 import { HeldResponses } from './held-responses.ts';
+import { JobLifecycle } from './job-lifecycle.ts';
 import { MachineAdoption } from './machine-adoption.ts';
 import { OverQuotaEviction } from './over-quota-eviction.ts';
 import type { ForwardedHeartbeatResponder, HeartbeatResponder } from './responders.ts';
@@ -113,7 +114,7 @@
     this.termConfiguration = new TermConfiguration({ settings, options, configuration, state, scheduling });
     this.termConfiguration.apply();
     this.listenToFailover();
-    this.listenToJobs();
+    new JobLifecycle(this).listen();
   }
 
   private createMachineTableListener(): MachineTableListener {
@@ -158,6 +159,7 @@
 
   private createUserRequests({ jobRecords, configuration }: LeaderTermDependencies): UserRequestHandler {
     const { io, settings, jobs, quota, writer, machineTypes, dependencies } = this;
+    const recovery = this.failover;
     return new UserRequestHandler({
       io,
       settings,
@@ -168,7 +170,7 @@
       jobRecords,
       configuration,
       dependencies,
-      recovery: this.failover,
+      recovery,
     });
   }
 
@@ -181,18 +183,6 @@
     this.failover.onComplete = () => this.scheduler.requestCycle();
   }
 
-  private listenToJobs(): void {
-    this.jobs.listener = this.dependencies;
-    // The autoscaler counts a job when it may start, not when it is accepted.
-    this.jobs.onAccepted = (job) => {
-      if (!job.isBlocked) this.dependencies.onReady(job);
-    };
-    this.dependencies.onReady = (job) => this.onJobReady(job);
-    this.jobs.onEnded = (job) => this.dequeueTasks(job);
-    this.jobs.onCancellationFailed = () => this.scheduler.requestCycle();
-    this.jobs.onClosed = (job, status) => this.usageAccounting.onJobClosed(job, status);
-  }
-
   /** The controller has applied another revision of the configuration. */
   onConfigurationApplied(change: AppliedChange): void {
     this.termConfiguration.apply();
@@ -201,7 +191,7 @@
     this.rollout.onApplied(change);
   }
 
-  /** Moves the leader record to another key, alone in its transaction; the revision, or null if it was not made as asked. */
+  /** Moves the leader record to another key, in a transaction of its own; null if it was not made so. */
   migrateLeaderKey(
     conditions: StoreCondition[],
     puts: StorePut[],
@@ -276,7 +266,7 @@
     if (this.scheduler.runCycle()) this.heldResponses.onCycle();
   }
 
-  /** Takes a heartbeat in under this term's token; the caller has checked that it may. See {@link HeartbeatHandler}. */
+  /** Takes a heartbeat in under this term's token; the caller has checked that it may command machines. */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
     this.heartbeatHandler.onHeartbeat(heartbeat, respond, respondBy);
   }
@@ -292,12 +282,6 @@
     this.heldResponses.close();
   }
 
-  private onJobReady(job: Job): void {
-    // Read from the records after a failover, it may have become ready long ago.
-    if (job.unlocatedTasks === 0) this.autoscaler.spareCapacity.onJobReady(job);
-    this.scheduler.requestCycle();
-  }
-
   private recordRuntime({ job, runningAt }: TaskAssignment): void {
     if (runningAt === null) return;
     const runS = (this.io.now - runningAt) / 1000;
@@ -305,14 +289,9 @@
     this.usageAccounting.onTaskCompleted(job, job.spec.cpus * runS);
   }
 
-  private dequeueTasks(job: Job): void {
-    if (job.queuedTasks === 0) return;
-    for (const machine of this.machines.byId.values())
-      for (const queued of [...machine.queue]) if (queued.job === job) this.machines.dequeue(machine, queued);
-    this.scheduler.requestCycle();
-  }
-
-  /** How long a start command for the machine waits for its next heartbeat; not at all if a response is held. */
+  /**
+   * How long a start command for the machine waits for its next heartbeat; not at all if a response is held.
+   */
   private commandDelayS(machine: Machine): number {
     if (this.heldResponses.has(machine)) return 0;
     const sinceHeartbeatS = (this.io.now - machine.lastHeartbeat) / 1000;
--- a/src/core/leader/machine-reconciliation.ts
+++ b/src/core/leader/machine-reconciliation.ts
@@ -9,7 +9,7 @@
 const PROBE_INTERVAL_MS = 2000;
 /** Only so many machines are probed at a time; most send a heartbeat by themselves within an interval. */
 const MAX_CONCURRENT_PROBES = 16;
-/** Up to this part of the fleet counts as a few machines: what they may run is worth less than all that they hold up. */
+/** Up to this part of the fleet counts as a few: what they run is worth less than what waits for them. */
 const FEW_MACHINES_FRACTION = 0.01;
 /** An agent whose controller has gone waits for 4 s, and 1 s more before it tries the next. */
 const AGENT_RETRY_MS = 5500;
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Probes the machines that have sent no heartbeat under this term, and fences those that stay silent by returning
-   * them; true once there are none. `holdsLease`: no other leader can exist, to which they may be speaking.
+   * Probes the machines that have sent no heartbeat under this term, and fences those that stay silent by
+   * returning them; true once there are none. `holdsLease`: no other leader can exist, to which they may be
+   * speaking.
    */
   tick(holdsLease: boolean): boolean {
     const silentMachines = this.silentMachines();
@@ -108,8 +109,8 @@
 
   private onProbeReply(machine: Machine, reply: WorkerReply): void {
     if (reply.kind !== 'heartbeat' || this.machines.byId.get(machine.id) !== machine) return;
-    // Once the machine is in use, only its own heartbeats tell what is not on it: a start command that answered one of
-    // them may still be under way when this reply is made.
+    // Once the machine is in use, only its own heartbeats tell what is not on it: a start command that
+    // answered one of them may still be under way when this reply is made.
     if (machine.isReconciled) return;
     // Its address may be another machine's by now.
     if (reply.heartbeat.machine !== machine.id) return;
--- a/src/core/leader/over-quota-eviction.ts
+++ b/src/core/leader/over-quota-eviction.ts
@@ -1,5 +1,5 @@
-// What a team uses above a limit that was lowered while its tasks ran: nothing more of it is started, what is queued at
-// machines waits again, and what runs ends by itself or is stopped, as the team's document says.
+// What a team uses above a limit that was lowered while its tasks ran: nothing more of it is started, what is
+// queued at machines waits again, and what runs ends by itself or is stopped, as the team's document says.
 import { addMs, type Instant, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Team } from '../base/model.ts';
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Another revision is applied: what is queued beyond a limit waits again. Work: the machines' queues, if any team is
-   * above its limit.
+   * Another revision is applied: what is queued beyond a limit waits again. Work: the machines' queues, if
+   * any team is above its limit.
    */
   onQuotaChanged(): void {
     const teamsOverQuota = new Set<TeamName>();
@@ -118,7 +118,7 @@
     });
   }
 
-  /** The team's tasks on machines: those that are being stopped, then the least urgent, then the youngest first. */
+  /** The team's tasks on machines: those being stopped first, then the least urgent and the youngest. */
   private groupsOf(team: TeamName): TaskGroup[] {
     const groups: TaskGroup[] = [];
     for (const job of this.jobs.openJobs.values()) {
--- a/src/core/leader/record-loader.ts
+++ b/src/core/leader/record-loader.ts
@@ -1,4 +1,5 @@
-// The first step of a failover: the new leader reads all records, page by page and one kind of record after another.
+// The first step of a failover: the new leader reads all records, page by page and one kind of record after
+// another.
 import {
   addMs,
   type Instant,
@@ -37,7 +38,7 @@
 
 type RecordKind = keyof typeof KEY_PREFIX;
 
-/** Is told how far the records have been read. */
+/** Is notified of the progress of a {@link RecordLoader}. */
 export interface RecordLoaderListener {
   /** All jobs on record are known. */
   onJobsLoaded(): void;
@@ -138,7 +139,9 @@
     }
   }
 
-  /** Without any type, from the records or the cloud, no machine can be used: read again until there is one. */
+  /**
+   * Without any type, from the records or the cloud, no machine can be used: read again until there is one.
+   */
   private onMachineTypesRead(): void {
     if (this.machineTypes.isLoaded) this.readNext('jobs', null);
     else this.retry();
@@ -205,7 +208,9 @@
   }
 }
 
-/** A type that is no longer offered still counts, as if it held everything, until its machine is reconciled. */
+/**
+ * A type that is no longer offered still counts, as if it held everything, until its machine is reconciled.
+ */
 const unofferedType = (name: TypeName): MachineType => ({
   name,
   cpus: 1e6,
--- a/src/core/leader/term-configuration.ts
+++ b/src/core/leader/term-configuration.ts
@@ -1,4 +1,5 @@
-// The configuration that a leader applies: teams, objectives and scheduler options are handed to all parts of its term.
+// The configuration that a leader applies: teams, objectives and scheduler options are handed to all parts of
+// its term.
 import type { Revision } from '../../types/index.ts';
 import type { Settings } from '../base/model.ts';
 import type { Configuration } from '../configuration/configuration.ts';
--- a/src/core/leader/term-state.ts
+++ b/src/core/leader/term-state.ts
@@ -1,4 +1,5 @@
-// The state that a leader keeps during a term: jobs, machines, teams' usage, and the writer that puts changes on record.
+// The state that a leader keeps during a term: jobs, machines, teams' usage, and the writer that puts changes
+// on record.
 import type { Revision } from '../../types/index.ts';
 import { Autoscaler } from '../autoscaling/autoscaler.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -48,7 +49,6 @@
 ): TermState {
   const { io, settings, configuration, machineTypes, fencingCondition, onSuperseded } = dependencies;
   const { teams, objectives } = configuration.effective;
-  const { types } = machineTypes;
   const term = fencingCondition.revision;
   const writer = new FencedWriter(io, settings, fencingCondition, onSuperseded);
   const progress = new ArrayProgress(io, writer, settings.store, term);
@@ -56,20 +56,12 @@
   const jobs = new JobTable(io, writer, progress);
   const quota = new Quota(teams);
   const capacityIndex = new CapacityIndex();
-  const machines = new MachineTable({ io, settings, jobs, registry, quota, capacityIndex, listener, term });
+  const common = { io, settings, jobs, quota, term };
+  const machines = new MachineTable({ ...common, registry, capacityIndex, listener });
   const estimates = new RuntimeEstimates();
   const ordering = new JobOrdering(objectives, estimates);
-  const autoscaler = new Autoscaler({
-    io,
-    settings,
-    jobs,
-    machines,
-    quota,
-    estimates,
-    ordering,
-    term,
-    types,
-  });
+  const { types } = machineTypes;
+  const autoscaler = new Autoscaler({ ...common, machines, estimates, ordering, types });
   return {
     term,
     writer,
--- a/src/core/leader/user-request-handler.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -18,7 +18,9 @@
 import type { RecoveryState } from './recovery-state.ts';
 import type { UserResponder } from './responders.ts';
 
-/** Acceptance stops while more writes wait than can be made in this time: users are told to retry instead. */
+/**
+ * Acceptance stops while more writes wait than can be made in this time: the response is to retry instead.
+ */
 const MAX_BACKLOG_S = 3;
 /** So many times that much may wait while other teams ask for more than their part. */
 const BACKLOG_LIMIT_FACTOR = 1.5;
@@ -78,15 +80,15 @@
     return this.writer.backlog / this.settings.store.writesPerS;
   }
 
-  /** Accepts the job, or tells why not; a repeated submission is told what has become of the job. */
+  /** Accepts the job, or responds why not; a repeated submission gets the status of the job. */
   submit(spec: JobSpec, respond: UserResponder): void {
     const known = this.knownSubmission(spec.id);
     if (known !== null) return respond(known);
     if (!this.recovery.isLoaded) return respond(retryLater('the jobs on record are being read'));
     if (this.writer.unavailableSince !== null)
       return respond(retryLater('the state service does not answer', STORE_RETRY_S));
-    // Teams that the settings do not name are refused below, and must not count among those that submissions are
-    // divided among.
+    // Teams that the settings do not name are refused below, and must not count among those that submissions
+    // are divided among.
     if (this.quota.team(spec.team) !== undefined) this.throttle.recordSubmission(spec.team);
     if (this.isBacklogFullFor(spec)) return respond(this.backlogFullResponse(spec));
     if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, respond);
@@ -110,7 +112,7 @@
     return final === null ? null : { kind: 'ended', id, status: final.status };
   }
 
-  /** What a repeated submission is told; null if the job is not known. */
+  /** The response to a repeated submission; null if the job is not known. */
   private knownSubmission(id: JobId): UserResponse | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) {
@@ -121,7 +123,7 @@
     return final === null ? null : { kind: 'known', id, status: final.status };
   }
 
-  /** Beyond the first bound teams that ask for more than their part are sent back, beyond the second everybody. */
+  /** Beyond the first bound teams that ask for more than their part are refused, beyond the second all. */
   private isBacklogFullFor(spec: JobSpec): boolean {
     const { backlog } = this.writer;
     if (backlog > this.maxBacklog * BACKLOG_LIMIT_FACTOR) return true;
@@ -156,8 +158,8 @@
   }
 
   /**
-   * A job known from before is never called impossible, whatever is offered today or said of it in the repetition; nor
-   * is one that another controller accepted a moment ago.
+   * A job known from before is never called impossible, whatever is offered today or said of it in the
+   * repetition; nor is one that another controller accepted a moment ago.
    */
   private refuse(spec: JobSpec, refusal: Refusal, respond: UserResponder): void {
     this.jobRecords.readStatus(spec.id, (response) => {
