--- a/src/core/controller/command-authority.ts
+++ b/src/core/controller/command-authority.ts
@@ -4,6 +4,7 @@
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
 import type { Configuration } from '../configuration/configuration.ts';
+import type { TermAuthority } from '../leader/term-authority.ts';
 import { LEADER_LEASE_MS, type LeaderElection } from '../membership/leader-election.ts';
 
 /** Milliseconds for each second of a worker's lease, with the drift between two monotonic clocks. */
@@ -78,4 +79,12 @@
   mayAdopt(term: Revision): boolean {
     return this.election.term === term && this.election.holdsLease;
   }
+
+  /** The same questions for the parts of one term. */
+  forTerm(term: Revision): TermAuthority {
+    return {
+      holdsLease: () => this.mayAdopt(term),
+      mayStart: () => this.mayStart(),
+    };
+  }
 }
--- a/src/core/controller/leadership.ts
+++ b/src/core/controller/leadership.ts
@@ -110,10 +110,7 @@
       machineTypes,
       jobRecords,
       lastRecovery: this.election.lastRecovery,
-      authority: {
-        holdsLease: () => this.authority.mayAdopt(term),
-        mayStart: () => this.authority.mayStart(),
-      },
+      authority: this.authority.forTerm(term),
       onSuperseded: () => this.onSuperseded(term),
     });
   }
