--- a/scripts/experiments/hotpath.ts
+++ b/scripts/experiments/hotpath.ts
@@ -4,7 +4,7 @@
 import { execFileSync } from 'node:child_process';
 import { Command } from 'commander';
 import { bundle, bundleScript, checkout, runnerOf } from './bundle.ts';
-import type { Figures, Kind } from './hotpath-load.ts';
+import type { Figures, Kind } from './hotpath-lib.ts';
 
 /** The version before names were changed throughout. */
 const DEFAULT_BASE = 'baf23d2';
