--- /dev/null
+++ b/scripts/experiments/fleet-controllers.ts
@@ -0,0 +1,225 @@
+// The controllers of the fleet experiment on its simulated clock, with a store, a cloud and each other a few milliseconds away.
+import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
+import type { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
+import type { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
+import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
+import type { Effect, Input } from '../../src/core/base/io.ts';
+import type { Settings, StoreReply, WorkerReply } from '../../src/core/base/model.ts';
+import type { Controller } from '../../src/core/controller.ts';
+import type { Instant, NodeId, WallTime } from '../../src/types/index.ts';
+import { HEARTBEAT_INTERVAL_MS, LEASE_MS, OBJECTIVES, teamName, ZONES } from './fleet-days.ts';
+import type { Lib, Setup } from './fleet-types.ts';
+
+/** The controllers of the fleet. */
+export const NODES = ['node-0', 'node-1', 'node-2'];
+const WALL_CLOCK_START_MS = 1e9;
+const TICK_MS = 100;
+const STORE_REQUEST_MS = 2;
+const STORE_REPLY_MS = 4;
+const CLOUD_MS = 40;
+const WORKER_MS = 2;
+const PEER_MS = 1;
+
+type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
+
+/** Gives a controller an input some time later, unless it has ended by then. */
+type InputLater = (delayMs: number, makeInput: () => Input) => void;
+
+/** What the world offers its controllers. */
+export interface ControllerEnvironment extends SimulationClock {
+  readonly state: FakeStore;
+  readonly cloud: FakeCloud;
+  readonly workers: ReadonlyMap<string, FakeWorker>;
+  /** Whether the machine is reached over the network. */
+  isReachable(worker: FakeWorker): boolean;
+}
+
+/** Starts, ends and serves the controllers. */
+export class FleetControllers {
+  private readonly controllers = new Map<string, Controller>();
+  /** How often each node was started or ended: what belongs to an earlier incarnation is void. */
+  private readonly incarnations = new Map<string, number>();
+  private readonly pendingResponses = new Map<number, (response: never) => void>();
+  private nextRequestId = 1;
+
+  constructor(
+    private readonly environment: ControllerEnvironment,
+    private readonly lib: Lib,
+    private readonly setup: Setup,
+  ) {}
+
+  /** Starts a controller. */
+  start(name: string): void {
+    const incarnation = this.beginIncarnation(name);
+    const controller = new this.lib.Controller(
+      fleetSettings(name, this.setup),
+      this.setup.options,
+      this.lib.seededRandom(this.setup.seed * 31 + name.length + incarnation),
+    );
+    this.controllers.set(name, controller);
+    for (const other of this.controllers.keys()) {
+      if (other === name) continue;
+      this.input(name, { kind: 'peer-up', node: other as NodeId });
+      this.input(other, { kind: 'peer-up', node: name as NodeId });
+    }
+    const tick = (): void => {
+      if (!this.isRunning(name, incarnation)) return;
+      this.input(name, { kind: 'tick' });
+      this.environment.after(TICK_MS, tick);
+    };
+    tick();
+  }
+
+  /** Ends a controller. */
+  end(name: string): void {
+    this.controllers.delete(name);
+    this.beginIncarnation(name);
+    for (const other of this.controllers.keys())
+      this.input(other, { kind: 'peer-down', node: name as NodeId });
+  }
+
+  /** Controllers that run. */
+  get running(): string[] {
+    return [...this.controllers.keys()];
+  }
+
+  has(name: string): boolean {
+    return this.controllers.has(name);
+  }
+
+  /** The controller that acts as the leader. */
+  get leader(): string | null {
+    for (const [name, controller] of this.controllers) if (controller.election.holdsLease) return name;
+    return null;
+  }
+
+  /** Gives a controller a request; `onResponse` gets what it responds with, if it does. */
+  request(
+    name: string,
+    makeInput: (requestId: number) => Input,
+    onResponse: (response: never) => void,
+  ): void {
+    const requestId = this.nextRequestId++;
+    this.pendingResponses.set(requestId, onResponse);
+    this.input(name, makeInput(requestId));
+  }
+
+  private input(name: string, input: Input): void {
+    const controller = this.controllers.get(name);
+    if (controller === undefined) return;
+    const incarnation = this.incarnations.get(name)!;
+    const { now } = this.environment;
+    const effects = controller.step(now as Instant, (WALL_CLOCK_START_MS + now) as WallTime, input);
+    for (const effect of effects) this.carryOut(name, incarnation, effect);
+  }
+
+  private beginIncarnation(name: string): number {
+    const incarnation = (this.incarnations.get(name) ?? 0) + 1;
+    this.incarnations.set(name, incarnation);
+    return incarnation;
+  }
+
+  private isRunning(name: string, incarnation: number): boolean {
+    return this.incarnations.get(name) === incarnation && this.controllers.has(name);
+  }
+
+  private carryOut(name: string, incarnation: number, effect: Effect): void {
+    const inputLater: InputLater = (delayMs, makeInput) =>
+      this.environment.after(delayMs, () => {
+        if (this.isRunning(name, incarnation)) this.input(name, makeInput());
+      });
+    switch (effect.kind) {
+      case 'store':
+        return this.callStore(name, effect, inputLater);
+      case 'cloud':
+        return this.callCloud(effect, inputLater);
+      case 'probe':
+        return this.callWorker(effect, inputLater);
+      case 'peer':
+        return this.environment.after(PEER_MS, () =>
+          this.input(effect.node, { kind: 'peer', node: name as NodeId, message: effect.message }),
+        );
+      case 'user-response':
+      case 'heartbeat-response': {
+        const onResponse = this.pendingResponses.get(effect.requestId);
+        this.pendingResponses.delete(effect.requestId);
+        return onResponse?.(effect.response as never);
+      }
+    }
+  }
+
+  private callStore(
+    name: string,
+    { request, tag, timeoutMs }: EffectOf<'store'>,
+    inputLater: InputLater,
+  ): void {
+    const { environment } = this;
+    let isOpen = true;
+    const respond = (reply: StoreReply): void => {
+      if (isOpen) inputLater(STORE_REPLY_MS, () => ({ kind: 'store', tag, reply }));
+      isOpen = false;
+    };
+    if (environment.state.down) environment.after(timeoutMs, () => respond({ kind: 'no-answer' }));
+    environment.after(STORE_REQUEST_MS, () => environment.state.serve(name, request, respond));
+  }
+
+  private callCloud({ request, tag }: EffectOf<'cloud'>, inputLater: InputLater): void {
+    this.environment.after(CLOUD_MS, () => {
+      const reply = this.environment.cloud.serve(request);
+      inputLater(CLOUD_MS, () => ({ kind: 'cloud', tag, reply }));
+    });
+  }
+
+  private callWorker(effect: EffectOf<'probe'>, inputLater: InputLater): void {
+    const { addr, tag, timeoutMs, fencingToken, agentEpoch } = effect;
+    const worker = this.environment.workers.get(addr.slice(addr.indexOf(':') + 1));
+    if (worker === undefined || !this.environment.isReachable(worker))
+      return inputLater(timeoutMs, () => ({ kind: 'worker', tag, reply: { kind: 'no-answer' } }));
+    this.environment.after(WORKER_MS, () =>
+      worker.orders(fencingToken, agentEpoch, [], (reply: WorkerReply) =>
+        inputLater(WORKER_MS, () => ({ kind: 'worker', tag, reply })),
+      ),
+    );
+  }
+}
+
+/** Settings of a controller of a fleet of this size. */
+function fleetSettings(node: string, { machines, teams }: Setup): Settings {
+  const zone = ZONES[1]!;
+  const writesPerS = 40 + machines / 20;
+  return {
+    node: node as NodeId,
+    zone,
+    listen: '10.0.0.1:80',
+    peerListen: '10.0.0.1:81',
+    peers: NODES.filter((name) => name !== node).map((name) => ({
+      node: name as NodeId,
+      zone,
+      addr: '10.0.0.2:81',
+    })),
+    cloudAddr: '10.0.0.9:1',
+    storeAddr: '10.0.0.8:1',
+    zones: ZONES,
+    teams: Array.from({ length: teams }, (_, i) => ({
+      name: teamName(i),
+      cpus: 0,
+      cpusMax: 0,
+      // Every third team is guaranteed accelerators, and nothing else.
+      gpus: i % 3 === 0 ? Math.round(machines / (4 * teams)) : 0,
+      gpusMax: 0,
+    })),
+    objectives: OBJECTIVES,
+    workers: {
+      heartbeatS: HEARTBEAT_INTERVAL_MS / 1000,
+      leaseS: LEASE_MS / 1000,
+      gangWaitS: 35,
+      gangPeerS: 6,
+      cancelS: 49,
+    },
+    store: { requestsPerS: 100 + machines / 5, writesPerS, maxValueKb: 8, maxTransactionOps: 24 },
+    currentWritesPerS: writesPerS,
+    cloud: { requestsPerS: 8, listLagS: 2 },
+    sockets: 10_000,
+    ramMb: null,
+  };
+}
--- a/scripts/experiments/fleet-days.ts
+++ b/scripts/experiments/fleet-days.ts
@@ -1,15 +1,17 @@
-// What the fleet drill plays: who asks for what, and what goes wrong when. Figures are relative to the number of machines, so
+// What the fleet experiment plays: who asks for what, and what goes wrong when. Figures are relative to the number of machines, so
 // that the same day can be played at any size.
 import type { Random } from '../../src/core/base/io.ts';
 import type { JobSpec, MachineType } from '../../src/core/base/model.ts';
 import type { JobId, TeamName, TypeName, ZoneName } from '../../src/types/index.ts';
 
-export type Trouble =
+/** What goes wrong `atS` seconds into a day. `part`: of the machines. `zone`: its number in `ZONES`. */
+export type DayFault =
   | { atS: number; kind: 'die' | 'hang' | 'slow'; part: number; forS: number; factor: number }
   | { atS: number; kind: 'zone'; zone: number; forS: number }
   | { atS: number; kind: 'owner-ends' }
   | { atS: number; kind: 'store'; forS: number };
 
+/** A kind of day. */
 export interface Day {
   name: string;
   about: string;
@@ -17,14 +19,21 @@
   load: number;
   /** One team asks for this many times its part, another one every third of the day; 1: none. */
   hot: number;
-  troubles: Trouble[];
+  troubles: DayFault[];
 }
 
-const ends = (atS: number): Trouble => ({ atS, kind: 'owner-ends' });
+const leaderEnds = (atS: number): DayFault => ({ atS, kind: 'owner-ends' });
 
+/** The days that are played. */
 export const DAYS: Day[] = [
   { name: 'calm', about: 'room for all', load: 0.7, hot: 1, troubles: [] },
-  { name: 'hot', about: 'a hot team that moves, more than fits', load: 2, hot: 12, troubles: [ends(250)] },
+  {
+    name: 'hot',
+    about: 'a hot team that moves, more than fits',
+    load: 2,
+    hot: 12,
+    troubles: [leaderEnds(250)],
+  },
   {
     name: 'loss',
     about: 'machines die, hang and slow down, the owner ends',
@@ -34,7 +43,7 @@
       { atS: 150, kind: 'die', part: 0.1, forS: 0, factor: 1 },
       { atS: 180, kind: 'hang', part: 0.05, forS: 30, factor: 1 },
       { atS: 200, kind: 'slow', part: 0.05, forS: 1e6, factor: 4 },
-      ends(220),
+      leaderEnds(220),
     ],
   },
   {
@@ -44,30 +53,41 @@
     hot: 1,
     troubles: [
       { atS: 150, kind: 'zone', zone: 0, forS: 50 },
-      ends(160),
+      leaderEnds(160),
       { atS: 260, kind: 'store', forS: 20 },
     ],
   },
 ];
 
+/** How often machines send heartbeats when nothing changes, and how long they go on unanswered. */
+export const HEARTBEAT_INTERVAL_MS = 4000;
+export const LEASE_MS = 20_000;
+
+/** Zones of the cloud. */
 export const ZONES = ['east', 'mid', 'west'] as ZoneName[];
 /** Zones are of unequal size. */
 const ZONE_PART = [0.5, 0.3, 0.2];
-const box = 'box' as TypeName;
-const lens = 'lens' as TypeName;
-const PLAIN = 0.75;
+const PLAIN_TYPE = 'box' as TypeName;
+const GPU_TYPE = 'lens' as TypeName;
+/** Part of the machines that are without accelerators. */
+const PLAIN_PART = 0.75;
+const MACHINE_CPUS = 16;
 
+/** Types of machines. */
 export const TYPES: MachineType[] = [
-  { name: box, cpus: 16, gpus: 0, price: 1, spotPrice: 0.35, memoryGb: 64, bootS: 25 },
-  { name: lens, cpus: 16, gpus: 2, price: 4, spotPrice: 1.4, memoryGb: 128, bootS: 40 },
-].map((t) => ({ ...t, cacheGb: 50, fetchGbPerS: 0.4, zones: ZONES }));
+  { name: PLAIN_TYPE, cpus: MACHINE_CPUS, gpus: 0, price: 1, spotPrice: 0.35, memoryGb: 64, bootS: 25 },
+  { name: GPU_TYPE, cpus: MACHINE_CPUS, gpus: 2, price: 4, spotPrice: 1.4, memoryGb: 128, bootS: 40 },
+].map((type) => ({ ...type, cacheGb: 50, fetchGbPerS: 0.4, zones: ZONES }));
 
-/** How many machines of a kind there are to be rented. */
-export const room = (machines: number, type: TypeName, zone: ZoneName): number =>
-  Math.max(1, Math.round(machines * (type === box ? PLAIN : 1 - PLAIN) * ZONE_PART[ZONES.indexOf(zone)]!));
+/** How many machines of a type there are to be rented in a zone, of a fleet of this size. */
+export function machinesToRent(machines: number, type: TypeName, zone: ZoneName): number {
+  const typePart = type === PLAIN_TYPE ? PLAIN_PART : 1 - PLAIN_PART;
+  return Math.max(1, Math.round(machines * typePart * ZONE_PART[ZONES.indexOf(zone)]!));
+}
 
-interface Kind {
-  class: string;
+/** A class of jobs. */
+interface JobClass {
+  name: string;
   kind: JobSpec['kind'];
   cpus: number;
   gpus: number;
@@ -85,9 +105,9 @@
   service?: true;
 }
 
-const KINDS: Kind[] = [
+const CLASSES: JobClass[] = [
   {
-    class: 'small',
+    name: 'small',
     kind: 'array',
     cpus: 1,
     gpus: 0,
@@ -101,7 +121,7 @@
     part: 0.4,
   },
   {
-    class: 'joint',
+    name: 'joint',
     kind: 'gang',
     cpus: 12,
     gpus: 0,
@@ -115,7 +135,7 @@
     part: 0.4,
   },
   {
-    class: 'scan',
+    name: 'scan',
     kind: 'array',
     cpus: 5,
     gpus: 1,
@@ -129,7 +149,7 @@
     part: 0.15,
   },
   {
-    class: 'watch',
+    name: 'watch',
     kind: 'service',
     cpus: 2,
     gpus: 1,
@@ -145,6 +165,7 @@
   },
 ];
 
+/** Objectives of the fleet's settings. */
 export const OBJECTIVES = [
   { kind: 'wait', class: 'joint', withinS: 30, share: 0.9, times: null },
   { kind: 'finished', class: 'joint', withinS: 300, share: 0.97, times: null },
@@ -155,76 +176,142 @@
   { kind: 'guarantee', class: null, withinS: 20, share: 0.9, times: null },
 ];
 
+/** Names of teams, by number. */
 export const teamName = (i: number): TeamName => `team-${i}` as TeamName;
 
-const unit = (r: Random): number => (r.below(1_000_000) + 0.5) / 1_000_000;
-/** Near enough to a normal draw: the sum of twelve even ones. */
-const normal = (r: Random): number => Array.from({ length: 12 }, () => unit(r)).reduce((a, b) => a + b, -6);
-
-/** By Zipf: the first of n is drawn most often. */
-function zipf(r: Random, n: number, s: number): number {
-  const w = Array.from({ length: n }, (_, i) => 1 / (i + 1) ** s);
-  let at = unit(r) * w.reduce((a, b) => a + b, 0);
-  for (let i = 0; i < n; i++) {
-    at -= w[i]!;
-    if (at < 0) return i;
-  }
-  return n - 1;
-}
+/** Arrays have so many tasks at the most. */
+const TASKS_MAX = 400;
+const LEAST_RUN_S = 5;
+/** Spreads of how long jobs run beside their class, and of users' estimates beside that. */
+const RUN_SPREAD = 0.4;
+const ESTIMATE_SPREAD = 0.2;
+/** Mean of what the spread of run times does to the work of a job. */
+const RUN_SPREAD_WORK = 1.1;
+/** How unequal teams and images are, by Zipf. */
+const TEAM_SKEW = 0.8;
+const IMAGE_SKEW = 1;
+/** The hot team is another one in each part of the day. */
+const HOT_TEAMS = 3;
+/** The most urgent. */
+const SERVICE_PRIORITY = 3;
+const CHECKPOINT_DURATION_S = 3;
 
-/** `runS`: of a service, how long after it was accepted its user cancels it. */
+/** A job, when it arrives, and how long it runs; of a service, how long after it was accepted its user cancels it. */
 export interface Arrival {
   atS: number;
   spec: JobSpec;
   runS: number;
 }
 
-/** All jobs of a day, in the order in which they come; the same for the same seed, whoever schedules them. */
-export function arrivals(day: Day, machines: number, teams: number, lengthS: number, r: Random): Arrival[] {
-  const out: Arrival[] = [];
-  const cpus = machines * 16;
-  const hotTeam = [0, 1, 2].map(() => r.below(teams));
-  let n = 0;
-  for (const k of KINDS) {
-    const sizes = k.tasks;
-    const meanTasks = Array.isArray(sizes)
-      ? sizes.reduce((a, b) => a + b, 0) / sizes.length
-      : sizes.median * Math.exp(sizes.spread ** 2 / 2);
-    const work = meanTasks * k.cpus * k.runS * 1.1;
-    const perS = (cpus * day.load * k.part) / work;
-    const gap = (): number => -Math.log(unit(r)) / perS;
-    for (let t = gap(); t < lengthS; t += gap()) {
-      const hot = day.hot > 1 && unit(r) < (day.hot - 1) / (day.hot - 1 + teams / 2);
-      const team = hot ? hotTeam[Math.min(2, Math.floor((t / lengthS) * 3))]! : zipf(r, teams, 0.8);
-      const tasks = Array.isArray(sizes)
-        ? sizes[r.below(sizes.length)]!
-        : Math.max(1, Math.min(400, Math.round(sizes.median * Math.exp(normal(r) * sizes.spread))));
-      const runS = Math.max(5, k.runS * Math.exp(normal(r) * 0.4));
-      const estimateS = runS * Math.exp(normal(r) * 0.2);
-      const spec: JobSpec = {
-        id: `run-${String(++n).padStart(6, '0')}` as JobId,
-        class: k.class,
-        team: teamName(team),
-        kind: k.kind,
-        priority: k.service ? 3 : 1,
-        tasks,
-        cpus: k.cpus,
-        gpus: k.gpus,
-        memoryGb: k.memoryGb,
-        image: `${k.class}-${zipf(r, k.images, 1)}`,
-        imageGb: k.imageGb,
-        machineTypes: null,
-        zone: null,
-        oneZone: k.kind === 'gang',
-        spread: k.service ?? false,
-        spot: !k.service,
-        estimatedRunS: k.service ? 0 : estimateS,
-        checkpointIntervalS: k.checkpointS,
-        checkpointDurationS: k.checkpointS > 0 ? 3 : 0,
-        deadlineS: k.deadline === null ? null : estimateS * k.deadline.times + k.deadline.plusS,
-      };
-      out.push({ atS: t, spec, runS });
+/** Between 0 and 1, without either. */
+const drawUnit = (random: Random): number => (random.below(1_000_000) + 0.5) / 1_000_000;
+
+/** Near enough to a normal draw: the sum of twelve even ones. */
+const drawNormal = (random: Random): number =>
+  Array.from({ length: 12 }, () => drawUnit(random)).reduce((sum, unit) => sum + unit, -6);
+
+const drawLogNormal = (random: Random, median: number, spread: number): number =>
+  median * Math.exp(drawNormal(random) * spread);
+
+/** By Zipf: the first of so many is drawn most often. */
+function drawZipf(random: Random, count: number, skew: number): number {
+  const weights = Array.from({ length: count }, (_, i) => 1 / (i + 1) ** skew);
+  let rest = drawUnit(random) * weights.reduce((sum, weight) => sum + weight, 0);
+  for (let i = 0; i < count; i++) {
+    rest -= weights[i]!;
+    if (rest < 0) return i;
+  }
+  return count - 1;
+}
+
+function meanTasks({ tasks }: JobClass): number {
+  if (!Array.isArray(tasks)) return tasks.median * Math.exp(tasks.spread ** 2 / 2);
+  return tasks.reduce((sum, size) => sum + size, 0) / tasks.length;
+}
+
+function drawTasks({ tasks }: JobClass, random: Random): number {
+  if (Array.isArray(tasks)) return tasks[random.below(tasks.length)]!;
+  return Math.max(1, Math.min(TASKS_MAX, Math.round(drawLogNormal(random, tasks.median, tasks.spread))));
+}
+
+/** Draws the jobs of a day, one after the other. */
+class ArrivalGenerator {
+  private readonly arrivals: Arrival[] = [];
+  private readonly hotTeams: number[];
+
+  constructor(
+    private readonly day: Day,
+    private readonly machines: number,
+    private readonly teams: number,
+    private readonly lengthS: number,
+    private readonly random: Random,
+  ) {
+    this.hotTeams = Array.from({ length: HOT_TEAMS }, () => random.below(teams));
+  }
+
+  /** All jobs in the order in which they come. */
+  generate(): Arrival[] {
+    for (const jobClass of CLASSES) {
+      const perS = this.arrivalsPerS(jobClass);
+      const gap = (): number => -Math.log(drawUnit(this.random)) / perS;
+      for (let atS = gap(); atS < this.lengthS; atS += gap()) this.arrivals.push(this.draw(jobClass, atS));
     }
+    return this.arrivals.sort((a, b) => a.atS - b.atS);
+  }
+
+  private arrivalsPerS(jobClass: JobClass): number {
+    const work = meanTasks(jobClass) * jobClass.cpus * jobClass.runS * RUN_SPREAD_WORK;
+    return (this.machines * MACHINE_CPUS * this.day.load * jobClass.part) / work;
+  }
+
+  private drawTeam(atS: number): number {
+    const { hot } = this.day;
+    const isHot = hot > 1 && drawUnit(this.random) < (hot - 1) / (hot - 1 + this.teams / 2);
+    if (!isHot) return drawZipf(this.random, this.teams, TEAM_SKEW);
+    return this.hotTeams[Math.min(HOT_TEAMS - 1, Math.floor((atS / this.lengthS) * HOT_TEAMS))]!;
+  }
+
+  private draw(jobClass: JobClass, atS: number): Arrival {
+    const { random } = this;
+    const { deadline, checkpointS } = jobClass;
+    const isService = jobClass.service ?? false;
+    const team = this.drawTeam(atS);
+    const tasks = drawTasks(jobClass, random);
+    const runS = Math.max(LEAST_RUN_S, drawLogNormal(random, jobClass.runS, RUN_SPREAD));
+    const estimateS = drawLogNormal(random, runS, ESTIMATE_SPREAD);
+    const spec: JobSpec = {
+      id: `run-${String(this.arrivals.length + 1).padStart(6, '0')}` as JobId,
+      class: jobClass.name,
+      team: teamName(team),
+      kind: jobClass.kind,
+      priority: isService ? SERVICE_PRIORITY : 1,
+      tasks,
+      cpus: jobClass.cpus,
+      gpus: jobClass.gpus,
+      memoryGb: jobClass.memoryGb,
+      image: `${jobClass.name}-${drawZipf(random, jobClass.images, IMAGE_SKEW)}`,
+      imageGb: jobClass.imageGb,
+      machineTypes: null,
+      zone: null,
+      oneZone: jobClass.kind === 'gang',
+      spread: isService,
+      spot: !isService,
+      estimatedRunS: isService ? 0 : estimateS,
+      checkpointIntervalS: checkpointS,
+      checkpointDurationS: checkpointS > 0 ? CHECKPOINT_DURATION_S : 0,
+      deadlineS: deadline === null ? null : estimateS * deadline.times + deadline.plusS,
+    };
+    return { atS, spec, runS };
   }
-  return out.sort((a, b) => a.atS - b.atS);
+}
+
+/** All jobs of a day, in the order in which they come; the same for the same seed, whoever schedules them. */
+export function arrivals(
+  day: Day,
+  machines: number,
+  teams: number,
+  lengthS: number,
+  random: Random,
+): Arrival[] {
+  return new ArrivalGenerator(day, machines, teams, lengthS, random).generate();
 }
--- a/scripts/experiments/fleet.ts
+++ b/scripts/experiments/fleet.ts
@@ -1,4 +1,4 @@
-// npm run drill -- fleet: days of a whole fleet on a simulated clock, this revision beside an earlier one or one option beside
+// npm run experiment -- fleet: days of a whole fleet on a simulated clock, this revision beside an earlier one or one option beside
 // another, on the same seeds: who is served, how long work waits, how fairly teams share, what is fetched and lost.
 import { execFile } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
@@ -8,14 +8,22 @@
 import { Command } from 'commander';
 import { defaults, schedulerOptions } from '../../src/cli/options.ts';
 import { bundle, bundleScript, checkout, runnerOf, WORK } from './bundle.ts';
-import { DAYS } from './fleet-days.ts';
-import { type Outcome, type Played, REPORT_MS, type Setup } from './fleet-world.ts';
+import { DAYS, HEARTBEAT_INTERVAL_MS } from './fleet-days.ts';
+import type { Outcome, Played, Setup } from './fleet-types.ts';
 import { plot } from './plot.ts';
 
 const run = promisify(execFile);
 
 const RUNNER_SCRIPT = 'fleet-run.ts';
+const RUNNER_HEAP_MB = 6000;
+const OUTPUT_MAX_BYTES = 1 << 26;
+/** A day goes on for this part of the time in which jobs arrive. */
+const DRAIN_PART = 0.6;
+/** A day fails on which a class or a team is served less than this. */
+const LEAST_SERVED = 0.5;
+const BROKEN_SHOWN = 5;
 
+/** A version of the library with options, which is compared with others. */
 interface Side {
   name: string;
   runner: string;
@@ -23,6 +31,26 @@
   options: Setup['options'];
 }
 
+/** A day that is to be played. */
+interface PlannedDay {
+  machines: string;
+  day: string;
+  seed: string;
+  side: Side;
+}
+
+interface Options {
+  machines: string[];
+  days: string[];
+  seeds: string[];
+  teams: string;
+  base?: string;
+  against?: string;
+  jobs: string;
+  length: string;
+  plot?: string;
+}
+
 /** Options as this revision and earlier ones name them. */
 const withEarlierNames = (options: Setup['options']): Setup['options'] & { takeBackMs: number } => ({
   ...options,
@@ -40,92 +68,100 @@
   };
 }
 
-const least = (all: number[]): number => all.reduce((a, b) => Math.min(a, b), 1);
-const part = (s: { jobs: number; done: number }): number => s.done / s.jobs;
-const leastClass = (o: Outcome): number => least(Object.values(o.classes).map(part));
-const leastTeam = (o: Outcome): number => least(Object.values(o.teams).map(part));
-const leastFair = (o: Outcome): number => least(Object.values(o.fair));
-
-function line(p: Played): string {
-  const { out: o } = p;
-  const classes = Object.entries(o.classes).map(([name, c]) => {
-    const { p50, p90, p99, max } = c.wait;
-    return `${name} ${c.done}/${c.jobs} wait ${[p50, p90, p99, max].map((n) => n.toFixed(0)).join('/')}`;
+/** This revision, and what it is compared with. */
+async function sidesOf({ base, against }: Options): Promise<Side[]> {
+  const options: Setup['options'] = schedulerOptions(defaults(), HEARTBEAT_INTERVAL_MS / 1000);
+  const runner = await bundleScript(runnerOf('.', RUNNER_SCRIPT), 'fleet-run');
+  const lib = await bundle('.', 'now-lib');
+  const sides: Side[] = [{ name: 'now', runner, lib, options }];
+  if (base !== undefined) sides.push(await baseSide(base, options));
+  if (against !== undefined) {
+    const changed = JSON.parse(against) as Partial<Setup['options']>;
+    sides.push({ name: 'against', runner, lib, options: { ...options, ...changed } });
+  }
+  return sides;
+}
+
+async function play({ machines, day, seed, side }: PlannedDay, { teams, length }: Options): Promise<Played> {
+  const setup: Setup = {
+    machines: Number(machines),
+    teams: Number(teams),
+    seed: Number(seed),
+    arriveS: Number(length),
+    drainS: Number(length) * DRAIN_PART,
+    options: side.options,
+  };
+  const heap = `--max-old-space-size=${RUNNER_HEAP_MB}`;
+  const args = [heap, side.runner, side.lib, day, JSON.stringify(setup)];
+  const { stdout } = await run(process.execPath, args, { maxBuffer: OUTPUT_MAX_BYTES });
+  const out = JSON.parse(stdout) as Outcome;
+  return { side: side.name, machines: setup.machines, day, seed: setup.seed, out };
+}
+
+// ---- figures
+
+const leastOf = (parts: number[]): number => parts.reduce((least, part) => Math.min(least, part), 1);
+const partDone = (served: { jobs: number; done: number }): number => served.done / served.jobs;
+const leastClass = (outcome: Outcome): number => leastOf(Object.values(outcome.classes).map(partDone));
+const leastTeam = (outcome: Outcome): number => leastOf(Object.values(outcome.teams).map(partDone));
+const leastFairShare = (outcome: Outcome): number => leastOf(Object.values(outcome.fair));
+
+function formatDay({ side, machines, day, seed, out }: Played): string {
+  const classes = Object.entries(out.classes).map(([name, { jobs, done, wait }]) => {
+    const waits = [wait.p50, wait.p90, wait.p99, wait.max].map((seconds) => seconds.toFixed(0));
+    return `${name} ${done}/${jobs} wait ${waits.join('/')}`;
   });
-  return `${p.side} ${p.machines} ${p.day} ${p.seed}: ${classes.join(', ')}; least team ${leastTeam(o).toFixed(2)}, fair share ${leastFair(o).toFixed(2)}, Jain ${o.jain.toFixed(2)}, fetched ${o.fetchedGb.toFixed(0)} GB in ${o.fetches}, lost ${(o.lostWork * 100).toFixed(1)}%, killed by lease ${o.killedByLease}, broken ${o.broken.length} (${o.cpuS.toFixed(0)} s)`;
+  const shares = `least team ${leastTeam(out).toFixed(2)}, fair share ${leastFairShare(out).toFixed(2)}`;
+  const fetched = `fetched ${out.fetchedGb.toFixed(0)} GB in ${out.fetches}`;
+  const lost = `lost ${(out.lostWork * 100).toFixed(1)}%, killed by lease ${out.killedByLease}`;
+  return `${side} ${machines} ${day} ${seed}: ${classes.join(', ')}; ${shares}, Jain ${out.jain.toFixed(2)}, ${fetched}, ${lost}, broken ${out.broken.length} (${out.cpuS.toFixed(0)} s)`;
 }
 
-interface Options {
-  machines: string[];
-  days: string[];
-  seeds: string[];
-  teams: string;
-  base?: string;
-  against?: string;
-  jobs: string;
-  length: string;
-  plot?: string;
+function printDay(played: Played): void {
+  process.stdout.write(`${formatDay(played)}\n`);
+  for (const broken of played.out.broken.slice(0, BROKEN_SHOWN)) process.stdout.write(`    ${broken}\n`);
 }
 
-async function main(o: Options): Promise<void> {
-  const usual: Setup['options'] = schedulerOptions(defaults(), REPORT_MS / 1000);
-  const runner = await bundleScript(runnerOf('.', RUNNER_SCRIPT), 'fleet-run');
-  const now = await bundle('.', 'now-lib');
-  const sides: Side[] = [{ name: 'now', runner, lib: now, options: usual }];
-  if (o.base !== undefined) sides.push(await baseSide(o.base, usual));
-  if (o.against !== undefined)
-    sides.push({
-      name: 'against',
-      runner,
-      lib: now,
-      options: { ...usual, ...(JSON.parse(o.against) as object) },
-    });
-  const todo = o.machines.flatMap((machines) =>
-    o.days.flatMap((day) => o.seeds.flatMap((seed) => sides.map((side) => ({ machines, day, seed, side })))),
+/** Prints the last line; returns whether a rule was broken, or a class or a team was served too little. */
+function printSummary(machines: string[], days: Played[]): boolean {
+  const outcomes = days.map((played) => played.out);
+  const worst = (of: (outcome: Outcome) => number): string => leastOf(outcomes.map(of)).toFixed(2);
+  const broken = outcomes.reduce((total, outcome) => total + outcome.broken.length, 0);
+  const lost = Math.max(...outcomes.map((outcome) => outcome.lostWork));
+  process.stdout.write(
+    `fleet: machines=${machines.join('+')} days=${days.length} worst_class_served=${worst(leastClass)} worst_team_served=${worst(leastTeam)} worst_fair_share=${worst(leastFairShare)} lost_work=${lost.toFixed(3)} rules_broken=${broken}\n`,
   );
-  const played: Played[] = [];
-  const next = async (): Promise<void> => {
-    for (let t = todo.shift(); t !== undefined; t = todo.shift()) {
-      const setup: Setup = {
-        machines: Number(t.machines),
-        teams: Number(o.teams),
-        seed: Number(t.seed),
-        arriveS: Number(o.length),
-        drainS: Number(o.length) * 0.6,
-        options: t.side.options,
-      };
-      const args = ['--max-old-space-size=6000', t.side.runner, t.side.lib, t.day, JSON.stringify(setup)];
-      const { stdout } = await run(process.execPath, args, { maxBuffer: 1 << 26 });
-      const p: Played = {
-        side: t.side.name,
-        machines: setup.machines,
-        day: t.day,
-        seed: setup.seed,
-        out: JSON.parse(stdout),
-      };
-      played.push(p);
-      process.stdout.write(`${line(p)}\n`);
-      for (const b of p.out.broken.slice(0, 5)) process.stdout.write(`    ${b}\n`);
+  const isServedLittle = Number(worst(leastClass)) < LEAST_SERVED || Number(worst(leastTeam)) < LEAST_SERVED;
+  return broken > 0 || isServedLittle;
+}
+
+async function main(options: Options): Promise<void> {
+  const sides = await sidesOf(options);
+  const queue: PlannedDay[] = options.machines.flatMap((machines) =>
+    options.days.flatMap((day) =>
+      options.seeds.flatMap((seed) => sides.map((side) => ({ machines, day, seed, side }))),
+    ),
+  );
+  const all: Played[] = [];
+  const playNext = async (): Promise<void> => {
+    for (let planned = queue.shift(); planned !== undefined; planned = queue.shift()) {
+      const played = await play(planned, options);
+      all.push(played);
+      printDay(played);
     }
   };
-  await Promise.all(Array.from({ length: Number(o.jobs) }, next));
-  if (o.plot !== undefined) writeFileSync(o.plot, await plot(played));
-  const mine = played.filter((p) => p.side === 'now');
-  const broken = mine.reduce((n, p) => n + p.out.broken.length, 0);
-  const worst = (of: (o: Outcome) => number): string => least(mine.map((p) => of(p.out))).toFixed(2);
-  const lost = Math.max(...mine.map((p) => p.out.lostWork));
-  process.stdout.write(
-    `fleet: machines=${o.machines.join('+')} days=${mine.length} worst_class_served=${worst(leastClass)} worst_team_served=${worst(leastTeam)} worst_fair_share=${worst(leastFair)} lost_work=${lost.toFixed(3)} rules_broken=${broken}\n`,
-  );
-  if (broken > 0 || Number(worst(leastClass)) < 0.5 || Number(worst(leastTeam)) < 0.5) process.exitCode = 1;
+  await Promise.all(Array.from({ length: Number(options.jobs) }, playNext));
+  if (options.plot !== undefined) writeFileSync(options.plot, await plot(all));
+  const ownDays = all.filter((played) => played.side === 'now');
+  if (printSummary(options.machines, ownDays)) process.exitCode = 1;
 }
 
 const program = new Command('fleet')
   .option('--machines <n...>', 'sizes of the fleet', ['1000', '3000'])
   .option(
     '--days <names...>',
-    DAYS.map((d) => `${d.name} (${d.about})`).join(', '),
-    DAYS.map((d) => d.name),
+    DAYS.map((day) => `${day.name} (${day.about})`).join(', '),
+    DAYS.map((day) => day.name),
   )
   .option('--seeds <n...>', 'seeds', ['1'])
   .option('--teams <n>', 'number of teams', '20')
--- a/scripts/experiments/plot.ts
+++ b/scripts/experiments/plot.ts
@@ -1,36 +1,44 @@
-// The fleet drill's outcome as an SVG: for each day, each class's wait at the 90th percentile and each team's part of its
+// The fleet experiment's outcome as an SVG: for each day, each class's wait at the 90th percentile and each team's part of its
 // fair share, side by side.
 import { parse, type Spec, View } from 'vega';
-import type { Played } from './fleet-world.ts';
+import type { Played } from './fleet-types.ts';
 
+/** The plot of all days that were played, as an SVG. */
 export async function plot(played: Played[]): Promise<string> {
-  const waits = played.flatMap((p) =>
-    Object.entries(p.out.classes).map(([name, c]) => ({
-      at: `${p.day} ${p.machines}, ${name}`,
-      side: p.side,
-      value: c.wait.p90,
+  const waits = played.flatMap(({ day, machines, side, out }) =>
+    Object.entries(out.classes).map(([name, { wait }]) => ({
+      at: `${day} ${machines}, ${name}`,
+      side,
+      value: wait.p90,
     })),
   );
-  const shares = played.flatMap((p) =>
-    Object.values(p.out.fair).map((value) => ({ at: `${p.day} ${p.machines}`, side: p.side, value })),
+  const shares = played.flatMap(({ day, machines, side, out }) =>
+    Object.values(out.fair).map((value) => ({ at: `${day} ${machines}`, side, value })),
   );
   const view = new View(parse(spec(waits, shares)), { renderer: 'none' });
   return view.toSVG();
 }
 
-type Value = { at: string; side: string; value: number };
+interface Value {
+  at: string;
+  side: string;
+  value: number;
+}
 
-function spec(waits: Value[], shares: Value[]): Spec {
-  const panel = (data: string, title: string, shape: string) => ({
+const PANEL_SIZE = 420;
+
+/** Points of a data set, by what they are of and by side. */
+function panel(data: string, title: string, shape: string) {
+  return {
     type: 'group' as const,
-    encode: { enter: { width: { value: 420 }, height: { value: 420 } } },
+    encode: { enter: { width: { value: PANEL_SIZE }, height: { value: PANEL_SIZE } } },
     title,
     scales: [
       {
         name: 'x',
         type: 'linear' as const,
         domain: { data, field: 'value' },
-        range: [0, 420],
+        range: [0, PANEL_SIZE],
         nice: true,
         zero: true,
       },
@@ -38,7 +46,7 @@
         name: 'y',
         type: 'point' as const,
         domain: { data, field: 'at', sort: true },
-        range: [0, 420],
+        range: [0, PANEL_SIZE],
         padding: 0.5,
       },
     ],
@@ -62,7 +70,10 @@
         },
       },
     ],
-  });
+  };
+}
+
+function spec(waits: Value[], shares: Value[]): Spec {
   return {
     $schema: 'https://vega.github.io/schema/vega/v6.json',
     padding: 20,
@@ -72,7 +83,12 @@
       { name: 'shares', values: shares },
     ],
     scales: [
-      { name: 'side', type: 'ordinal', domain: [...new Set(waits.map((w) => w.side))], range: 'category' },
+      {
+        name: 'side',
+        type: 'ordinal',
+        domain: [...new Set(waits.map(({ side }) => side))],
+        range: 'category',
+      },
     ],
     legends: [{ fill: 'side', title: 'version', orient: 'right' }],
     marks: [
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -1,8 +1,9 @@
-// The fleet drill's world at a size that CI can play: whole days with failures, and nothing broken, lost or unserved.
+// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost or unserved.
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
-import { arrivals, DAYS } from '../scripts/experiments/fleet-days.ts';
-import { FleetWorld, REPORT_MS, type Setup } from '../scripts/experiments/fleet-world.ts';
+import { describe, it } from 'node:test';
+import { arrivals, DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
+import type { Setup } from '../scripts/experiments/fleet-types.ts';
+import { FleetWorld } from '../scripts/experiments/fleet-world.ts';
 import { defaults, schedulerOptions } from '../src/cli/options.ts';
 import { Controller } from '../src/core/controller.ts';
 import { seededRandom } from '../src/runtime/random.ts';
@@ -13,19 +14,19 @@
   seed: 3,
   arriveS: 320,
   drainS: 200,
-  options: schedulerOptions(defaults(), REPORT_MS / 1000),
+  options: schedulerOptions(defaults(), HEARTBEAT_INTERVAL_MS / 1000),
 };
 
-for (const day of DAYS)
-  test(`a day of a whole fleet, ${day.name}: ${day.about}`, () => {
-    const o = new FleetWorld({ Controller, seededRandom }, day, setup).play();
-    assert.deepEqual(o.broken, []);
-    for (const [name, s] of [...Object.entries(o.classes), ...Object.entries(o.teams)])
-      assert.ok(s.done >= s.jobs * 0.5, `${name}: ${s.done} of ${s.jobs}`);
-    const jobs = Object.values(o.classes).reduce((n, c) => n + c.jobs, 0);
-    assert.equal(
-      jobs,
-      arrivals(day, setup.machines, setup.teams, setup.arriveS, seededRandom(setup.seed)).length,
-      'a job was never accepted',
-    );
-  });
+describe('the fleet experiment', () => {
+  for (const day of DAYS)
+    it(`a day of a whole fleet, ${day.name}: ${day.about}`, () => {
+      const outcome = new FleetWorld({ Controller, seededRandom }, day, setup).play();
+      assert.deepEqual(outcome.broken, []);
+      for (const [name, served] of [...Object.entries(outcome.classes), ...Object.entries(outcome.teams)])
+        assert.ok(served.done >= served.jobs * 0.5, `${name}: ${served.done} of ${served.jobs}`);
+      const accepted = Object.values(outcome.classes).reduce((total, served) => total + served.jobs, 0);
+      const { machines, teams, arriveS, seed } = setup;
+      const drawn = arrivals(day, machines, teams, arriveS, seededRandom(seed));
+      assert.equal(accepted, drawn.length, 'a job was never accepted');
+    });
+});
