--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -71,8 +71,6 @@
   /** Reserved machines of each pool, as of this cycle. */
   private readonly countByPool = new Map<MachinePool, number>();
   private remaining = 0;
-  /** How many machines were examined, for the tests that bound the work. */
-  machinesExamined = 0;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
   private readonly capacityIndex: CapacityIndex;
@@ -165,7 +163,6 @@
       if (!isZoneAllowed(job, pool.zone, job.zones)) continue;
       if (this.binPacking.wasteful(job, pool)) continue;
       sampleFrom(pool.usable, MACHINES_SAMPLED_PER_RESERVATION * missing, this.io.random, (machine) => {
-        this.machinesExamined++;
         if (this.byMachine.has(machine) || job.failedOn.has(machine.id)) return;
         const { inS, victims } = this.expectedCapacity(machine, job);
         if (inS > MAX_EXPECTED_WAIT_S) return;
