--- a/packages/local-cluster/src/json-server.ts
+++ b/packages/local-cluster/src/json-server.ts
@@ -23,11 +23,11 @@
 export function listen(port: number, serve: Serve): Promise<Listening> {
   return new Promise((resolve, reject) => {
     const sockets = new Set<{ destroy(): void }>();
-    const { server, close } = serveHttp(
-      '127.0.0.1',
+    const { server, close } = serveHttp({
+      host: '127.0.0.1',
       port,
-      LIMITS,
-      (m, reply) => {
+      limits: LIMITS,
+      handler: (m, reply) => {
         const answer = (a: Answer | null): void => {
           if (a !== null) reply(a);
         };
@@ -38,7 +38,7 @@
           answer(error(400, e.message));
         }
       },
-      (p) =>
+      onListening: (p) =>
         resolve({
           addr: `127.0.0.1:${p}`,
           close: () => {
@@ -46,7 +46,7 @@
             for (const s of sockets) s.destroy();
           },
         }),
-    );
+    });
     server.on('connection', (s) => {
       sockets.add(s);
       s.once('close', () => sockets.delete(s));
--- a/src/runtime/controller-process.ts
+++ b/src/runtime/controller-process.ts
@@ -13,8 +13,8 @@
 import { Controller } from '../core/controller.ts';
 import type { SchedulerOptions } from '../core/scheduling/scheduler.ts';
 import { HttpClient } from '../http/client.ts';
-import type { Message } from '../http/parser.ts';
-import { type Handler, type Reply, type RequestClass, serveHttp } from '../http/server.ts';
+import type { HttpMessage } from '../http/parser.ts';
+import { type Handler, type RequestClass, type ServerResponse, serveHttp } from '../http/server.ts';
 import { WorkQueue } from '../http/work-queue.ts';
 import { decodeCloudReply, encodeCloudRequest } from '../protocol/cloud.ts';
 import { isJobId, parseJob } from '../protocol/job.ts';
@@ -46,7 +46,7 @@
   /** Watches block; they have connections of their own. */
   private readonly watches: HttpClient;
   private readonly cloud: HttpClient;
-  private readonly answers = new Map<number, (reply: Reply) => void>();
+  private readonly answers = new Map<number, (reply: ServerResponse) => void>();
   private readonly peers: PeerLinks;
   private readonly log: Log;
   /** How late timers fire, in milliseconds. */
@@ -94,7 +94,15 @@
     const maxConnections = Math.max(16, Math.floor(this.settings.sockets * 0.85) - 40);
     const limits = { maxConnections, maxBody: MAX_BODY, requestMs: 10_000, idleMs: 60_000 };
     const listening = () => this.log('info', 'serving', { addr: this.settings.listen });
-    const { server } = serveHttp(host, port, limits, this.handle, listening, this.turns, glance);
+    const { server } = serveHttp({
+      host,
+      port,
+      limits,
+      handler: this.handle,
+      onListening: listening,
+      queue: this.turns,
+      classify: glance,
+    });
     server.on('error', (e) => {
       this.log('error', 'listening address cannot be used', { addr: this.settings.listen, error: e.message });
       process.exit(1);
@@ -125,7 +133,7 @@
     }
   }
 
-  private answer(req: number, reply: Reply): void {
+  private answer(req: number, reply: ServerResponse): void {
     const answer = this.answers.get(req);
     this.answers.delete(req);
     answer?.(reply);
@@ -178,7 +186,7 @@
     }
   };
 
-  private route(request: Message, answer: (r: Reply) => void): void {
+  private route(request: HttpMessage, answer: (r: ServerResponse) => void): void {
     const path = request.target.split('?', 1)[0]!;
     if (path === '/checkin') return this.only(request, 'POST', answer, () => this.onReport(request, answer));
     if (path === '/ready') return this.only(request, 'GET', answer, () => this.onReady(answer));
@@ -193,18 +201,23 @@
     this.only(request, 'POST', answer, () => this.onJob({ op: 'cancel', id: id as JobId }, answer));
   }
 
-  private only(request: Message, method: string, answer: (r: Reply) => void, then: () => void): void {
+  private only(
+    request: HttpMessage,
+    method: string,
+    answer: (r: ServerResponse) => void,
+    then: () => void,
+  ): void {
     if (request.method === method) then();
     else answer(errorResponse(405, `use ${method}`));
   }
 
-  private onReady(answer: (r: Reply) => void): void {
+  private onReady(answer: (r: ServerResponse) => void): void {
     if (this.core.ready) answer({ status: 200, body: '{"ready":true}' });
     else answer(errorResponse(503, 'no controller owns the jobs yet', 1));
   }
 
   /** For operators, beside the users' interface: figures of this process and what its core knows. */
-  private onStatus(answer: (r: Reply) => void): void {
+  private onStatus(answer: (r: ServerResponse) => void): void {
     const h = this.lag;
     const process_ = {
       requestsWaiting: this.turns.waiting,
@@ -216,31 +229,31 @@
     answer({ status: 200, body: JSON.stringify({ ...this.core.describe(), process: process_ }) });
   }
 
-  private register(answer: (r: Reply) => void): number {
+  private register(answer: (r: ServerResponse) => void): number {
     const req = this.nextReq++;
     this.answers.set(req, answer);
     return req;
   }
 
-  private onReport(request: Message, answer: (r: Reply) => void): void {
+  private onReport(request: HttpMessage, answer: (r: ServerResponse) => void): void {
     const heartbeat = parseHeartbeat(parseJson(request.body));
     this.step({ kind: 'heartbeat', requestId: this.register(answer), heartbeat });
   }
 
   /** Sent back before the body is looked at, when there is too much to do. */
-  private shed(op: UserRequest['op'], answer: (r: Reply) => void): boolean {
+  private shed(op: UserRequest['op'], answer: (r: ServerResponse) => void): boolean {
     const refused = this.core.rejection(op);
     if (refused !== null) answer(encodeUserResponse(refused));
     return refused !== null;
   }
 
-  private onSubmit(request: Message, answer: (r: Reply) => void): void {
+  private onSubmit(request: HttpMessage, answer: (r: ServerResponse) => void): void {
     if (this.shed('submit', answer)) return;
     const spec = parseJob(parseJson(request.body));
     this.step({ kind: 'user', requestId: this.register(answer), request: { op: 'submit', spec } });
   }
 
-  private onJob(request: UserRequest & { id: JobId }, answer: (r: Reply) => void): void {
+  private onJob(request: UserRequest & { id: JobId }, answer: (r: ServerResponse) => void): void {
     if (!isJobId(request.id)) return answer(errorResponse(404, 'no such job'));
     if (this.shed(request.op, answer)) return;
     this.step({ kind: 'user', requestId: this.register(answer), request });
--- a/test/client-commands.test.ts
+++ b/test/client-commands.test.ts
@@ -10,7 +10,6 @@
 import { REQUEST, Service } from '../packages/client/test/support.ts';
 import { fromJson } from '../src/cli/job-file.ts';
 import { serveHttp } from '../src/http/server.ts';
-import { WorkQueue } from '../src/http/work-queue.ts';
 
 const servers: { close(): void }[] = [];
 test.after(() => {
@@ -24,20 +23,18 @@
   /** Called before a submission is answered. */
   let tap = (_n: number): void => {};
   const limits = { maxConnections: 100, maxBody: 1 << 16, requestMs: 10_000, idleMs: 60_000 };
-  const { server } = serveHttp(
-    '127.0.0.1',
-    0,
+  const { server } = serveHttp({
+    host: '127.0.0.1',
+    port: 0,
     limits,
-    (m, answer) => {
+    handler: (m, answer) => {
       const call = { method: m.method, path: m.target, body: m.body.toString('utf8') };
       const { status, body } = service.answer(performance.now(), call);
       if (m.target === '/work') tap(++submissions);
       answer({ status, body });
     },
-    () => {},
-    new WorkQueue(),
-    () => ({ urgency: 0, uselessAfterMs: 10_000 }),
-  );
+    classify: () => ({ urgency: 0, uselessAfterMs: 10_000 }),
+  });
   await new Promise((r) => server.once('listening', r));
   const addr = `127.0.0.1:${(server.address() as AddressInfo).port}`;
   const onSubmission = (f: (n: number) => void): void => {
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { defaults, readOptions } from '../src/cli/options.ts';
 import type { Command, Heartbeat, PeerMessage, StoreRequest } from '../src/core/base/model.ts';
-import { formatReply } from '../src/http/server.ts';
+import { formatResponse } from '../src/http/server.ts';
 import { decodeCloudReply } from '../src/protocol/cloud.ts';
 import { parseJob } from '../src/protocol/job.ts';
 import { InvalidMessageError } from '../src/protocol/json-fields.ts';
@@ -99,7 +99,7 @@
 test('a request to come back later carries Retry-After, in whole seconds', () => {
   const a = encodeUserResponse({ kind: 'retry', afterS: 1.2, reason: 'later', overload: false });
   assert.equal(a.status, 503);
-  assert.match(formatReply(a, true), /^HTTP\/1\.1 503 .*\r\n(.*\r\n)*Retry-After: 2\r\n/);
+  assert.match(formatResponse(a, true), /^HTTP\/1\.1 503 .*\r\n(.*\r\n)*Retry-After: 2\r\n/);
   assert.equal(encodeUserResponse({ kind: 'retry', afterS: 1, reason: '', overload: true }).status, 429);
 });
 
