--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -29,7 +29,7 @@
   const { settings, options } = await load(o);
   const log = openLog(settings.node, process.env.LOG_LEVEL);
   new ControllerProcess(settings, {
-    dispatch: schedulerOptions(options, settings.workers.heartbeatS),
+    scheduler: schedulerOptions(options, settings.workers.heartbeatS),
     seed: randomSeed(),
     log,
   });
--- /dev/null
+++ b/src/runtime/effect-executor.ts
@@ -0,0 +1,131 @@
+// Carries out the effects of the core: requests to the store, the cloud and workers, responses, messages, log lines.
+import type { Effect, Input } from '../core/base/io.ts';
+import type { CloudReply, StoreReply, StoreRequest, WorkerReply } from '../core/base/model.ts';
+import { type ClientReply, HttpClient } from '../http/client.ts';
+import { decodeCloudReply, encodeCloudRequest } from '../protocol/cloud.ts';
+import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
+import { encodeUserResponse } from '../protocol/user-response.ts';
+import { encodeCommands, encodeHeartbeatResponse, parseHeartbeat } from '../protocol/worker.ts';
+import type { Log } from './log.ts';
+import type { PeerLinks } from './peer-links.ts';
+import type { PendingResponses } from './pending-responses.ts';
+
+type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
+
+/** What an `EffectExecutor` depends on. */
+export interface EffectExecutorDependencies {
+  storeAddr: string;
+  cloudAddr: string;
+  responses: PendingResponses;
+  peers: PeerLinks;
+  /** Feeds a reply to the core. */
+  step: (input: Input) => void;
+  log: Log;
+}
+
+const MAX_REPLY_BYTES = 64 * 1024 * 1024;
+const STORE_CONNECTIONS = 4;
+/** Renewals of leases that hang must delay neither other requests nor the next renewal. */
+const LEASE_CONNECTIONS = 5;
+/** Watches block, so they have connections of their own. */
+const WATCH_CONNECTIONS = 3;
+const CLOUD_CONNECTIONS = 3;
+
+/** Carries out effects; replies come back as inputs of the core. */
+export class EffectExecutor {
+  private readonly store: HttpClient;
+  private readonly leases: HttpClient;
+  private readonly watches: HttpClient;
+  private readonly cloud: HttpClient;
+
+  constructor(private readonly dependencies: EffectExecutorDependencies) {
+    const { storeAddr, cloudAddr } = dependencies;
+    this.store = new HttpClient(storeAddr, STORE_CONNECTIONS, MAX_REPLY_BYTES);
+    this.leases = new HttpClient(storeAddr, LEASE_CONNECTIONS, MAX_REPLY_BYTES);
+    this.watches = new HttpClient(storeAddr, WATCH_CONNECTIONS, MAX_REPLY_BYTES);
+    this.cloud = new HttpClient(cloudAddr, CLOUD_CONNECTIONS, MAX_REPLY_BYTES);
+  }
+
+  /** Carries out one effect. */
+  execute(effect: Effect): void {
+    const { responses, peers, log } = this.dependencies;
+    switch (effect.kind) {
+      case 'user-response':
+        return responses.respond(effect.requestId, encodeUserResponse(effect.response));
+      case 'heartbeat-response':
+        return responses.respond(effect.requestId, encodeHeartbeatResponse(effect.response));
+      case 'store':
+        return this.callStore(effect);
+      case 'cloud':
+        return this.callCloud(effect);
+      case 'probe':
+        return this.probe(effect);
+      case 'peer':
+        return peers.send(effect.node, effect.message);
+      case 'log':
+        return log(effect.level, effect.message, effect.fields);
+    }
+  }
+
+  private callStore({ tag, request, timeoutMs }: EffectOf<'store'>): void {
+    this.storeClient(request).call({ ...encodeStoreRequest(request), timeoutMs }, (response) => {
+      const reply = decodeReply<StoreReply>(response, (status, json) =>
+        decodeStoreReply(request, status, json),
+      );
+      this.dependencies.step({ kind: 'store', tag, reply });
+    });
+  }
+
+  private storeClient(request: StoreRequest): HttpClient {
+    switch (request.kind) {
+      case 'watch':
+        return this.watches;
+      case 'grant-lease':
+      case 'renew-lease':
+      case 'revoke-lease':
+        return this.leases;
+      default:
+        return this.store;
+    }
+  }
+
+  private callCloud({ tag, request, timeoutMs }: EffectOf<'cloud'>): void {
+    this.cloud.call({ ...encodeCloudRequest(request), timeoutMs }, (response) => {
+      const reply = decodeReply<CloudReply>(response, (status, json) =>
+        decodeCloudReply(request, status, json),
+      );
+      this.dependencies.step({ kind: 'cloud', tag, reply });
+    });
+  }
+
+  /** Raises a machine's fencing token without giving it commands; its heartbeat comes back with the response. */
+  private probe({ tag, addr, fencingToken, agentEpoch, timeoutMs }: EffectOf<'probe'>): void {
+    const client = new HttpClient(addr, 1, MAX_REPLY_BYTES);
+    const body = encodeCommands(fencingToken, [], agentEpoch);
+    client.call({ method: 'POST', path: '/orders', body, timeoutMs }, (response) => {
+      const reply = decodeReply<WorkerReply>(response, decodeProbeReply);
+      client.close();
+      this.dependencies.step({ kind: 'worker', tag, reply });
+    });
+  }
+}
+
+/** A worker refuses commands under an old fencing token with 409, and sends its heartbeat with that, too. */
+function decodeProbeReply(status: number, json: unknown): WorkerReply {
+  if (status !== 200 && status !== 409) return { kind: 'no-answer' };
+  return { kind: 'heartbeat', heartbeat: parseHeartbeat(json), executed: status === 200 };
+}
+
+/** A response that cannot be read counts as none: it is not known what became of the request. */
+function decodeReply<T>(
+  response: ClientReply | null,
+  decode: (status: number, json: unknown) => T,
+): T | { kind: 'no-answer' } {
+  if (response === null) return { kind: 'no-answer' };
+  try {
+    const { status, body } = response;
+    return decode(status, body.length === 0 ? {} : JSON.parse(body.toString('utf8')));
+  } catch {
+    return { kind: 'no-answer' };
+  }
+}
