--- a/src/types/errors.ts
+++ b/src/types/errors.ts
@@ -1,5 +1,6 @@
-// The common base of all errors that this program throws on purpose.
+// The common base class of the errors that this program throws.
 
+/** What an error is created with beside its text. */
 export interface SwiftfordErrorOptions {
   /** The error that led to this one. */
   cause?: unknown;
@@ -10,6 +11,7 @@
  * for programs, the text for people.
  */
 export abstract class SwiftfordError extends Error {
+  /** Names the kind of error, such as `INVALID_SETTINGS`. */
   abstract readonly code: string;
 
   constructor(message: string, options: SwiftfordErrorOptions = {}) {
