--- a/scripts/experiments/scale/operator.ts
+++ b/scripts/experiments/scale/operator.ts
@@ -4,9 +4,9 @@
 import {
   askOverHttp,
   ConfigClient,
-  ConfigConflict,
-  StateUnavailable,
-  stateClient,
+  ConfigConflictError,
+  StoreUnavailableError,
+  storeClient,
 } from '../../../src/cli/config-client.ts';
 import type { Settings } from '../../../src/core/base/model.ts';
 import type { ConfigDocument } from '../../../src/core/configuration/documents.ts';
@@ -63,7 +63,7 @@
     private readonly base: ReadonlyMap<string, TeamAmounts>,
     seed: number,
   ) {
-    this.http = stateClient(settings);
+    this.http = storeClient(settings);
     this.client = new ConfigClient(askOverHttp(this.http), settings);
     this.random = seededRandom(seed);
   }
@@ -134,7 +134,7 @@
         this.made.push({ revision: made.revision, at, inForceAt: null, limits: wanted.limits });
         return;
       } catch (e) {
-        if (!(e instanceof ConfigConflict) && !(e instanceof StateUnavailable)) throw e;
+        if (!(e instanceof ConfigConflictError) && !(e instanceof StoreUnavailableError)) throw e;
         await sleep(RETRY_MS);
       }
     }
@@ -146,7 +146,7 @@
         const record = await this.client.inForce();
         if (record !== null) this.inForce(record.revision, record.at);
       } catch (e) {
-        if (!(e instanceof StateUnavailable)) throw e;
+        if (!(e instanceof StoreUnavailableError)) throw e;
       }
       await sleep(LOOK_MS);
     }
--- a/src/cli/config-file.ts
+++ b/src/cli/config-file.ts
@@ -1,16 +1,17 @@
-// The operators' configuration file (HCL): teams, aims and the operators' own settings, read into documents. A file names what
-// it changes; all else stays.
+// Reads the operators' configuration file (HCL) into configuration documents: quotas of teams, service-level objectives
+// and scheduler settings. What a file does not name stays as it is.
 import * as v from 'valibot';
-import type { Objective } from '../core/base/model.ts';
 import type { ConfigDocument, DispatchDocument, TeamDocument } from '../core/configuration/documents.ts';
-import { InvalidSettingsError } from '../protocol/settings.ts';
+import { InvalidSettingsError, objectiveOf } from '../protocol/settings.ts';
 import type { TeamName } from '../types/index.ts';
-import { KEYS } from './options.ts';
+import { describeHclIssue } from './hcl-issues.ts';
+import { KEYS, optionSchema } from './options.ts';
 
-/** Longer names would not fit a key of the state service. */
-const NAME_MAX = 120;
-/** A machine is told of a stop with its next report, and its tasks save after that. */
-const STOP_LEAST_S = 20;
+/** Longer names would not fit a key of the store. */
+const MAX_NAME_LENGTH = 120;
+/** A machine learns of an eviction with the response to its next heartbeat; its tasks save a checkpoint after that. */
+const MIN_STOP_S = 20;
+const MAX_STOP_S = 86_400;
 
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0));
 const teamBlock = v.strictObject({
@@ -19,10 +20,10 @@
   gpus: v.optional(amount, 0),
   gpus_max: v.optional(amount, 0),
   above: v.optional(v.picklist(['drain', 'stop']), 'drain'),
-  stop_within_s: v.optional(v.pipe(v.number(), v.minValue(STOP_LEAST_S), v.maxValue(86_400))),
+  stop_within_s: v.optional(v.pipe(v.number(), v.minValue(MIN_STOP_S), v.maxValue(MAX_STOP_S))),
   removed: v.optional(v.boolean(), false),
 });
-const aimBlock = v.strictObject({
+const objectiveBlock = v.strictObject({
   kind: v.picklist(['wait', 'finished', 'deadline', 'guarantee']),
   class: v.optional(v.string()),
   within_s: v.optional(amount),
@@ -30,81 +31,72 @@
   times: v.optional(amount),
 });
 const dispatchBlock = v.strictObject(
-  Object.fromEntries(
-    KEYS.map((k) => {
-      const number = v.pipe(v.number(), v.minValue(k.min), v.maxValue(k.max));
-      return [k.hcl, v.optional(k.whole ? v.pipe(number, v.integer()) : number)];
-    }),
-  ),
+  Object.fromEntries(KEYS.map((key) => [key.hcl, v.optional(optionSchema(key))])),
 );
-const one = <S extends v.GenericSchema>(schema: S) => v.pipe(v.array(schema), v.length(1));
 const teamName = v.pipe(
   v.string(),
-  v.maxLength(NAME_MAX),
+  v.maxLength(MAX_NAME_LENGTH),
   v.regex(/^[A-Za-z0-9._-]+$/, 'a team is named by letters, digits, dots, dashes and underscores'),
 );
-const file = v.strictObject({
-  team: v.optional(v.record(teamName, one(teamBlock)), {}),
-  aim: v.optional(v.array(aimBlock)),
-  dispatch: v.optional(one(dispatchBlock)),
+const single = <S extends v.GenericSchema>(schema: S) => v.pipe(v.array(schema), v.length(1));
+const configFile = v.strictObject({
+  team: v.optional(v.record(teamName, single(teamBlock)), {}),
+  aim: v.optional(v.array(objectiveBlock)),
+  dispatch: v.optional(single(dispatchBlock)),
 });
 
-/** The documents that a parsed file asks for; throws BadSettings naming file and key. */
-export function readConfigFile(name: string, parsed: unknown): ConfigDocument[] {
-  const checked = v.safeParse(file, parsed);
-  if (!checked.success) throw new InvalidSettingsError(issueLine(name, checked.issues[0]));
-  const { team, aim, dispatch } = checked.output;
-  const documents: ConfigDocument[] = Object.entries(team).map(([of, blocks]) => ({
+type TeamBlock = v.InferOutput<typeof teamBlock>;
+
+/** The documents that a parsed file asks for; throws `InvalidSettingsError` naming file and key. */
+export function readConfigFile(file: string, parsed: unknown): ConfigDocument[] {
+  const checked = v.safeParse(configFile, parsed);
+  if (!checked.success) throw new InvalidSettingsError(describeHclIssue(file, checked.issues[0]));
+  const { team: teams, aim: objectives, dispatch } = checked.output;
+  const documents: ConfigDocument[] = Object.entries(teams).map(([name, blocks]) => ({
     kind: 'team',
-    name: of as TeamName,
-    team: teamDocument(name, of, blocks[0]!),
+    name: name as TeamName,
+    team: teamDocument(file, name, blocks[0]!),
   }));
-  if (aim !== undefined) documents.push({ kind: 'objectives', objectives: aim.map(objectiveOf) });
-  if (dispatch !== undefined) documents.push({ kind: 'dispatch', dispatch: dispatchDocument(dispatch[0]!) });
+  if (objectives !== undefined) {
+    documents.push({ kind: 'objectives', objectives: objectives.map(objectiveOf) });
+  }
+  if (dispatch !== undefined) {
+    documents.push({ kind: 'dispatch', dispatch: dispatchDocument(dispatch[0]!) });
+  }
   if (documents.length === 0)
-    throw new InvalidSettingsError(`${name}: it has no team, aim or dispatch block`);
+    throw new InvalidSettingsError(`${file}: it has no team, aim or dispatch block`);
   return documents;
 }
 
-function issueLine(name: string, issue: v.BaseIssue<unknown>): string {
-  const path = issue.path?.map((p) => String(p.key)).filter((p) => p !== '0');
-  const what = issue.expected === 'never' ? 'unknown name' : issue.message;
-  return `${name}: ${path?.join('.') ?? '(whole file)'}: ${what}`;
+function teamDocument(file: string, team: string, block: TeamBlock): TeamDocument {
+  checkTeam(file, team, block);
+  return {
+    cpus: block.cpus,
+    cpusMax: block.cpus_max,
+    gpus: block.gpus,
+    gpusMax: block.gpus_max,
+    above: block.above === 'stop' ? { kind: 'stop', withinS: block.stop_within_s! } : { kind: 'drain' },
+    removed: block.removed,
+  };
 }
 
-function teamDocument(name: string, team: string, b: v.InferOutput<typeof teamBlock>): TeamDocument {
-  const fail = (key: string, what: string): never => {
-    throw new InvalidSettingsError(`${name}: team.${team}.${key}: ${what}`);
+function checkTeam(file: string, team: string, block: TeamBlock): void {
+  const fail = (key: string, problem: string): never => {
+    throw new InvalidSettingsError(`${file}: team.${team}.${key}: ${problem}`);
   };
-  if (b.cpus_max > 0 && b.cpus > b.cpus_max) fail('cpus', 'more is guaranteed than cpus_max allows');
-  if (b.gpus_max > 0 && b.gpus > b.gpus_max) fail('gpus', 'more is guaranteed than gpus_max allows');
-  if (b.above === 'drain' && b.stop_within_s !== undefined)
+  const { cpus, cpus_max, gpus, gpus_max, above, stop_within_s } = block;
+  if (cpus_max > 0 && cpus > cpus_max) fail('cpus', 'more is guaranteed than cpus_max allows');
+  if (gpus_max > 0 && gpus > gpus_max) fail('gpus', 'more is guaranteed than gpus_max allows');
+  if (above === 'drain' && stop_within_s !== undefined)
     fail('stop_within_s', 'goes with above = "stop" only');
-  if (b.above === 'stop' && b.stop_within_s === undefined)
-    fail('stop_within_s', 'is missing for above = "stop"');
-  return {
-    cpus: b.cpus,
-    cpusMax: b.cpus_max,
-    gpus: b.gpus,
-    gpusMax: b.gpus_max,
-    above: b.above === 'stop' ? { kind: 'stop', withinS: b.stop_within_s! } : { kind: 'drain' },
-    removed: b.removed,
-  };
+  if (above === 'stop' && stop_within_s === undefined) fail('stop_within_s', 'is missing for above = "stop"');
 }
 
-const objectiveOf = (b: v.InferOutput<typeof aimBlock>): Objective => ({
-  kind: b.kind,
-  class: b.class ?? null,
-  withinS: b.within_s ?? null,
-  share: b.share ?? null,
-  times: b.times ?? null,
-});
-
 function dispatchDocument(block: Record<string, number | undefined>): DispatchDocument {
-  const out: Record<string, number> = {};
-  for (const k of KEYS) {
-    const value = block[k.hcl];
-    if (value !== undefined) out[k.name] = value;
+  const document: Record<string, number> = {};
+  for (const key of KEYS) {
+    const value = block[key.hcl];
+    if (value !== undefined) document[key.name] = value;
   }
-  return out;
+  return document;
 }
--- a/src/cli/job-file.ts
+++ b/src/cli/job-file.ts
@@ -1,94 +1,114 @@
-// Jobs from a file: JSON (one job or a list), JSON lines, or HCL (`job "name" { ... }`).
+// Reads jobs from a file: JSON (one job or a list), JSON lines, or HCL (`job "name" { ... }`).
 import { createHash } from 'node:crypto';
 import type { JobRequest } from '../../packages/client/src/index.ts';
 import { InvalidSettingsError } from '../protocol/settings.ts';
 
+/** A job of a file. */
 export interface FileJob {
   /** Its name in the file, or its place there. */
   name: string;
-  /** The same for the same job of the same file, however often it is read; another one when the job is edited. */
+  /** An idempotency key: the same whenever the same job of the same file is read, another one once it was edited. */
   key: string;
   request: JobRequest;
-  /** What its tasks run in a lab: program and arguments. */
+  /** The program and the arguments that its tasks run in a local cluster. */
   command: string[] | null;
 }
 
-/** `awaits` that name jobs of the file are theirs; `pipeline` says whether there are any. */
+/** The jobs of a file. */
 export interface JobFile {
   jobs: FileJob[];
-  /** The same for the same jobs: what keys of a pipeline begin with. */
+  /** An idempotency key of all jobs together: the prefix of the keys of a pipeline. */
   key: string;
+  /** Whether a job depends on another one of the file, by its name. */
   pipeline: boolean;
 }
 
+/** A job as the file has it, unchecked. */
+interface RawJob {
+  name: string;
+  fields: unknown;
+}
+
 type Fields = Record<string, unknown>;
 
-const hashOf = (what: unknown): string =>
-  createHash('sha256').update(JSON.stringify(what)).digest('hex').slice(0, 16);
+const HASH_LENGTH = 16;
 
-function jobsOf(file: string, named: Named[]): JobFile {
-  if (named.length === 0) throw new InvalidSettingsError(`${file}: there is no job in it`);
-  const seen = new Map<string, number>();
-  const jobs = named.map(({ name, fields }) => {
-    if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
-      throw new InvalidSettingsError(`${file}: ${name}: a job is an object`);
-    // A named job keeps its name, so that others can await it by it.
-    const { name: _, command: given, ...request } = fields as Fields;
-    const command = commandOf(file, name, given);
-    const hash = hashOf([name, request, command]);
-    const nth = seen.get(hash) ?? 0;
-    seen.set(hash, nth + 1);
-    return {
-      name,
-      key: nth === 0 ? hash : `${hash}.${nth}`,
-      request: request as unknown as JobRequest,
-      command,
-    };
+/** Reads JSON or JSON lines; throws `InvalidSettingsError`, naming the file. */
+export const fromJson = (file: string, text: string): JobFile => jobFile(file, rawJobsOfJson(file, text));
+
+/** Reads the parsed form of HCL; throws `InvalidSettingsError`, naming the file. */
+export function fromHcl(file: string, parsed: unknown): JobFile {
+  const { job: jobs, ...rest } = (parsed ?? {}) as Fields;
+  const other = Object.keys(rest)[0];
+  if (other !== undefined)
+    throw new InvalidSettingsError(`${file}: ${other}: only job "name" { ... } blocks`);
+  const blocksByName = Object.entries((jobs ?? {}) as Record<string, unknown[]>);
+  const rawJobs = blocksByName.flatMap(([name, blocks]) => blocks.map((fields) => ({ name, fields })));
+  return jobFile(file, rawJobs);
+}
+
+function jobFile(file: string, rawJobs: RawJob[]): JobFile {
+  if (rawJobs.length === 0) throw new InvalidSettingsError(`${file}: there is no job in it`);
+  const copies = new Map<string, number>();
+  const jobs = rawJobs.map((raw) => {
+    const { hash, ...job } = readJob(file, raw);
+    const copy = copies.get(hash) ?? 0;
+    copies.set(hash, copy + 1);
+    return { ...job, key: copy === 0 ? hash : `${hash}.${copy}` };
   });
-  const names = new Set(jobs.map((j) => j.name));
+  const names = new Set(jobs.map((job) => job.name));
   if (names.size < jobs.length) throw new InvalidSettingsError(`${file}: two jobs have the same name`);
   return {
     jobs,
-    key: hashOf(jobs.map((j) => j.key)),
-    pipeline: jobs.some((j) => j.request.awaits?.some((a) => names.has(a))),
+    key: hashOf(jobs.map((job) => job.key)),
+    pipeline: jobs.some((job) => job.request.awaits?.some((awaited) => names.has(awaited))),
   };
 }
 
-function commandOf(file: string, name: string, given: unknown): string[] | null {
-  if (given === undefined || given === null) return null;
-  if (typeof given === 'string') return ['/bin/sh', '-c', given];
-  if (Array.isArray(given) && given.length > 0 && given.every((x) => typeof x === 'string')) return given;
+function readJob(file: string, { name, fields }: RawJob): Omit<FileJob, 'key'> & { hash: string } {
+  if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
+    throw new InvalidSettingsError(`${file}: ${name}: a job is an object`);
+  const { name: _, command: rawCommand, ...request } = fields as Fields;
+  const command = readCommand(file, name, rawCommand);
+  const hash = hashOf([name, request, command]);
+  return { name, hash, request: request as unknown as JobRequest, command };
+}
+
+const hashOf = (value: unknown): string =>
+  createHash('sha256').update(JSON.stringify(value)).digest('hex').slice(0, HASH_LENGTH);
+
+function readCommand(file: string, name: string, value: unknown): string[] | null {
+  if (value === undefined || value === null) return null;
+  if (typeof value === 'string') return ['/bin/sh', '-c', value];
+  const isArguments =
+    Array.isArray(value) && value.length > 0 && value.every((argument) => typeof argument === 'string');
+  if (isArguments) return value;
   throw new InvalidSettingsError(
     `${file}: ${name}: command is a line for the shell, or a list of program and arguments`,
   );
 }
 
-interface Named {
-  name: string;
-  fields: unknown;
-}
-
-export const fromJson = (file: string, text: string): JobFile => jobsOf(file, namedInJson(file, text));
-
-function namedInJson(file: string, text: string): Named[] {
+function rawJobsOfJson(file: string, text: string): RawJob[] {
   const trimmed = text.trim();
-  const lines = trimmed.split('\n').filter((l) => l.trim() !== '');
   const whole = tryJson(trimmed);
-  if (whole !== undefined) return (Array.isArray(whole) ? whole : [whole]).map(named('job'));
-  return lines.map((l, i) => {
-    const value = tryJson(l);
-    if (value === undefined) throw new InvalidSettingsError(`${file}: line ${i + 1} is not JSON`);
-    return named('line')(value, i);
+  if (whole !== undefined) {
+    const jobs = Array.isArray(whole) ? whole : [whole];
+    return jobs.map((fields, index) => rawJob(fields, `job ${index + 1}`));
+  }
+  const lines = trimmed.split('\n').filter((line) => line.trim() !== '');
+  return lines.map((line, index) => {
+    const fields = tryJson(line);
+    if (fields === undefined) throw new InvalidSettingsError(`${file}: line ${index + 1} is not JSON`);
+    return rawJob(fields, `line ${index + 1}`);
   });
 }
 
-const named =
-  (what: string) =>
-  (fields: unknown, i: number): Named => {
-    const name = (fields as Fields | null)?.name;
-    return { name: typeof name === 'string' ? name : `${what} ${i + 1}`, fields };
-  };
+function rawJob(fields: unknown, defaultName: string): RawJob {
+  const name = (fields as Fields | null)?.name;
+  return { name: typeof name === 'string' ? name : defaultName, fields };
+}
 
+/** Undefined if the text is not JSON. */
 function tryJson(text: string): unknown {
   try {
     return JSON.parse(text);
@@ -96,15 +116,3 @@
     return undefined;
   }
 }
-
-/** Of the parsed form. */
-export function fromHcl(file: string, parsed: unknown): JobFile {
-  const { job, ...rest } = (parsed ?? {}) as Fields;
-  const other = Object.keys(rest)[0];
-  if (other !== undefined)
-    throw new InvalidSettingsError(`${file}: ${other}: only job "name" { ... } blocks`);
-  const named = Object.entries((job ?? {}) as Record<string, unknown[]>).flatMap(([name, blocks]) =>
-    blocks.map((fields) => ({ name, fields })),
-  );
-  return jobsOf(file, named);
-}
--- a/src/cli/local-cluster-client.ts
+++ b/src/cli/local-cluster-client.ts
@@ -1,30 +1,59 @@
-// Asks a running lab at its own address.
+// Sends requests to a running local cluster.
 import { HttpClient } from '../http/client.ts';
-import { addrOf } from './files.ts';
+import { SwiftfordError } from '../types/errors.ts';
+import { checkAddress } from './arguments.ts';
 
+/** The address at which a local cluster listens by default. */
 export const LOCAL_CLUSTER_ADDR = '127.0.0.1:7070';
-const ASK_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
+const MAX_REPLY_BYTES = 64 << 20;
 
-/** `addr`: what was given with `--lab`, true for the usual address. Throws what went wrong, in a sentence. */
+/** The address that an option gave, or true for the default one. */
+export type LocalClusterAddr = string | true;
+
+/** Options that name a local cluster; `--lab` is the older name of `--local-cluster`. */
+export interface LocalClusterAddrFlags {
+  localCluster?: LocalClusterAddr;
+  lab?: LocalClusterAddr;
+}
+
+/** A local cluster is not there, or refuses a request. */
+export class LocalClusterError extends SwiftfordError {
+  readonly code = 'LOCAL_CLUSTER';
+}
+
+/** The address that the options name, if they do. */
+export const localClusterAddrOf = (flags: LocalClusterAddrFlags): LocalClusterAddr | undefined =>
+  flags.localCluster ?? flags.lab;
+
+/** Sends a request; returns the JSON of the response. Throws `LocalClusterError`, or `InvalidSettingsError`. */
 export function askLocalCluster(
-  addr: string | true,
+  addr: LocalClusterAddr,
   method: string,
   path: string,
   body: unknown = null,
 ): Promise<unknown> {
-  const at = addrOf(
+  const checked = checkAddress(
     addr === true ? LOCAL_CLUSTER_ADDR : addr,
     `a lab's address looks like ${LOCAL_CLUSTER_ADDR}`,
   );
-  const client = new HttpClient(at, 1, 64 << 20);
+  const client = new HttpClient(checked, 1, MAX_REPLY_BYTES);
+  const call = {
+    method,
+    path,
+    body: body === null ? null : JSON.stringify(body),
+    timeoutMs: REQUEST_TIMEOUT_MS,
+  };
   return new Promise((resolve, reject) => {
-    const call = { method, path, body: body === null ? null : JSON.stringify(body), timeoutMs: ASK_MS };
-    client.call(call, (r) => {
+    client.call(call, (response) => {
       client.close();
-      if (r === null) return reject(new Error(`there is no lab at ${at}; start one with swiftford lab`));
-      const said = JSON.parse(r.body.toString('utf8')) as { error?: string };
-      if (r.status === 200) resolve(said);
-      else reject(new Error(said.error ?? `the lab answered ${r.status}`));
+      if (response === null) {
+        reject(new LocalClusterError(`there is no lab at ${checked}; start one with swiftford lab`));
+        return;
+      }
+      const json = JSON.parse(response.body.toString('utf8')) as { error?: string };
+      if (response.status === 200) resolve(json);
+      else reject(new LocalClusterError(json.error ?? `the lab answered ${response.status}`));
     });
   });
 }
--- a/src/cli/options.ts
+++ b/src/cli/options.ts
@@ -1,26 +1,37 @@
-// Operators' own settings, in HCL. Every key, its default and its bounds stand here once.
+// The operators' own settings, in HCL. Every key, its default and its bounds are defined here once.
 import * as v from 'valibot';
 import type { SchedulerOptions } from '../core/scheduling/scheduler.ts';
 import { InvalidSettingsError } from '../protocol/settings.ts';
+import { describeHclIssue } from './hcl-issues.ts';
 
+/** The operators' own settings. */
 export interface OperatorOptions {
+  /** Queue length below which a machine without free capacity may be joined. */
   threshold: number;
+  /** Heartbeat periods after which a queued task moves to a machine with free capacity. */
   takeBackReports: number;
+  /** Part of its fair share that a team with waiting work is never kept below; 0 for none. */
   teamFloor: number;
+  /** The same for a class of jobs. */
   classFloor: number;
 }
 
-interface Key {
+/** A key of the operators' settings. */
+export interface OptionKey {
   name: keyof OperatorOptions;
+  /** Its name in files. */
   hcl: string;
   default: number;
   min: number;
   max: number;
+  /** Whether only whole numbers are allowed. */
   whole: boolean;
+  /** For `swiftford options`. */
   about: string;
 }
 
-export const KEYS: Key[] = [
+/** All keys, in the order in which they are listed. */
+export const KEYS: OptionKey[] = [
   {
     name: 'threshold',
     hcl: 'threshold',
@@ -59,42 +70,43 @@
   },
 ];
 
-/** What the core is told; `reportS`: the workers' report period, which some options are counted in. */
-export const schedulerOptions = (o: OperatorOptions, reportS: number): SchedulerOptions => ({
-  threshold: o.threshold,
-  dequeueAfterMs: o.takeBackReports * reportS * 1000,
-  teamFloor: o.teamFloor,
-  classFloor: o.classFloor,
+const MS_PER_S = 1000;
+
+/** The scheduler's options; some are given in heartbeat periods, which take `heartbeatS` seconds. */
+export const schedulerOptions = (options: OperatorOptions, heartbeatS: number): SchedulerOptions => ({
+  threshold: options.threshold,
+  dequeueAfterMs: options.takeBackReports * heartbeatS * MS_PER_S,
+  teamFloor: options.teamFloor,
+  classFloor: options.classFloor,
 });
 
-export const defaults = (): OperatorOptions =>
-  Object.fromEntries(KEYS.map((k) => [k.name, k.default])) as unknown as OperatorOptions;
+/** The settings without a file. */
+export const defaults = (): OperatorOptions => optionsFrom((key) => key.default);
+
+function optionsFrom(read: (key: OptionKey) => number): OperatorOptions {
+  return Object.fromEntries(KEYS.map((key) => [key.name, read(key)])) as unknown as OperatorOptions;
+}
+
+/** The schema of a key's value. */
+export function optionSchema(key: OptionKey): v.GenericSchema<number> {
+  const number = v.pipe(v.number(), v.minValue(key.min), v.maxValue(key.max));
+  return key.whole ? v.pipe(number, v.integer()) : number;
+}
 
-const number = (k: Key) => {
-  const base = v.pipe(v.number(), v.minValue(k.min), v.maxValue(k.max));
-  return v.optional(k.whole ? v.pipe(base, v.integer()) : base, k.default);
-};
-const schema = v.strictObject({
-  dispatch: v.optional(
-    v.pipe(v.array(v.strictObject(Object.fromEntries(KEYS.map((k) => [k.hcl, number(k)])))), v.maxLength(1)),
-  ),
+const dispatchBlock = v.strictObject(
+  Object.fromEntries(KEYS.map((key) => [key.hcl, v.optional(optionSchema(key), key.default)])),
+);
+const optionsFile = v.strictObject({
+  dispatch: v.optional(v.pipe(v.array(dispatchBlock), v.maxLength(1))),
 });
 
-/** Reads the parsed form of an HCL file: one `dispatch` block at most, unknown names refused. */
+/**
+ * Reads the parsed form of a file in HCL: one `dispatch` block at most.
+ * Throws `InvalidSettingsError` naming file and key, for unknown names, too.
+ */
 export function readOptions(file: string, parsed: unknown): OperatorOptions {
-  const checked = v.safeParse(schema, parsed);
-  if (!checked.success) {
-    const issue = checked.issues[0];
-    const path =
-      issue.path
-        ?.map((p) => String(p.key))
-        .filter((p) => p !== '0')
-        .join('.') ?? '(whole file)';
-    const what = issue.expected === 'never' ? 'unknown name' : issue.message;
-    throw new InvalidSettingsError(`${file}: ${path}: ${what}`);
-  }
+  const checked = v.safeParse(optionsFile, parsed);
+  if (!checked.success) throw new InvalidSettingsError(describeHclIssue(file, checked.issues[0]));
   const block = (checked.output.dispatch?.[0] ?? {}) as Record<string, number>;
-  return Object.fromEntries(
-    KEYS.map((k) => [k.name, block[k.hcl] ?? k.default]),
-  ) as unknown as OperatorOptions;
+  return optionsFrom((key) => block[key.hcl] ?? key.default);
 }
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,6 +1,6 @@
 // Reads the platform's settings file (JSON). What is used is checked strictly, unknown fields are ignored.
 import * as v from 'valibot';
-import type { Settings, StoreLimits } from '../core/base/model.ts';
+import type { Objective, Settings, StoreLimits } from '../core/base/model.ts';
 import { SwiftfordError } from '../types/errors.ts';
 import type { NodeId, TeamName, ZoneName } from '../types/index.ts';
 
@@ -161,7 +161,11 @@
   gpusMax: entry.gpus_max,
 });
 
-const objectiveOf = (entry: v.InferOutput<typeof objective>): Settings['objectives'][number] => ({
+/** A service-level objective as files have it. */
+export type ObjectiveEntry = v.InferOutput<typeof objective>;
+
+/** A service-level objective of a file; what the file leaves out is null. */
+export const objectiveOf = (entry: ObjectiveEntry): Objective => ({
   kind: entry.kind,
   class: entry.class ?? null,
   withinS: entry.within_s ?? null,
--- a/test/config-command.test.ts
+++ b/test/config-command.test.ts
@@ -7,10 +7,15 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { FakeState, Lab, readLabOptions } from '../packages/local-cluster/src/index.ts';
-import { type AskState, ConfigClient, ConfigConflict, StateUnavailable } from '../src/cli/config-client.ts';
-import { type NodeView, versionObstacle } from '../src/cli/config-command.ts';
+import {
+  type AskStore,
+  ConfigClient,
+  ConfigConflictError,
+  StoreUnavailableError,
+} from '../src/cli/config-client.ts';
 import { readConfigFile } from '../src/cli/config-file.ts';
 import { parseHcl } from '../src/cli/files.ts';
+import { type NodeStatus, versionObstacle } from '../src/cli/node-versions.ts';
 import type { StoreReply } from '../src/core/base/model.ts';
 import { ChangeTooLargeError } from '../src/core/configuration/change.ts';
 import { LEADER_KEY } from '../src/core/storage/keys.ts';
@@ -42,7 +47,7 @@
     clock.now = end;
   };
   let asked = 0;
-  const ask: AskState = (op) => {
+  const ask: AskStore = (op) => {
     asked++;
     let reply: StoreReply = { kind: 'no-answer' };
     state.serve('operator', op, (r) => {
@@ -102,7 +107,7 @@
   const changes = client.plan(snapshot, [team('a', { cpusMax: 2 })]);
   await client.apply(snapshot, changes, 'two');
   await assert.rejects(client.apply(snapshot, changes, 'three'), (e: Error) => {
-    assert.equal(e instanceof ConfigConflict, true);
+    assert.equal(e instanceof ConfigConflictError, true);
     return /change 2 \(two\)/.test(e.message);
   });
 });
@@ -117,7 +122,7 @@
   // Its first copy went through, so the second finds it.
   assert.equal((await ask).repeated, true);
   state.down = true;
-  await assert.rejects(client.snapshot(), StateUnavailable);
+  await assert.rejects(client.snapshot(), StoreUnavailableError);
 });
 
 test('a change of more documents than one transaction holds is refused before anything is written', async () => {
@@ -133,8 +138,8 @@
 test('no document is changed while a controller of an earlier version is connected, or one has not been heard of', () => {
   const w = new SimulatedWorld({}, ['node-0', 'node-1']);
   w.run(3);
-  const view = (): NodeView => JSON.parse(JSON.stringify(w.nodes.get('node-0')!.describe())) as NodeView;
-  const obstacle = (v: NodeView | null): string | null => versionObstacle(v, settings('node-0'));
+  const view = (): NodeStatus => JSON.parse(JSON.stringify(w.nodes.get('node-0')!.describe())) as NodeStatus;
+  const obstacle = (v: NodeStatus | null): string | null => versionObstacle(v, settings('node-0'));
   assert.equal(obstacle(view()), 'the version of node node-2 is unknown: it has not been heard of yet');
   w.oldForm.add('node-2');
   w.start('node-2');
--- a/test/production-version.test.ts
+++ b/test/production-version.test.ts
@@ -8,7 +8,7 @@
 import { test } from 'node:test';
 import { build } from 'esbuild';
 import { endGroup, freePort, Lab, readLabOptions } from '../packages/local-cluster/src/index.ts';
-import { askOverHttp, ConfigClient, stateClient } from '../src/cli/config-client.ts';
+import { askOverHttp, ConfigClient, storeClient } from '../src/cli/config-client.ts';
 import { CONFIGURED_LEADER_KEY, LEADER_KEY } from '../src/core/storage/keys.ts';
 import { parseSettings } from '../src/protocol/settings.ts';
 import { team } from './support/operator.ts';
@@ -54,7 +54,7 @@
     await lab.ready();
     const file = join(dir, 'node-0.json');
     const settings = parseSettings(file, readFileSync(file, 'utf8'));
-    const http = stateClient(settings);
+    const http = storeClient(settings);
     const client = new ConfigClient(askOverHttp(http), settings);
     const snapshot = await client.snapshot();
     await client.apply(snapshot, client.plan(snapshot, [team('demo', { cpusMax: 4 })]), 'one');
