--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,6 +1,6 @@
-// Messages and settings at the edges: what is refused, what is ignored, what survives the way there and back.
+// Messages and settings files: what is refused, what is ignored, what survives encoding and decoding.
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { describe, it } from 'node:test';
 import { defaults, readOptions } from '../src/cli/options.ts';
 import type { Command, Heartbeat, PeerMessage, StoreRequest } from '../src/core/base/model.ts';
 import { formatResponse } from '../src/http/server.ts';
@@ -49,121 +49,137 @@
   dueS: 900.0,
 };
 
-test('a job is read whole; unknown fields are ignored and null may be left out', () => {
-  const { yard: _, ...withoutYard } = { ...wireJob, colour: 'red' };
-  const spec = parseJob(withoutYard);
-  assert.equal(spec.kind, 'gang');
-  assert.equal(spec.priority, 2);
-  assert.equal(spec.zone, null);
-  assert.deepEqual(spec.machineTypes, ['g8']);
-});
+describe('a submitted job', () => {
+  it('is read in full; unknown fields are ignored, and what may be null may be left out', () => {
+    const { yard: _, ...withoutZone } = { ...wireJob, colour: 'red' };
+    const spec = parseJob(withoutZone);
+    assert.equal(spec.kind, 'gang');
+    assert.equal(spec.priority, 2);
+    assert.equal(spec.zone, null);
+    assert.deepEqual(spec.machineTypes, ['g8']);
+  });
 
-test('a job with a missing or invalid field is refused by the name of that field', () => {
-  const bad: [string, unknown][] = [
-    ['nameId', 'job-1'],
-    ['nameId', undefined],
-    ['shape', 'heap'],
-    ['shape', 'toString'],
-    ['urgency', 3],
-    ['pieces', 0],
-    ['pieces', 100_001],
-    ['pieces', 1.5],
-    ['cores', -1],
-    ['cores', '8'],
-    ['berthkinds', 'g8'],
-    ['samePlace', 1],
-    ['dueS', 'soon'],
-    ['awaits', 'run-1'],
-    ['awaits', ['run-1', 'job 2']],
-    ['awaits', [7]],
-  ];
-  for (const [field, value] of bad)
-    assert.throws(
-      () => parseJob({ ...wireJob, [field]: value }),
-      (e: Error) => e instanceof InvalidMessageError && e.message.startsWith(field),
-      `${field}=${String(value)}`,
-    );
-  assert.throws(() => parseJob([]), InvalidMessageError);
-});
+  it('with a missing or invalid field is refused by the name of that field', () => {
+    const invalid: [string, unknown][] = [
+      ['nameId', 'job-1'],
+      ['nameId', undefined],
+      ['shape', 'heap'],
+      ['shape', 'toString'],
+      ['urgency', 3],
+      ['pieces', 0],
+      ['pieces', 100_001],
+      ['pieces', 1.5],
+      ['cores', -1],
+      ['cores', '8'],
+      ['berthkinds', 'g8'],
+      ['samePlace', 1],
+      ['dueS', 'soon'],
+      ['awaits', 'run-1'],
+      ['awaits', ['run-1', 'job 2']],
+      ['awaits', [7]],
+    ];
+    for (const [field, value] of invalid)
+      assert.throws(
+        () => parseJob({ ...wireJob, [field]: value }),
+        (error: Error) => error instanceof InvalidMessageError && error.message.startsWith(field),
+        `${field}=${String(value)}`,
+      );
+    assert.throws(() => parseJob([]), InvalidMessageError);
+  });
 
-test('jobs that a job awaits are read once each; without any the job is as it was before there were such', () => {
-  for (const none of [{}, { awaits: null }, { awaits: [] }])
-    assert.deepEqual(parseJob({ ...wireJob, ...none }), parseJob(wireJob));
-  assert.equal('awaits' in parseJob(wireJob), false);
-  assert.deepEqual(parseJob({ ...wireJob, awaits: ['run-1', 'run-2', 'run-1'] }).dependsOn, [
-    'run-1',
-    'run-2',
-  ]);
+  it('has each dependency once; without any it is as before there were dependencies', () => {
+    for (const none of [{}, { awaits: null }, { awaits: [] }])
+      assert.deepEqual(parseJob({ ...wireJob, ...none }), parseJob(wireJob));
+    assert.equal('awaits' in parseJob(wireJob), false);
+    assert.deepEqual(parseJob({ ...wireJob, awaits: ['run-1', 'run-2', 'run-1'] }).dependsOn, [
+      'run-1',
+      'run-2',
+    ]);
+  });
 });
 
-test('a request to come back later carries Retry-After, in whole seconds', () => {
-  const a = encodeUserResponse({ kind: 'retry', afterS: 1.2, reason: 'later', overload: false });
-  assert.equal(a.status, 503);
-  assert.match(formatResponse(a, true), /^HTTP\/1\.1 503 .*\r\n(.*\r\n)*Retry-After: 2\r\n/);
-  assert.equal(encodeUserResponse({ kind: 'retry', afterS: 1, reason: '', overload: true }).status, 429);
+describe('a response to a user', () => {
+  it('who is to retry later carries Retry-After, in whole seconds', () => {
+    const response = encodeUserResponse({ kind: 'retry', afterS: 1.2, reason: 'later', overload: false });
+    assert.equal(response.status, 503);
+    assert.match(formatResponse(response, true), /^HTTP\/1\.1 503 .*\r\n(.*\r\n)*Retry-After: 2\r\n/);
+    assert.equal(encodeUserResponse({ kind: 'retry', afterS: 1, reason: '', overload: true }).status, 429);
+  });
 });
 
-test('a report is read and commands are written in the words of the wire', () => {
-  const r = parseHeartbeat({
-    berth: 'i-1',
-    endpoint: '10.1.0.1:9000',
-    berthkind: 'g8',
-    yard: 'a',
-    loaners: true,
-    shift: 2,
-    tally: 7,
-    baton: 41,
-    pieces: [{ piece: 'run-1/0', try: 3, status: 'ended', cause: 'halted', stored: true }],
-  });
-  assert.deepEqual(r.tasks, [
-    { task: 'run-1/0', attempt: 3, state: 'exited', exitReason: 'stopped', checkpointed: true },
-  ]);
-  const answer = encodeHeartbeatResponse({
-    kind: 'commands',
-    fencingToken: 41 as FencingToken,
-    commands: [{ op: 'stop', task: 'run-1/0' as TaskId, attempt: 3 as Attempt, graceS: 4 }],
-  });
-  assert.deepEqual(JSON.parse(answer.body), {
-    baton: 41,
-    orders: [{ verb: 'kill', piece: 'run-1/0', try: 3, windownS: 4 }],
-  });
-  assert.deepEqual(encodeHeartbeatResponse({ kind: 'redirect', node: 'berth-2' as NodeId }), {
-    status: 421,
-    body: '{"foreman":"berth-2"}',
+describe('the worker protocol', () => {
+  it('reads a heartbeat and writes commands with the names of the wire', () => {
+    const heartbeat = parseHeartbeat({
+      berth: 'i-1',
+      endpoint: '10.1.0.1:9000',
+      berthkind: 'g8',
+      yard: 'a',
+      loaners: true,
+      shift: 2,
+      tally: 7,
+      baton: 41,
+      pieces: [{ piece: 'run-1/0', try: 3, status: 'ended', cause: 'halted', stored: true }],
+    });
+    assert.deepEqual(heartbeat.tasks, [
+      { task: 'run-1/0', attempt: 3, state: 'exited', exitReason: 'stopped', checkpointed: true },
+    ]);
+    const response = encodeHeartbeatResponse({
+      kind: 'commands',
+      fencingToken: 41 as FencingToken,
+      commands: [{ op: 'stop', task: 'run-1/0' as TaskId, attempt: 3 as Attempt, graceS: 4 }],
+    });
+    assert.deepEqual(JSON.parse(response.body), {
+      baton: 41,
+      orders: [{ verb: 'kill', piece: 'run-1/0', try: 3, windownS: 4 }],
+    });
+    assert.deepEqual(encodeHeartbeatResponse({ kind: 'redirect', node: 'berth-2' as NodeId }), {
+      status: 421,
+      body: '{"foreman":"berth-2"}',
+    });
   });
 });
 
-test('replies of the state service are told apart: refused, conflicting, missing, compared', () => {
-  const op: StoreRequest = {
-    kind: 'compare-and-swap',
-    conditions: [{ key: 'a', revision: 0 as Revision }],
-    puts: [{ key: 'a', value: 1, lease: 7 as StoreLeaseId }],
-    deletes: ['b'],
-  };
-  assert.deepEqual(JSON.parse(encodeStoreRequest(op).body ?? ''), {
-    if: [{ key: 'a', stamp: 0 }],
-    apply: [{ set: 'a', v: 1, tenancy: 7 }, { drop: 'b' }],
+describe('the store protocol', () => {
+  it('tells refused requests, conflicts, missing keys and compared ones apart', () => {
+    const request: StoreRequest = {
+      kind: 'compare-and-swap',
+      conditions: [{ key: 'a', revision: 0 as Revision }],
+      puts: [{ key: 'a', value: 1, lease: 7 as StoreLeaseId }],
+      deletes: ['b'],
+    };
+    assert.deepEqual(JSON.parse(encodeStoreRequest(request).body ?? ''), {
+      if: [{ key: 'a', stamp: 0 }],
+      apply: [{ set: 'a', v: 1, tenancy: 7 }, { drop: 'b' }],
+    });
+    assert.deepEqual(decodeStoreReply(request, 409, { failed: ['a'], ledger: 3 }), {
+      kind: 'conflict',
+      failed: ['a'],
+    });
+    assert.deepEqual(decodeStoreReply(request, 429, {}), { kind: 'refused', busy: true });
+    assert.deepEqual(decodeStoreReply(request, 503, {}), { kind: 'refused', busy: false });
+    const conditionsOnly = encodeStoreRequest({ ...request, puts: [], deletes: [] });
+    assert.equal('apply' in JSON.parse(conditionsOnly.body ?? ''), false);
   });
-  assert.deepEqual(decodeStoreReply(op, 409, { failed: ['a'], ledger: 3 }), {
-    kind: 'conflict',
-    failed: ['a'],
-  });
-  assert.deepEqual(decodeStoreReply(op, 429, {}), { kind: 'refused', busy: true });
-  assert.deepEqual(decodeStoreReply(op, 503, {}), { kind: 'refused', busy: false });
-  assert.equal('apply' in JSON.parse(encodeStoreRequest({ ...op, puts: [], deletes: [] }).body ?? ''), false);
 });
 
-test('a cloud without machines is told from a cloud in trouble', () => {
-  const op = { kind: 'list' as const, after: null };
-  assert.deepEqual(decodeCloudReply(op, 503, { error: 'no capacity' }), { kind: 'no-capacity' });
-  assert.deepEqual(decodeCloudReply(op, 503, { error: 'trouble' }), { kind: 'refused', busy: false });
+describe('the cloud protocol', () => {
+  it('tells a cloud without capacity from one that fails', () => {
+    const request = { kind: 'list' as const, after: null };
+    assert.deepEqual(decodeCloudReply(request, 503, { error: 'no capacity' }), { kind: 'no-capacity' });
+    assert.deepEqual(decodeCloudReply(request, 503, { error: 'trouble' }), { kind: 'refused', busy: false });
+  });
 });
 
-test('messages between controllers survive any cut of the stream', () => {
-  const short = { machine: 'i-1' as MachineId, agentEpoch: 2, seq: 88, fencingToken: 41 as FencingToken };
+describe('the peer protocol', () => {
+  const identity = {
+    machine: 'i-1' as MachineId,
+    agentEpoch: 2,
+    seq: 88,
+    fencingToken: 41 as FencingToken,
+  };
   const task = { task: 'run-1/3' as TaskId, attempt: (41 * 2 ** 24 + 5) as Attempt, checkpointed: false };
-  const report: Heartbeat = {
-    ...short,
+  const heartbeat: Heartbeat = {
+    ...identity,
     addr: '10.1.0.1:9000',
     type: 'box' as TypeName,
     zone: 'north' as ZoneName,
@@ -174,7 +190,7 @@
       { ...task, state: 'exited', exitReason: 'no_room' },
     ],
   };
-  const none = { removed: [], changed: [] };
+  const unchanged = { removed: [], changed: [] };
   const changed = [{ at: 1, task: { ...task, state: 'saving' as const, exitReason: null } }];
   const commands: Command[] = [
     { op: 'start', task: task.task, attempt: task.attempt },
@@ -231,16 +247,23 @@
       configRevision: 40 as Revision,
       leaderTerm: 39 as Revision,
     },
-    { kind: 'forwarded-heartbeat', id: 10, heartbeat: { kind: 'full', heartbeat: report } },
+    { kind: 'forwarded-heartbeat', id: 10, heartbeat: { kind: 'full', heartbeat } },
     {
       kind: 'forwarded-heartbeat',
       id: 11,
-      heartbeat: { ...short, ...none, preemptionNoticeS: null, kind: 'delta', baseSeq: 87 },
+      heartbeat: { ...identity, ...unchanged, preemptionNoticeS: null, kind: 'delta', baseSeq: 87 },
     },
     {
       kind: 'forwarded-heartbeat',
       id: 12,
-      heartbeat: { ...short, preemptionNoticeS: 7.5, kind: 'delta', baseSeq: 86, removed: [0, 2], changed },
+      heartbeat: {
+        ...identity,
+        preemptionNoticeS: 7.5,
+        kind: 'delta',
+        baseSeq: 86,
+        removed: [0, 2],
+        changed,
+      },
     },
     {
       kind: 'forwarded-heartbeat-response',
@@ -251,18 +274,22 @@
     { kind: 'forwarded-heartbeat-response', id: 12, response: { kind: 'full-heartbeat-required' } },
     { kind: 'forwarded-heartbeat-response', id: 13, response: null },
   ];
-  const decoder = new PeerDecoder();
-  const bytes = Buffer.concat(messages.map(encodePeerMessage));
-  assert.deepEqual(
-    [...bytes].flatMap((b) => decoder.feed(Buffer.from([b]))),
-    messages,
-  );
-  // Reports are told from all else without being decoded.
-  for (const m of messages)
-    assert.equal(isForwardedHeartbeat(encodePeerMessage(m).subarray(4)), m.kind === 'forwarded-heartbeat');
+
+  it('reads messages wherever the stream is cut, and tells forwarded heartbeats by their first byte', () => {
+    const decoder = new PeerDecoder();
+    const bytes = Buffer.concat(messages.map(encodePeerMessage));
+    assert.deepEqual(
+      [...bytes].flatMap((byte) => decoder.feed(Buffer.from([byte]))),
+      messages,
+    );
+    for (const message of messages) {
+      const frameBody = encodePeerMessage(message).subarray(4);
+      assert.equal(isForwardedHeartbeat(frameBody), message.kind === 'forwarded-heartbeat');
+    }
+  });
 });
 
-const platform = {
+const settingsFile = {
   node: 'n',
   location: 'z',
   bind: '10.0.0.1:80',
@@ -277,43 +304,50 @@
   },
 };
 
-test('settings: unknown fields are ignored, a bad one is named with its file in one line', () => {
-  assert.equal(parseSettings('s.json', JSON.stringify(platform)).workers.leaseS, 10);
-  const bad = structuredClone(platform) as { params: { workers: { lease_s: unknown } } };
-  bad.params.workers.lease_s = 'long';
-  assert.throws(
-    () => parseSettings('s.json', JSON.stringify(bad)),
-    /^Error: s\.json: params\.workers\.lease_s: [^\n]+$/,
-  );
-  assert.throws(() => parseSettings('s.json', '{'), /s\.json: not JSON/);
-});
+describe('a settings file', () => {
+  it('may have unknown fields; an invalid one is named with the file in one line', () => {
+    assert.equal(parseSettings('s.json', JSON.stringify(settingsFile)).workers.leaseS, 10);
+    const invalid = structuredClone(settingsFile) as { params: { workers: { lease_s: unknown } } };
+    invalid.params.workers.lease_s = 'long';
+    assert.throws(
+      () => parseSettings('s.json', JSON.stringify(invalid)),
+      /^Error: s\.json: params\.workers\.lease_s: [^\n]+$/,
+    );
+    assert.throws(() => parseSettings('s.json', '{'), /s\.json: not JSON/);
+  });
 
-test('limits that come later are kept from the start, each that is named; a bad one is an error with its path', () => {
-  const withNext = (next: unknown) => {
-    const { state } = platform.params;
-    return JSON.stringify({ ...platform, params: { ...platform.params, state: { ...state, next } } });
-  };
-  const now = { requestsPerS: 10, writesPerS: 5, maxValueKb: 8, maxTransactionOps: 24 };
-  for (const none of [undefined, null, {}])
-    assert.deepEqual(parseSettings('s.json', withNext(none)).store, now);
-  const s = parseSettings('s.json', withNext({ write_rps: 3, value_kb: 2, rps: 99 }));
-  assert.deepEqual(s.store, { ...now, writesPerS: 3, maxValueKb: 2 });
-  assert.equal(s.currentWritesPerS, 5);
-  assert.throws(
-    () => parseSettings('s.json', withNext({ txn_ops: 1.5 })),
-    /^Error: s\.json: params\.state\.next\.txn_ops: [^\n]+$/,
-  );
+  it('may name later limits of the store, each of which holds from the start; an invalid one is named', () => {
+    const withNext = (next: unknown) => {
+      const { state } = settingsFile.params;
+      return JSON.stringify({
+        ...settingsFile,
+        params: { ...settingsFile.params, state: { ...state, next } },
+      });
+    };
+    const now = { requestsPerS: 10, writesPerS: 5, maxValueKb: 8, maxTransactionOps: 24 };
+    for (const none of [undefined, null, {}])
+      assert.deepEqual(parseSettings('s.json', withNext(none)).store, now);
+    const settings = parseSettings('s.json', withNext({ write_rps: 3, value_kb: 2, rps: 99 }));
+    assert.deepEqual(settings.store, { ...now, writesPerS: 3, maxValueKb: 2 });
+    assert.equal(settings.currentWritesPerS, 5);
+    assert.throws(
+      () => parseSettings('s.json', withNext({ txn_ops: 1.5 })),
+      /^Error: s\.json: params\.state\.next\.txn_ops: [^\n]+$/,
+    );
+  });
 });
 
-test("operators' settings: defaults from one place, unknown names and bad values refused", () => {
-  assert.deepEqual(readOptions('o.hcl', {}), defaults());
-  assert.equal(readOptions('o.hcl', { dispatch: [{ threshold: 4 }] }).threshold, 4);
-  assert.throws(
-    () => readOptions('o.hcl', { dispatch: [{ treshold: 4 }] }),
-    /o\.hcl: dispatch\.treshold: unknown name/,
-  );
-  assert.throws(
-    () => readOptions('o.hcl', { dispatch: [{ threshold: 0 }] }),
-    /o\.hcl: dispatch\.threshold: /,
-  );
+describe("the operators' settings", () => {
+  it('have their defaults from one place; unknown names and invalid values are refused', () => {
+    assert.deepEqual(readOptions('o.hcl', {}), defaults());
+    assert.equal(readOptions('o.hcl', { dispatch: [{ threshold: 4 }] }).threshold, 4);
+    assert.throws(
+      () => readOptions('o.hcl', { dispatch: [{ treshold: 4 }] }),
+      /o\.hcl: dispatch\.treshold: unknown name/,
+    );
+    assert.throws(
+      () => readOptions('o.hcl', { dispatch: [{ threshold: 0 }] }),
+      /o\.hcl: dispatch\.threshold: /,
+    );
+  });
 });
