--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -22,6 +22,7 @@
   OPEN_JOB_PREFIX,
 } from '../core/storage/keys.ts';
 import { HttpClient } from '../http/client.ts';
+import { decodeReply } from '../protocol/http-call.ts';
 import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
 import { SwiftfordError } from '../types/errors.ts';
 import type { Revision } from '../types/index.ts';
@@ -44,17 +45,9 @@
   (request) =>
     new Promise((resolve) => {
       const call = { ...encodeStoreRequest(request), timeoutMs: REQUEST_TIMEOUT_MS };
-      client.call(call, (response) => {
-        try {
-          const isEmpty = response === null || response.body.length === 0;
-          const json = isEmpty ? {} : JSON.parse(response.body.toString('utf8'));
-          resolve(
-            response === null ? { kind: 'no-answer' } : decodeStoreReply(request, response.status, json),
-          );
-        } catch {
-          resolve({ kind: 'no-answer' });
-        }
-      });
+      client.call(call, (response) =>
+        resolve(decodeReply(response, (status, json) => decodeStoreReply(request, status, json))),
+      );
     });
 
 /** An HTTP client of the store that the settings name. */
--- a/src/http/client-connection.ts
+++ b/src/http/client-connection.ts
@@ -1,5 +1,6 @@
 // One connection of the HTTP client.
 import { connect, type Socket } from 'node:net';
+import type { Address } from './address.ts';
 import { HttpParser } from './parser.ts';
 
 /** A request to the client's address. */
@@ -33,8 +34,7 @@
 
 /** What a connection needs of its client. */
 export interface ClientConnectionOptions {
-  host: string;
-  port: number;
+  address: Address;
   /** The value of the Host header. */
   hostHeader: string;
   /** The largest body of a response in bytes. */
@@ -53,9 +53,8 @@
   private closed = false;
 
   constructor(private readonly options: ClientConnectionOptions) {
-    const { host, port, maxBody } = options;
-    this.parser = new HttpParser('response', maxBody);
-    this.socket = connect({ host, port, noDelay: true });
+    this.parser = new HttpParser('response', options.maxBody);
+    this.socket = connect({ ...options.address, noDelay: true });
     this.socket.on('data', (data) => this.onData(data));
     this.socket.on('error', () => this.close());
     this.socket.on('close', () => this.onEnd());
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,4 +1,5 @@
 // An HTTP client with keep-alive: a few connections to one address, one request at a time on each.
+import { type Address, splitAddress } from './address.ts';
 import { type ClientCall, ClientConnection, type ClientDone, type QueuedCall } from './client-connection.ts';
 
 export type { ClientCall, ClientDone, ClientReply } from './client-connection.ts';
@@ -8,8 +9,7 @@
   private readonly connections = new Set<ClientConnection>();
   private readonly idle: ClientConnection[] = [];
   private readonly queue: QueuedCall[] = [];
-  private readonly host: string;
-  private readonly port: number;
+  private readonly address: Address;
 
   /** `addr`: such as `10.0.0.1:8080`. `maxBody`: the largest body of a response in bytes. */
   constructor(
@@ -17,9 +17,7 @@
     private readonly maxConnections: number,
     private readonly maxBody: number,
   ) {
-    const colon = addr.lastIndexOf(':');
-    this.host = addr.slice(0, colon);
-    this.port = Number(addr.slice(colon + 1));
+    this.address = splitAddress(addr);
   }
 
   /** Sends a request, or queues it; `done` is called once, in any case. */
@@ -50,8 +48,7 @@
   private connect(): ClientConnection | null {
     if (this.connections.size >= this.maxConnections) return null;
     const connection = new ClientConnection({
-      host: this.host,
-      port: this.port,
+      address: this.address,
       hostHeader: this.addr,
       maxBody: this.maxBody,
       onIdle: () => {
--- a/src/protocol/cloud-service.ts
+++ b/src/protocol/cloud-service.ts
@@ -4,12 +4,11 @@
 import { asObject, readBoolean, readCount, readString } from './json-fields.ts';
 import {
   type DecodedRequest,
+  decodeRequest,
   type EncodedReply,
   failureReply,
   jsonReply,
-  parseTarget,
   type RequestTarget,
-  readPageSize,
   refusedReply,
 } from './service-side.ts';
 
@@ -22,10 +21,7 @@
   path: string,
   body: unknown,
 ): DecodedRequest<CloudRequest> | null {
-  const target = parseTarget(path);
-  const page = readPageSize(target.query, MAX_PAGE_SIZE);
-  const op = decodeOperation(method, target, body);
-  return op === null ? null : { op, page };
+  return decodeRequest(path, MAX_PAGE_SIZE, (target) => decodeOperation(method, target, body));
 }
 
 function decodeOperation(
--- a/src/protocol/service-side.ts
+++ b/src/protocol/service-side.ts
@@ -33,8 +33,7 @@
   query: URLSearchParams;
 }
 
-/** Splits the target of a request. */
-export function parseTarget(target: string): RequestTarget {
+function parseTarget(target: string): RequestTarget {
   const [path = '', query = ''] = target.split('?', 2);
   return { segments: path.split('/').slice(1), query: new URLSearchParams(query) };
 }
@@ -46,9 +45,20 @@
   return value;
 }
 
-/** The `page` of the query, or the largest that there is. */
-export const readPageSize = (query: URLSearchParams, max: number): number =>
-  Math.min(max, readQueryNumber(query, 'page') || max);
+/**
+ * Reads a request: `decode` reads its operation, null if there is no such path.
+ * Pages have at most `maxPageSize` items, whatever the query asks for.
+ */
+export function decodeRequest<T>(
+  path: string,
+  maxPageSize: number,
+  decode: (target: RequestTarget) => T | null,
+): DecodedRequest<T> | null {
+  const target = parseTarget(path);
+  const page = Math.min(maxPageSize, readQueryNumber(target.query, 'page') || maxPageSize);
+  const op = decode(target);
+  return op === null ? null : { op, page };
+}
 
 /** A list of objects, empty if it is missing. */
 export function readObjectList(object: JsonObject, name: string): JsonObject[] {
--- a/src/protocol/store-service.ts
+++ b/src/protocol/store-service.ts
@@ -4,13 +4,12 @@
 import { asObject, readAmount, readCount, readString } from './json-fields.ts';
 import {
   type DecodedRequest,
+  decodeRequest,
   type EncodedReply,
   failureReply,
   jsonReply,
-  parseTarget,
   type RequestTarget,
   readObjectList,
-  readPageSize,
   readQueryNumber,
   refusedReply,
 } from './service-side.ts';
@@ -26,10 +25,7 @@
   path: string,
   body: unknown,
 ): DecodedRequest<StoreRequest> | null {
-  const target = parseTarget(path);
-  const page = readPageSize(target.query, MAX_PAGE_SIZE);
-  const op = decodeOperation(method, target, body);
-  return op === null ? null : { op, page };
+  return decodeRequest(path, MAX_PAGE_SIZE, (target) => decodeOperation(method, target, body));
 }
 
 function decodeOperation(
--- a/src/runtime/effect-executor.ts
+++ b/src/runtime/effect-executor.ts
@@ -1,8 +1,9 @@
 // Carries out the effects of the core: requests to the store, the cloud and workers, responses, messages, log lines.
 import type { Effect, Input } from '../core/base/io.ts';
 import type { CloudReply, StoreReply, StoreRequest, WorkerReply } from '../core/base/model.ts';
-import { type ClientReply, HttpClient } from '../http/client.ts';
+import { HttpClient } from '../http/client.ts';
 import { decodeCloudReply, encodeCloudRequest } from '../protocol/cloud.ts';
+import { decodeReply } from '../protocol/http-call.ts';
 import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
 import { encodeUserResponse } from '../protocol/user-response.ts';
 import { encodeCommands, encodeHeartbeatResponse, parseHeartbeat } from '../protocol/worker.ts';
@@ -115,17 +116,3 @@
   if (status !== 200 && status !== 409) return { kind: 'no-answer' };
   return { kind: 'heartbeat', heartbeat: parseHeartbeat(json), executed: status === 200 };
 }
-
-/** A response that cannot be read counts as none: it is not known what became of the request. */
-function decodeReply<T>(
-  response: ClientReply | null,
-  decode: (status: number, json: unknown) => T,
-): T | { kind: 'no-answer' } {
-  if (response === null) return { kind: 'no-answer' };
-  try {
-    const { status, body } = response;
-    return decode(status, body.length === 0 ? {} : JSON.parse(body.toString('utf8')));
-  } catch {
-    return { kind: 'no-answer' };
-  }
-}
--- a/src/runtime/outgoing-peer-link.ts
+++ b/src/runtime/outgoing-peer-link.ts
@@ -1,9 +1,9 @@
 // The connection that this node makes to another controller; it is made again whenever it is lost.
 import { connect, type Socket } from 'node:net';
 import type { PeerMessage } from '../core/base/model.ts';
+import type { Address } from '../http/address.ts';
 import { encodePeerMessage } from '../protocol/peer.ts';
 import type { NodeId } from '../types/index.ts';
-import type { Address } from './address.ts';
 
 const RECONNECT_DELAY_MS = 500;
 const CONNECT_TIMEOUT_MS = 1500;
--- a/src/runtime/peer-links.ts
+++ b/src/runtime/peer-links.ts
@@ -2,9 +2,9 @@
 // and receives on those that others have made to it.
 import { createServer, type Socket } from 'node:net';
 import type { PeerMessage, Settings } from '../core/base/model.ts';
+import { splitAddress } from '../http/address.ts';
 import type { WorkQueue } from '../http/work-queue.ts';
 import type { NodeId } from '../types/index.ts';
-import { splitAddress } from './address.ts';
 import { IncomingPeerLink, NewestLinks } from './incoming-peer-link.ts';
 import { OutgoingPeerLink, type PeerLinksListener } from './outgoing-peer-link.ts';
 
