--- a/src/core/admission/team-throttle.ts
+++ b/src/core/admission/team-throttle.ts
@@ -62,7 +62,7 @@
   /**
    * How many times its even share of the recent submissions the team submits; 1 for the only one that does.
    */
-  overuseFactor(team: TeamName): number {
+  private overuseFactor(team: TeamName): number {
     if (this.totalCount <= 0) return 1;
     return (this.recentCount(team) * Math.max(1, this.activeTeams)) / this.totalCount;
   }
--- a/src/core/base/dependency-health.ts
+++ b/src/core/base/dependency-health.ts
@@ -1,10 +1,7 @@
 // Logs that the store or the cloud is unavailable: at once, then at growing intervals, and when it serves
 // again. Without this a controller that can do nothing for its users would say nothing at all.
 import { addMs, elapsedMs, type Instant, LONG_AGO } from '../../types/index.ts';
-import type { LogFields, LogLevel } from './log.ts';
-
-/** Writes a log line. */
-export type Log = (level: LogLevel, message: string, fields: LogFields) => void;
+import type { Log, LogFields } from './log.ts';
 
 /** Interval between the first two lines, and between any two at most; it doubles with each. */
 const FIRST_INTERVAL_MS = 5000;
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -1,7 +1,7 @@
 // The boundary of the core: the inputs that it takes, and the effects that it asks its surroundings for.
 import type { FencingToken, Instant, NodeId, WallTime } from '../../types/index.ts';
 import { DependencyHealth } from './dependency-health.ts';
-import type { LogFields, LogLevel } from './log.ts';
+import type { Log, LogFields, LogLevel } from './log.ts';
 import type {
   CloudReply,
   CloudRequest,
@@ -98,7 +98,7 @@
     // If every run began with the same number, a response to a request of the previous run would be taken for
     // one to another request: a controller may have restarted before it arrives.
     this.lastRequestId = random.below(REQUEST_IDS);
-    const log = (level: LogLevel, message: string, fields: LogFields) => this.log(level, message, fields);
+    const log: Log = (level, message, fields) => this.log(level, message, fields);
     this.storeHealth = new DependencyHealth('state service', addrs.state, log);
     this.cloudHealth = new DependencyHealth('cloud', addrs.cloud, log);
   }
--- a/src/core/base/log.ts
+++ b/src/core/base/log.ts
@@ -5,3 +5,6 @@
 
 /** Fields of a log line, in camelCase with units. */
 export type LogFields = Record<string, unknown>;
+
+/** Writes a log line. */
+export type Log = (level: LogLevel, message: string, fields: LogFields) => void;
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -13,8 +13,6 @@
 import type { FinalStatus, JobEvents, JobListener } from './job-events.ts';
 import { JobTermination } from './job-termination.ts';
 
-export type { JobListener } from './job-events.ts';
-
 /** The leader's jobs. Every change that users are told of is stored first. */
 export class JobTable implements JobEvents {
   /** Jobs whose final state is not stored yet. */
@@ -41,18 +39,10 @@
     this.io = io;
     this.progress = progress;
     this.finalStates = new FinalStates(io);
-    const removeJob = (job: Job) => this.remove(job);
     const { finalStates, openJobs, waitingJobs } = this;
-    this.termination = new JobTermination({ io, writer, finalStates, events: this, removeJob });
-    this.acceptance = new JobAcceptance({
-      io,
-      writer,
-      openJobs,
-      waitingJobs,
-      finalStates,
-      termination: this.termination,
-      events: this,
-    });
+    const shared = { io, writer, openJobs, waitingJobs, finalStates, events: this };
+    this.termination = new JobTermination({ ...shared, progress });
+    this.acceptance = new JobAcceptance({ ...shared, termination: this.termination });
   }
 
   /** Opens a job whose record was read at the beginning of the term; where its tasks are is not known yet. */
@@ -138,12 +128,6 @@
     for (const job of this.openJobs.values()) if (isFinishable(job)) this.termination.finish(job);
     this.progress.tick();
   }
-
-  private remove(job: Job): void {
-    this.openJobs.delete(job.id);
-    this.waitingJobs.delete(job);
-    this.progress.remove(job);
-  }
 }
 
 /** Whether all tasks are done, or, of a cancelled job, none can be on a machine any more. */
--- a/src/core/jobs/job-termination.ts
+++ b/src/core/jobs/job-termination.ts
@@ -1,6 +1,6 @@
 // Cancellation and the final state of jobs. Both are writes to the job's record, conditional on its revision,
 // so that `done` and `cancelled` exclude each other. A user is told of either only once it is stored.
-import type { Revision, WallTime } from '../../types/index.ts';
+import type { JobId, Revision, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, UserResponse } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
@@ -22,6 +22,7 @@
   type JobRecord,
 } from '../storage/job-record.ts';
 import { FINAL_STATE_PREFIX, OPEN_JOB_PREFIX } from '../storage/keys.ts';
+import type { ArrayProgress } from './array-progress.ts';
 import type { FinalStates } from './final-states.ts';
 import type { Job } from './job.ts';
 import type { FinalStatus, JobEvents } from './job-events.ts';
@@ -30,10 +31,13 @@
 export interface JobTerminationDependencies {
   io: ControllerIo;
   writer: FencedWriter;
+  /** The table's open jobs, from which ended ones are removed. */
+  openJobs: Map<JobId, Job>;
+  /** The table's jobs with waiting tasks; see `JobTable.waitingJobs`. */
+  waitingJobs: Set<Job>;
+  progress: ArrayProgress;
   finalStates: FinalStates;
   events: JobEvents;
-  /** Takes a job whose final state is stored out of the table. */
-  removeJob: (job: Job) => void;
 }
 
 /** Writes that cancel or end a job, one at a time for each job. */
@@ -42,16 +46,20 @@
   pendingCancellations = 0;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
+  private readonly openJobs: Map<JobId, Job>;
+  private readonly waitingJobs: Set<Job>;
+  private readonly progress: ArrayProgress;
   private readonly finalStates: FinalStates;
   private readonly events: JobEvents;
-  private readonly removeJob: (job: Job) => void;
 
   constructor(dependencies: JobTerminationDependencies) {
     this.io = dependencies.io;
     this.writer = dependencies.writer;
+    this.openJobs = dependencies.openJobs;
+    this.waitingJobs = dependencies.waitingJobs;
+    this.progress = dependencies.progress;
     this.finalStates = dependencies.finalStates;
     this.events = dependencies.events;
-    this.removeJob = dependencies.removeJob;
   }
 
   /**
@@ -191,9 +199,11 @@
 
   private close(job: Job, status: FinalStatus, endedAt: WallTime): void {
     job.isOver = true;
-    this.removeJob(job);
+    this.openJobs.delete(job.id);
+    this.waitingJobs.delete(job);
+    this.progress.remove(job);
     this.finalStates.set(job.id, status, endedAt);
-    this.io.log('debug', 'job over', { job: job.id, status });
+    this.io.log('debug', 'job ended', { job: job.id, status });
     this.events.onEnded(job);
     this.events.onClosed(job, status);
     this.events.listener?.onClosed(job, status, endedAt);
--- a/src/core/teams/usage-accounting.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -21,9 +21,6 @@
 } from './usage-record.ts';
 import { byServed, type UsageSummary, UsageSummaryBuilder } from './usage-summary.ts';
 
-export { USAGE_PREFIX } from './usage-record.ts';
-export type { UsageSummary } from './usage-summary.ts';
-
 const WRITE_INTERVAL_MS = 10_000;
 const RETRY_DELAY_MS = 1000;
 const LOG_INTERVAL_MS = 30_000;
