--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -3,7 +3,7 @@
 import { writeFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
 import { lacking } from './scale/resources.ts';
-import { type RunResult, type RunSetup, ScaleRun, type Trouble } from './scale/run.ts';
+import { type RunResult, type RunSetup, type ScaleFault, ScaleRun } from './scale/run.ts';
 import { baseSetup, playSlopes } from './scale/slopes.ts';
 
 interface Options {
@@ -29,7 +29,7 @@
 };
 
 /** Everything that is listed for an ordinary year, within a quarter of an hour. */
-const TROUBLES: Trouble[] = [
+const TROUBLES: ScaleFault[] = [
   { atS: 5, kind: 'restarts', workers: 220, forS: 600 },
   { atS: 10, kind: 'burst', startsPerS: 1000, forS: 60 },
   { atS: 30, kind: 'config-burst', documents: 200, forS: 10 },
@@ -42,7 +42,7 @@
   { atS: 460, kind: 'freeze-owner', forS: 10 },
   { atS: 540, kind: 'owner-ends' },
 ];
-const QUICK_TROUBLES: Trouble[] = [
+const QUICK_TROUBLES: ScaleFault[] = [
   { atS: 2, kind: 'burst', startsPerS: 1000, forS: 30 },
   { atS: 10, kind: 'config-burst', documents: 200, forS: 10 },
   { atS: 15, kind: 'owner-ends' },
@@ -68,7 +68,7 @@
   const began = Date.now();
   let last = 0;
   return (line) => {
-    if (!line.startsWith('trouble') && Date.now() - last < (stream.isTTY ? 1000 : 20_000)) return;
+    if (!line.startsWith('fault') && Date.now() - last < (stream.isTTY ? 1000 : 20_000)) return;
     last = Date.now();
     stream.write(`${Math.round((Date.now() - began) / 1000)} s  ${line}\n`);
   };
--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -2,7 +2,8 @@
 // the kernel's own accounts once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
-import type { NodeStatus, ScaleCluster } from './cluster.ts';
+import type { ScaleCluster } from './cluster.ts';
+import type { NodeStatus } from './controller-group.ts';
 
 /** Clock ticks a second in /proc. */
 const TICKS = 100;
@@ -184,7 +185,7 @@
     const { cluster } = this;
     const withSockets = this.readings++ % SOCKETS_EVERY === 0;
     const owner = statuses.find((s) => s !== null)?.owner ?? null;
-    cluster.controllers.forEach((c, i) => {
+    cluster.controllers.all.forEach((c, i) => {
       const pid = c.process?.pid;
       if (pid === undefined) return;
       const owns = c.name === owner;
--- a/scripts/experiments/scale/messages.ts
+++ b/scripts/experiments/scale/messages.ts
@@ -1,4 +1,4 @@
-// What the processes of the scale drill tell one another, over the channel between parent and child.
+// The messages between the processes of the scale experiment, over the channel between parent and child.
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 
@@ -10,6 +10,7 @@
   spot: boolean;
 }
 
+/** What the tasks of a job are like. */
 export interface JobDescription {
   id: string;
   kind: 'array' | 'gang' | 'service';
@@ -26,15 +27,16 @@
   | { at: number; kind: 'off'; task: string; machine: string }
   | { at: number; kind: 'done'; task: string };
 
+/** What a host has counted since it began. */
 export interface HostCounts {
   workers: number;
   reports: number;
-  /** Of reports and their answers, bodies and heads. */
+  /** Of heartbeats and their responses, bodies and heads. */
   bytes: number;
   lostByLease: number;
 }
 
-/** To the process with the state service and the cloud. */
+/** To the process with the key-value store and the cloud. */
 export type ToServices =
   | { kind: 'begin'; options: LocalClusterOptions }
   | { kind: 'listening'; id: string; addr: string }
@@ -42,6 +44,7 @@
   | { kind: 'outage'; seconds: number }
   | { kind: 'count' };
 
+/** From the process with the key-value store and the cloud. */
 export type FromServices =
   | { kind: 'ready'; state: string; cloud: string }
   | { kind: 'rented'; machine: RentedMachine }
@@ -49,7 +52,7 @@
   | { kind: 'released'; id: string }
   | { kind: 'counts'; counts: ServiceCounts };
 
-/** To a process that hosts hollow workers. */
+/** To a process that hosts simulated workers. */
 export type ToHost =
   | { kind: 'begin'; options: LocalClusterOptions; nodes: { name: string; addr: string }[]; seed: number }
   | { kind: 'machine'; machine: RentedMachine }
@@ -63,6 +66,7 @@
   | { kind: 'gang'; key: string; what: 'start' | 'fail' }
   | { kind: 'count' };
 
+/** From a process that hosts simulated workers. */
 export type FromHost =
   | { kind: 'ready' }
   | { kind: 'listening'; id: string; addr: string }
@@ -76,6 +80,7 @@
   for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) process.on(signal, () => {});
 }
 
-export function tell<M extends { kind: string }>(message: M): void {
+/** Sends a message to the process that started this one. */
+export function sendToParent<M extends { kind: string }>(message: M): void {
   process.send?.(message);
 }
--- /dev/null
+++ b/scripts/experiments/scale/run-faults.ts
@@ -0,0 +1,154 @@
+// The faults of a run of the scale experiment, each at its time, and how long takeovers last.
+import { seededRandom } from '../../../src/runtime/random.ts';
+import type { ScaleCluster } from './cluster.ts';
+import type { ControllerProcess } from './controller-group.ts';
+import type { Figures, Meter } from './measure.ts';
+import type { ScaleOperator } from './operator.ts';
+import type { ScaleFault } from './run-setup.ts';
+import { sleep } from './time.ts';
+import type { Users } from './users.ts';
+import { ZONES } from './workload.ts';
+
+const TAKEOVER_LOOK_MS = 100;
+const TAKEOVER_MAX_S = 60;
+
+/** What faults act on. */
+export interface FaultTargets {
+  readonly cluster: ScaleCluster;
+  readonly users: Users;
+  readonly operator: ScaleOperator;
+  readonly meter: Meter;
+  readonly seed: number;
+  readonly onProgress: (line: string) => void;
+}
+
+/** Plays the faults of one run. */
+export class RunFaults {
+  /** From each end of a leader until the next has heard all machines, in seconds. */
+  readonly takeoversS: number[] = [];
+  /** Figures of the first burst of starts. */
+  peak: Figures | null = null;
+  private readonly random: ReturnType<typeof seededRandom>;
+
+  constructor(private readonly targets: FaultTargets) {
+    this.random = seededRandom(targets.seed + 1);
+  }
+
+  /** Plays all faults, until the last of them is over. */
+  async play(faults: readonly ScaleFault[]): Promise<void> {
+    const began = performance.now();
+    const sleepUntil = (seconds: number): Promise<void> =>
+      sleep(Math.max(0, seconds * 1000 - (performance.now() - began)));
+    const underWay: Promise<void>[] = [];
+    let endS = 0;
+    for (const fault of [...faults].sort((a, b) => a.atS - b.atS)) {
+      await sleepUntil(fault.atS);
+      this.targets.onProgress(`fault: ${JSON.stringify(fault)}`);
+      underWay.push(this.begin(fault));
+      endS = Math.max(endS, fault.atS + ('forS' in fault ? fault.forS : 0));
+    }
+    await Promise.all(underWay);
+    await sleepUntil(endS);
+  }
+
+  private begin(fault: ScaleFault): Promise<void> {
+    switch (fault.kind) {
+      case 'burst':
+        return this.burst(fault.startsPerS, fault.forS);
+      case 'owner-ends':
+        return this.endLeader();
+      case 'all-end':
+        return this.endAll();
+      case 'freeze-owner':
+        return this.freezeLeader(fault.forS);
+      case 'outage':
+        return this.outage(fault.forS);
+      case 'rack':
+        return this.loseRack(fault.workers);
+      case 'zone-cut':
+        return this.cutZone(fault.forS);
+      case 'config-burst':
+        return this.targets.operator.burst(fault.documents, fault.forS);
+      case 'restarts':
+        return this.restartWorkers(fault.workers, fault.forS);
+    }
+  }
+
+  private async burst(startsPerS: number, seconds: number): Promise<void> {
+    const { users, meter } = this.targets;
+    users.burst(startsPerS, seconds);
+    meter.begin();
+    await sleep(seconds * 1000);
+    this.peak ??= meter.figures();
+  }
+
+  private leader(): Promise<ControllerProcess | null> {
+    const { controllers } = this.targets.cluster;
+    return controllers.leaderOf(controllers.all);
+  }
+
+  private async endLeader(): Promise<void> {
+    const leader = await this.leader();
+    if (leader === null) return;
+    this.targets.cluster.controllers.kill(leader);
+    await this.timeTakeover();
+  }
+
+  private async endAll(): Promise<void> {
+    const { controllers } = this.targets.cluster;
+    for (const controller of controllers.all) controllers.kill(controller);
+    await this.timeTakeover();
+  }
+
+  private async freezeLeader(seconds: number): Promise<void> {
+    const leader = await this.leader();
+    if (leader === null) return;
+    this.targets.cluster.controllers.freeze(leader, seconds * 1000);
+    await this.timeTakeover(leader);
+  }
+
+  private async outage(seconds: number): Promise<void> {
+    const { cluster, operator } = this.targets;
+    cluster.outage(seconds);
+    operator.outage(seconds * 1000);
+    await sleep(seconds * 1000);
+  }
+
+  private async loseRack(workers: number): Promise<void> {
+    const { cluster } = this.targets;
+    const zone = this.anyZone();
+    const rack = cluster.up.filter((machine) => machine.zone === zone).slice(0, workers);
+    cluster.loseMachines(rack.map((machine) => machine.id));
+  }
+
+  private async cutZone(seconds: number): Promise<void> {
+    this.targets.cluster.cutZone(this.anyZone(), seconds * 1000);
+    await sleep(seconds * 1000);
+  }
+
+  private async restartWorkers(workers: number, seconds: number): Promise<void> {
+    const { cluster } = this.targets;
+    for (let i = 0; i < workers; i++) {
+      const { up } = cluster;
+      const machine = up[this.random.below(Math.max(1, up.length))];
+      if (machine !== undefined) cluster.restartMachine(machine.id);
+      await sleep((seconds * 1000) / workers);
+    }
+  }
+
+  private anyZone(): string {
+    return ZONES[this.random.below(ZONES.length)]!;
+  }
+
+  /** How long until another controller leads and has heard all machines. */
+  private async timeTakeover(except: ControllerProcess | null = null): Promise<void> {
+    const { controllers } = this.targets.cluster;
+    const began = performance.now();
+    while (performance.now() - began < TAKEOVER_MAX_S * 1000) {
+      await sleep(TAKEOVER_LOOK_MS);
+      const others = controllers.all.filter((other) => other !== except && other.process !== null);
+      if ((await controllers.leaderOf(others)) !== null) break;
+    }
+    this.takeoversS.push((performance.now() - began) / 1000);
+  }
+}
--- a/scripts/experiments/scale/services-process.ts
+++ b/scripts/experiments/scale/services-process.ts
@@ -1,4 +1,4 @@
-// The process that plays the state service and the cloud of the scale drill. Machines that it rents live in other processes.
+// The process that plays the key-value store and the cloud of the scale experiment. Machines that it rents live in others.
 import {
   type CloudMachine,
   type CloudPlace,
@@ -10,9 +10,9 @@
 import type { ListedMachine } from '../../../src/core/base/model.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
 import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
-import { endWithParent, type FromServices, type ToServices, tell } from './messages.ts';
+import { endWithParent, type FromServices, sendToParent, type ToServices } from './messages.ts';
 
-/** A machine whose worker lives in a hollow host. */
+/** A machine whose worker lives in the process of a host. */
 class RemoteMachine implements CloudMachine {
   addr = '';
   private up = false;
@@ -36,14 +36,15 @@
 
   boot(): void {
     this.up = true;
-    tell<FromServices>({ kind: 'boot', id: this.id });
+    sendToParent<FromServices>({ kind: 'boot', id: this.id });
   }
 
   die(): void {
-    tell<FromServices>({ kind: 'released', id: this.id });
+    sendToParent<FromServices>({ kind: 'released', id: this.id });
   }
 }
 
+/** The key-value store and the cloud. */
 class Services implements CloudPlace {
   readonly workers = new Map<string, RemoteMachine>();
   private readonly outside: OutsideServices;
@@ -61,40 +62,42 @@
   }
 
   machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): RemoteMachine {
-    const m = new RemoteMachine(id, type, zone, spot, this.now);
-    this.workers.set(id, m);
-    tell<FromServices>({ kind: 'rented', machine: { id, type, zone, spot } });
-    return m;
+    const machine = new RemoteMachine(id, type, zone, spot, this.now);
+    this.workers.set(id, machine);
+    sendToParent<FromServices>({ kind: 'rented', machine: { id, type, zone, spot } });
+    return machine;
   }
 
+  /** Begins to serve, and tells the parent process where. */
   async begin(): Promise<void> {
     const state: Listening = await listen(0, this.outside.serveState);
     const cloud: Listening = await listen(0, this.outside.serveCloud);
-    tell<FromServices>({ kind: 'ready', state: state.addr, cloud: cloud.addr });
+    sendToParent<FromServices>({ kind: 'ready', state: state.addr, cloud: cloud.addr });
   }
 
-  take(m: Exclude<ToServices, { kind: 'begin' }>): void {
-    switch (m.kind) {
+  /** Carries out a message of the parent process. */
+  onMessage(message: Exclude<ToServices, { kind: 'begin' }>): void {
+    switch (message.kind) {
       case 'listening': {
-        const machine = this.workers.get(m.id);
-        if (machine !== undefined) machine.addr = m.addr;
+        const machine = this.workers.get(message.id);
+        if (machine !== undefined) machine.addr = message.addr;
         return;
       }
       case 'lost':
-        for (const id of m.ids) this.workers.delete(id);
+        for (const id of message.ids) this.workers.delete(id);
         return;
       case 'outage':
-        return this.outside.state.outage(m.seconds);
+        return this.outside.state.outage(message.seconds);
       case 'count':
-        return tell<FromServices>({ kind: 'counts', counts: { ...this.outside.counts } });
+        return sendToParent<FromServices>({ kind: 'counts', counts: { ...this.outside.counts } });
     }
   }
 }
 
 endWithParent();
 let services: Services | null = null;
-process.on('message', (m: ToServices) => {
-  if (m.kind !== 'begin') return services?.take(m);
-  services = new Services(m.options);
+process.on('message', (message: ToServices) => {
+  if (message.kind !== 'begin') return services?.onMessage(message);
+  services = new Services(message.options);
   services.begin();
 });
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -186,7 +186,7 @@
       process.stdout.write(`not run ${series} ${x}: ${why}\n`);
       continue;
     }
-    progress(`trouble: none; ${series} ${x}`);
+    progress(`fault: none; ${series} ${x}`);
     const result = await ScaleRun.play(setup, progress, onCluster);
     points.push({ series, x, result });
     broken += result.broken.length;
--- /dev/null
+++ b/scripts/experiments/scale/users.ts
@@ -0,0 +1,279 @@
+// The users of the scale experiment: they submit jobs over time, ask about them, and note what they are told.
+import { build as histogram } from 'hdr-histogram-js';
+import { bodyOf } from '../../../packages/client/src/request.ts';
+import type { JobSpec, UserRequest, UserResponse } from '../../../src/core/base/model.ts';
+import { parseJob } from '../../../src/protocol/job.ts';
+import {
+  cancelCall,
+  decodeJobStatus,
+  statusCall,
+  submitCall,
+  type UserCall,
+} from '../../../src/protocol/user.ts';
+import { seededRandom } from '../../../src/runtime/random.ts';
+import { type JobId, parseTaskId, type TaskId } from '../../../src/types/index.ts';
+import type { ScaleCluster } from './cluster.ts';
+import type { Judge } from './placements.ts';
+import { wallClock } from './time.ts';
+import { type Demand, type DrawnJob, drawBetween, JobGenerator, type TeamLimits } from './workload.ts';
+
+/** At first so many pairs of arrays are submitted, one after the other. */
+const FIRST_PAIRS = 40;
+const FIRST_PAIR_INTERVAL_MS = 150;
+const FIRST_RUN_S = 10;
+/** Arrays a second in a burst. */
+const BURST_ARRAYS = 2;
+const CANCELLED_PART = 0.03;
+
+const POLL_INTERVAL_MS = 5000;
+const RETRY_DELAY_MS = 1000;
+const STATUS_TIMEOUT_MS = 2000;
+const CHANGE_TIMEOUT_MS = 5000;
+/** Users give up on a submission after this. */
+const PATIENCE_MS = 60_000;
+
+/** A job as its user sees it. */
+interface UserJob {
+  spec: JobSpec;
+  body: string;
+  submittedAt: number;
+  accepted: boolean;
+  /** It is done, cancelled, refused, or its user has given up. */
+  over: boolean;
+}
+
+/** What users have done and were told. */
+export interface UserFigures {
+  submitted: number;
+  accepted: number;
+  refused: number;
+  gaveUp: number;
+  done: number;
+  cancelled: number;
+  requests: number;
+  unanswered: number;
+}
+
+/** All users of a cluster. */
+export class Users {
+  readonly figures: UserFigures = {
+    submitted: 0,
+    accepted: 0,
+    refused: 0,
+    gaveUp: 0,
+    done: 0,
+    cancelled: 0,
+    requests: 0,
+    unanswered: 0,
+  };
+  /** From the submission of an urgent job to the start of its task, in milliseconds. */
+  readonly urgent = histogram({ numberOfSignificantValueDigits: 3 });
+  private readonly jobs = new Map<string, UserJob>();
+  private readonly startedUrgent = new Set<string>();
+  private readonly random: ReturnType<typeof seededRandom>;
+  private readonly generator: JobGenerator;
+  private readonly timers = new Set<NodeJS.Timeout>();
+  private nextNode = 0;
+  private isStopped = false;
+
+  constructor(
+    private readonly cluster: ScaleCluster,
+    private readonly judge: Judge,
+    private readonly demand: Demand,
+    teams: readonly TeamLimits[],
+    seed: number,
+  ) {
+    this.random = seededRandom(seed);
+    this.generator = new JobGenerator(demand, teams, this.random);
+    judge.onStart = (task, at) => this.onTaskStart(task, at);
+  }
+
+  /** What is known of a job that was submitted. */
+  specOf(job: string): JobSpec | undefined {
+    return this.jobs.get(job)?.spec;
+  }
+
+  /** Jobs that were accepted and are not over. */
+  get open(): number {
+    let open = 0;
+    for (const job of this.jobs.values()) if (job.accepted && !job.over) open++;
+    return open;
+  }
+
+  /** Submits jobs from now on. */
+  begin(): void {
+    const { demand, generator } = this;
+    this.fill();
+    this.repeat(generator.arrayPairsPerS, () => this.submitArrays());
+    this.repeat(generator.gangsPerS, () => this.submit(generator.drawGang()));
+    this.repeat(demand.urgentPerS, () => this.submit(generator.drawUrgent()));
+    if (demand.waitingJobs > 0) this.submit(generator.drawWaiting('service'));
+    for (let i = 0; i < demand.waitingJobs; i++)
+      this.after(drawBetween(this.random, 5000, 30_000), () => this.submit(generator.drawWaiting('array')));
+  }
+
+  /** So many starts a second of short tasks, for so long. */
+  burst(startsPerS: number, seconds: number): void {
+    const tasks = Math.round(startsPerS / BURST_ARRAYS);
+    for (let i = 0; i < seconds * BURST_ARRAYS; i++)
+      this.after((i * 1000) / BURST_ARRAYS, () => this.submit(this.generator.drawBurst(i, tasks)));
+  }
+
+  /** Does nothing from now on. */
+  stop(): void {
+    this.isStopped = true;
+    for (const timer of this.timers) clearTimeout(timer);
+  }
+
+  private after(ms: number, run: () => void): void {
+    const timer = setTimeout(() => {
+      this.timers.delete(timer);
+      if (!this.isStopped) run();
+    }, ms);
+    this.timers.add(timer);
+  }
+
+  /** Calls again and again, so many times a second in the mean. */
+  private repeat(perS: number, run: () => void): void {
+    if (perS <= 0) return;
+    const next = (): void => {
+      run();
+      this.after((1000 / perS) * drawBetween(this.random, 0.5, 1.5), next);
+    };
+    this.after((1000 / perS) * drawBetween(this.random, 0, 1), next);
+  }
+
+  // ---- submissions
+
+  /** As much as runs in the mean, with ends spread over the time that a task runs. */
+  private fill(): void {
+    const tasks = this.demand.running / FIRST_PAIRS;
+    for (let i = 0; i < FIRST_PAIRS; i++)
+      this.after(i * FIRST_PAIR_INTERVAL_MS, () => {
+        const runS = (this.generator.arrayRunS * (i + 1)) / FIRST_PAIRS + FIRST_RUN_S;
+        for (const drawn of this.generator.arraysOf(tasks, runS)) this.submit(drawn);
+      });
+  }
+
+  /** A pair of arrays; the larger one may be cancelled. */
+  private submitArrays(): void {
+    const [onAccelerators, plain] = this.generator.drawArrays();
+    this.submit(onAccelerators);
+    const job = this.submit(plain);
+    if (this.random.below(1000) < CANCELLED_PART * 1000)
+      this.after(drawBetween(this.random, 5000, 60_000), () => this.cancel(job));
+  }
+
+  private submit({ request, runS }: DrawnJob): UserJob {
+    const id = `run-${String(++this.figures.submitted).padStart(6, '0')}`;
+    const body = bodyOf(id, request);
+    const spec = parseJob(JSON.parse(body));
+    const job: UserJob = { spec, body, submittedAt: wallClock(), accepted: false, over: false };
+    this.jobs.set(id, job);
+    const { kind, tasks, cpus, gpus, memoryGb } = spec;
+    this.cluster.describe([{ id, kind, tasks, cpus, gpus, memoryGb, runMs: runS * 1000 }]);
+    this.insist(job, { op: 'submit', spec });
+    return job;
+  }
+
+  private cancel(job: UserJob): void {
+    if (!job.over) this.insist(job, { op: 'cancel', id: job.spec.id });
+  }
+
+  // ---- requests and responses
+
+  /** Sends a request once; `onResponse` gets null if there was no response that says anything. */
+  private ask(job: UserJob, request: UserRequest, onResponse: (response: UserResponse | null) => void): void {
+    const sentAt = wallClock();
+    const nodes = this.cluster.controllers.all;
+    const node = nodes[this.nextNode++ % nodes.length]!;
+    const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
+    this.figures.requests++;
+    this.judge.see([{ at: sentAt, kind: 'asked', request }]);
+    node.client.call({ ...callOf(job, request), timeoutMs }, (reply) => {
+      if (this.isStopped) return;
+      const body = reply?.body.toString('utf8') ?? '';
+      const response = reply === null ? null : responseOf(job.spec.id, request, reply.status, body);
+      if (response === null) this.figures.unanswered++;
+      else this.judge.see([{ at: wallClock(), kind: 'told', sentAt, request, answer: response }]);
+      onResponse(response);
+    });
+  }
+
+  /** Repeated until it is answered; a submission as long as its user would wait. */
+  private insist(job: UserJob, request: UserRequest): void {
+    this.ask(job, request, (response) => {
+      if (response !== null && response.kind !== 'retry') return this.onResponse(job, request, response);
+      if (request.op === 'cancel' || wallClock() - job.submittedAt < PATIENCE_MS)
+        return this.after(RETRY_DELAY_MS, () => this.insist(job, request));
+      this.figures.gaveUp++;
+      job.over = true;
+    });
+  }
+
+  private onResponse(job: UserJob, request: UserRequest, response: UserResponse): void {
+    if (response.kind === 'impossible' || response.kind === 'too-large' || response.kind === 'not-found') {
+      this.figures.refused++;
+      job.over = true;
+      return;
+    }
+    if (request.op === 'submit' && !job.accepted) {
+      job.accepted = true;
+      this.figures.accepted++;
+      this.after(drawBetween(this.random, 0, POLL_INTERVAL_MS), () => this.poll(job));
+    }
+    if ('status' in response && (response.status === 'done' || response.status === 'cancelled'))
+      this.close(job, response.status);
+  }
+
+  private close(job: UserJob, status: 'done' | 'cancelled'): void {
+    if (job.over) return;
+    job.over = true;
+    this.figures[status]++;
+    this.cluster.forget([job.spec.id]);
+  }
+
+  private poll(job: UserJob): void {
+    if (job.over) return;
+    const request: UserRequest = { op: 'status', id: job.spec.id };
+    this.ask(job, request, (response) => {
+      if (response !== null && response.kind !== 'retry') this.onResponse(job, request, response);
+      this.after(POLL_INTERVAL_MS, () => this.poll(job));
+    });
+  }
+
+  private onTaskStart(task: string, at: number): void {
+    const job = this.jobs.get(parseTaskId(task as TaskId).job);
+    if (job?.spec.class !== 'urgent' || this.startedUrgent.has(task)) return;
+    this.startedUrgent.add(task);
+    this.urgent.recordValue(Math.max(1, Math.round(at - job.submittedAt)));
+  }
+}
+
+function callOf(job: UserJob, request: UserRequest): UserCall {
+  switch (request.op) {
+    case 'submit':
+      return submitCall(job.body);
+    case 'status':
+      return statusCall(request.id);
+    case 'cancel':
+      return cancelCall(request.id);
+  }
+}
+
+/** Null: a response that says nothing, which a user takes as none. */
+function responseOf(id: JobId, request: UserRequest, status: number, body: string): UserResponse | null {
+  if (status === 404) return { kind: 'not-found' };
+  if (status === 400) return { kind: 'too-large', reason: body };
+  if (status === 422) return { kind: 'impossible', reason: body };
+  if (status !== 200 && status !== 201) return { kind: 'retry', afterS: 1, reason: body, overload: false };
+  try {
+    const jobStatus = decodeJobStatus(body);
+    if (jobStatus.status === 'done' || jobStatus.status === 'cancelled')
+      return { kind: 'ended', id, status: jobStatus.status };
+    if (request.op !== 'submit') return { kind: 'status', id, ...jobStatus };
+    return status === 201 ? { kind: 'accepted', id } : { kind: 'known', id, status: jobStatus.status };
+  } catch {
+    return null;
+  }
+}
--- /dev/null
+++ b/scripts/experiments/scale/worker-process.ts
@@ -0,0 +1,201 @@
+// A process that hosts simulated workers: each speaks the worker's protocol in full, over sockets of its own, and runs nothing.
+
+import {
+  FakeWorker,
+  type RunningTask,
+  type WorkerEnvironment,
+} from '../../../packages/local-cluster/src/fake-worker.ts';
+import { type Listening, listen, error as refuse } from '../../../packages/local-cluster/src/index.ts';
+import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
+import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
+import { HttpClient } from '../../../src/http/client.ts';
+import {
+  decodeCommands,
+  decodeHeartbeatResponse,
+  encodeHeartbeat,
+} from '../../../src/protocol/server-side.ts';
+import { seededRandom } from '../../../src/runtime/random.ts';
+import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import { HostTasks } from './host-tasks.ts';
+import {
+  endWithParent,
+  type FromHost,
+  type HostCounts,
+  type RentedMachine,
+  sendToParent,
+  type ToHost,
+} from './messages.ts';
+
+const RESPONSE_MAX_BYTES = 4 << 20;
+/** Head of a heartbeat and of its response. */
+const HEADS_BYTES = 260;
+
+/** A node that workers report to. */
+interface HostNode {
+  name: string;
+  addr: string;
+}
+
+/** A worker's own connection to the node that it reports to. */
+interface NodeConnection {
+  node: string;
+  client: HttpClient;
+}
+
+/** The simulated workers of this process. */
+class WorkerHost implements WorkerEnvironment {
+  readonly reportMs: number;
+  readonly leaseMs: number;
+  readonly nodeNames: string[];
+  private readonly addresses: Map<string, string>;
+  private readonly workers = new Map<string, FakeWorker>();
+  private readonly servers = new Map<string, Listening>();
+  private readonly connections = new Map<string, NodeConnection>();
+  /** When zones that are cut off are back. */
+  private readonly cutUntil = new Map<string, number>();
+  private readonly random: ReturnType<typeof seededRandom>;
+  private readonly tasks: HostTasks;
+  private readonly counts: HostCounts = { workers: 0, reports: 0, bytes: 0, lostByLease: 0 };
+
+  constructor({ workers }: LocalClusterOptions, nodes: readonly HostNode[], seed: number) {
+    this.reportMs = workers.report_s * 1000;
+    this.leaseMs = workers.lease_s * 1000;
+    this.nodeNames = nodes.map((node) => node.name);
+    this.addresses = new Map(nodes.map((node) => [node.name, node.addr]));
+    this.random = seededRandom(seed);
+    this.tasks = new HostTasks(this, workers.gang_wait_s * 1000);
+  }
+
+  get now(): number {
+    return performance.timeOrigin + performance.now();
+  }
+
+  after(ms: number, run: () => void): void {
+    setTimeout(run, ms);
+  }
+
+  /** Carries out a message of the parent process. */
+  onMessage(message: Exclude<ToHost, { kind: 'begin' }>): void {
+    switch (message.kind) {
+      case 'machine':
+        return this.addWorker(message.machine);
+      case 'boot':
+        return this.workers.get(message.id)?.boot();
+      case 'die':
+        return this.workers.get(message.id)?.die();
+      case 'restart':
+        return this.workers.get(message.id)?.restart();
+      case 'cut':
+        return void this.cutUntil.set(message.zone, this.now + message.ms);
+      case 'jobs':
+        return this.tasks.describe(message.jobs);
+      case 'forget-jobs':
+        return this.tasks.forget(message.ids);
+      case 'gang':
+        return this.tasks.onGang(message.key, message.what);
+      case 'count': {
+        const counts = { ...this.counts, workers: this.workers.size };
+        return sendToParent<FromHost>({ kind: 'counts', counts });
+      }
+    }
+  }
+
+  // ---- machines
+
+  private addWorker({ id, type, zone, spot }: RentedMachine): void {
+    const firstNode = this.random.below(this.nodeNames.length);
+    const worker = new FakeWorker(this, id as MachineId, type as TypeName, zone as ZoneName, spot, firstNode);
+    this.workers.set(id, worker);
+    listen(0, (method, path, body, respond) => {
+      if (!worker.up) return respond(refuse(503, 'it is not up yet'));
+      if (method !== 'POST' || path !== '/orders') return respond(refuse(404, 'no such path'));
+      const { token, session, commands } = decodeCommands(body);
+      if (session === null) return respond(refuse(400, 'the session is missing'));
+      if (this.isCut(worker)) return;
+      worker.orders(token, session, commands, (reply) => {
+        if (reply.kind === 'heartbeat')
+          respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
+      });
+    }).then((server) => this.onListening(worker, server));
+  }
+
+  private onListening(worker: FakeWorker, server: Listening): void {
+    worker.addr = server.addr;
+    if (worker.dead) return server.close();
+    this.servers.set(worker.id, server);
+    sendToParent<FromHost>({ kind: 'listening', id: worker.id, addr: server.addr });
+  }
+
+  gone(worker: FakeWorker): void {
+    this.counts.lostByLease += worker.lostByLease;
+    this.servers.get(worker.id)?.close();
+    this.servers.delete(worker.id);
+    this.connections.get(worker.id)?.client.close();
+    this.connections.delete(worker.id);
+    this.workers.delete(worker.id);
+  }
+
+  private isCut(worker: FakeWorker): boolean {
+    return this.now < (this.cutUntil.get(worker.zone) ?? 0);
+  }
+
+  private clientOf(worker: FakeWorker, node: string): HttpClient {
+    const connection = this.connections.get(worker.id);
+    if (connection?.node === node) return connection.client;
+    connection?.client.close();
+    const client = new HttpClient(this.addresses.get(node)!, 1, RESPONSE_MAX_BYTES);
+    this.connections.set(worker.id, { node, client });
+    return client;
+  }
+
+  sendReport(
+    worker: FakeWorker,
+    node: string,
+    heartbeat: Heartbeat,
+    timeoutMs: number,
+    onReply: (response: HeartbeatResponse | null) => void,
+  ): void {
+    if (this.isCut(worker)) return this.after(timeoutMs, () => onReply(null));
+    const body = encodeHeartbeat(heartbeat);
+    this.counts.reports++;
+    this.counts.bytes += body.length + HEADS_BYTES;
+    const request = { method: 'POST', path: '/checkin', body, timeoutMs } as const;
+    this.clientOf(worker, node).call(request, (reply) => {
+      this.counts.bytes += reply?.body.length ?? 0;
+      if (!worker.dead) onReply(reply === null ? null : decodeResponse(reply.status, reply.body));
+    });
+  }
+
+  // ---- tasks
+
+  placed(worker: FakeWorker, task: TaskId): void {
+    this.tasks.onPlaced(worker, task);
+  }
+
+  launch(
+    worker: FakeWorker,
+    task: TaskId,
+    attempt: number,
+    onExit: (reason: ExitReason) => void,
+    onState: (state: 'waiting' | 'running') => void,
+  ): RunningTask {
+    return this.tasks.launch(worker, task, attempt, onExit, onState);
+  }
+}
+
+/** Null for a response that can't be read, which a worker takes as none. */
+function decodeResponse(status: number, body: Buffer): HeartbeatResponse | null {
+  try {
+    return decodeHeartbeatResponse(status, JSON.parse(body.toString('utf8')));
+  } catch {
+    return null;
+  }
+}
+
+endWithParent();
+let host: WorkerHost | null = null;
+process.on('message', (message: ToHost) => {
+  if (message.kind !== 'begin') return host?.onMessage(message);
+  host = new WorkerHost(message.options, message.nodes, message.seed);
+  sendToParent<FromHost>({ kind: 'ready' });
+});
