--- a/src/core/autoscaling/zone-reachability.ts
+++ b/src/core/autoscaling/zone-reachability.ts
@@ -3,6 +3,7 @@
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Machine } from '../machines/machine.ts';
+import { CordonReason } from '../machines/machine-state-updater.ts';
 
 /** A zone is unreachable when more than this fraction of its machines, and at least so many, are silent. */
 const MAX_SILENT_FRACTION = 0.7;
@@ -56,7 +57,7 @@
     if (!machine.isUp || machine.isReleasing) continue;
     const heartbeats = zones.get(machine.zone) ?? { heard: 0, silent: 0 };
     zones.set(machine.zone, heartbeats);
-    if (machine.isOverdue || machine.drainReason === 'silent') heartbeats.silent++;
+    if (machine.isOverdue || machine.drainReason === CordonReason.silent) heartbeats.silent++;
     else heartbeats.heard++;
   }
   return zones;
--- a/src/core/jobs/placement-constraints.ts
+++ b/src/core/jobs/placement-constraints.ts
@@ -1,10 +1,9 @@
 // What the tasks of a job need, and where they may run, from its specification alone.
 import type { JobSpec, MachineType } from '../base/model.ts';
+import { tasksFittingResource } from './task-capacity.ts';
 
 /** Of a type on which a task takes nothing that is limited, this many tasks are counted for one machine. */
 const UNLIMITED_TASKS = 1000;
-/** Guards divisions of decimal fractions against rounding down by one. */
-const EPSILON = 1e-9;
 
 /** Whether all tasks must run at once. */
 export const isGang = (spec: JobSpec): boolean => spec.kind === 'gang' && spec.tasks > 1;
@@ -20,16 +19,13 @@
 /** How many of the job's tasks an empty machine of the type has capacity for. */
 export function tasksPerMachine(type: MachineType, spec: JobSpec): number {
   const tasks = Math.min(
-    tasksThatFit(type.cpus, spec.cpus),
-    tasksThatFit(type.gpus, spec.gpus),
-    tasksThatFit(type.memoryGb, spec.memoryGb),
+    tasksFittingResource(type.cpus, spec.cpus),
+    tasksFittingResource(type.gpus, spec.gpus),
+    tasksFittingResource(type.memoryGb, spec.memoryGb),
   );
   return Number.isFinite(tasks) ? tasks : UNLIMITED_TASKS;
 }
 
-const tasksThatFit = (capacity: number, perTask: number): number =>
-  perTask <= 0 ? Number.POSITIVE_INFINITY : Math.floor((capacity + EPSILON) / perTask);
-
 /** Whether an empty machine of any of the types could run a task of the job. */
 export const canEverRun = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
   for (const type of types) if (typeFits(type, spec)) return true;
--- a/src/core/leader/machine-reconciliation.ts
+++ b/src/core/leader/machine-reconciliation.ts
@@ -3,6 +3,7 @@
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, WorkerReply } from '../base/model.ts';
 import type { JobTable } from '../jobs/job-table.ts';
+import { MAX_HEARTBEAT_INTERVALS } from '../machines/lease-monitor.ts';
 import type { Machine } from '../machines/machine.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
 
@@ -13,8 +14,6 @@
 const FEW_MACHINES_FRACTION = 0.01;
 /** An agent whose controller has gone waits for 4 s, and 1 s more before it tries the next. */
 const AGENT_RETRY_MS = 5500;
-/** A few machines are given up when they miss one heartbeat, which may be this many intervals apart. */
-const HEARTBEAT_INTERVAL_MAX_FACTOR = 1.25;
 /** More machines are given several intervals, and at least so long, as something else may keep them away. */
 const MANY_MACHINES_INTERVALS = 3;
 const MANY_MACHINES_MIN_MS = 8000;
@@ -85,7 +84,7 @@
   private silenceTimeoutMs(silentCount: number): number {
     const heartbeatMs = this.settings.workers.heartbeatS * 1000;
     const isFew = silentCount <= Math.max(1, this.machines.byId.size * FEW_MACHINES_FRACTION);
-    if (isFew) return heartbeatMs * HEARTBEAT_INTERVAL_MAX_FACTOR + AGENT_RETRY_MS;
+    if (isFew) return heartbeatMs * MAX_HEARTBEAT_INTERVALS + AGENT_RETRY_MS;
     return Math.max(MANY_MACHINES_INTERVALS * heartbeatMs, MANY_MACHINES_MIN_MS) + MANY_MACHINES_MARGIN_MS;
   }
 
