--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -94,23 +94,32 @@
       return 0;
     }
     const limit = Math.min(allowed, maxTasks);
+    const placed = this.placeWhileFound(job, limit, isZoneBound);
+    const foundNoMachine = placed < limit && job.nextWaitingTask() >= 0;
+    if (foundNoMachine) {
+      if (mayReserve) this.reserve(job, allowed);
+      if (!isZoneBound && job.failedOn.size === 0) this.unplaceable.add(job, kind);
+    }
+    return placed;
+  }
+
+  /** Places up to `maxTasks` waiting tasks, one after the other, until no machine is found; returns how many. */
+  private placeWhileFound(job: Job, maxTasks: number, isZoneBound: boolean): number {
     let placed = 0;
-    while (placed < limit) {
-      const index = job.nextWaitingTask();
-      if (index < 0) return placed;
+    while (placed < maxTasks && job.nextWaitingTask() >= 0) {
       const machine = this.chooseMachine(job, isZoneBound);
-      if (machine === null) {
-        if (mayReserve) this.reserve(job, allowed);
-        if (!isZoneBound && job.failedOn.size === 0) this.unplaceable.add(job, kind);
-        return placed;
-      }
-      this.queuing.enqueue(machine, job, index, this.queuing.nextAttempt());
+      if (machine === null) return placed;
+      this.enqueueNext(machine, job);
       placed++;
-      if (!isZoneBound) placed += this.placeOnSame(machine, job, limit - placed);
+      if (!isZoneBound) placed += this.placeOnSame(machine, job, maxTasks - placed);
     }
     return placed;
   }
 
+  private enqueueNext(machine: Machine, job: Job): void {
+    this.queuing.enqueue(machine, job, job.nextWaitingTask(), this.queuing.nextAttempt());
+  }
+
   private reserve(job: Job, allowedTasks: number): void {
     this.reservations.reserve(job, Math.min(allowedTasks, job.waitingTasks), null);
   }
@@ -118,10 +127,8 @@
   /** Fuller machines score better, so a search for the job's next task would find the same machine again. */
   private placeOnSame(machine: Machine, job: Job, maxTasks: number): number {
     let placed = 0;
-    while (placed < maxTasks && this.isSuitable(machine, job)) {
-      const index = job.nextWaitingTask();
-      if (index < 0) return placed;
-      this.queuing.enqueue(machine, job, index, this.queuing.nextAttempt());
+    while (placed < maxTasks && this.isSuitable(machine, job) && job.nextWaitingTask() >= 0) {
+      this.enqueueNext(machine, job);
       placed++;
     }
     return placed;
--- a/src/protocol/peer-decoder.ts
+++ b/src/protocol/peer-decoder.ts
@@ -50,11 +50,12 @@
     const heartbeat = decodeRelayedHeartbeat(JSON.parse(relay.report ?? ''));
     return { kind: 'relayed-heartbeat', id: relay.id ?? 0, heartbeat };
   }
-  if (relayed) {
-    const response = relayed.answer ? decodeRelayedResponse(JSON.parse(relayed.answer)) : null;
-    return { kind: 'relayed-heartbeat-response', id: relayed.id ?? 0, response };
-  }
-  return null;
+  return relayed ? decodeRelayedMessage(relayed) : null;
+}
+
+function decodeRelayedMessage({ id, answer }: swiftford.peer.IRelayed): PeerMessage {
+  const response = answer ? decodeRelayedResponse(JSON.parse(answer)) : null;
+  return { kind: 'relayed-heartbeat-response', id: id ?? 0, response };
 }
 
 /** Reads messages from a stream of bytes. */
