--- a/src/protocol/peer-decoder.ts
+++ b/src/protocol/peer-decoder.ts
@@ -27,35 +27,53 @@
 import { COMMAND_OPS, EXIT_REASONS, TASK_STATES } from './peer-names.ts';
 import { decodeRelayedHeartbeat, decodeRelayedResponse } from './relay.ts';
 
-const { Envelope, Ask, Reply, Fronted } = swiftford.peer;
+const { Envelope } = swiftford.peer;
+const { Op } = swiftford.peer.UserRequest;
+const { Kind: ResponseKind } = swiftford.peer.UserResponse;
+const { Kind: ForwardedKind } = swiftford.peer.ForwardedHeartbeatResponse;
 
 /**
  * Reads the body of a frame; null if it is of a kind that this version does not know.
  * Throws an error if it is damaged, or if no version of this program would have sent it.
  */
 export function decodePeerMessage(body: Uint8Array): PeerMessage | null {
-  const { hello, load, front, fronted, ask, reply, relay, relayed } = Envelope.decode(body);
+  const envelope = Envelope.decode(body);
+  const { hello, load, forwardedHeartbeat, forwardedHeartbeatResponse } = envelope;
   if (hello) return decodeHello(hello);
   if (load) return decodeLoad(load);
-  if (front) {
-    return { kind: 'forwarded-heartbeat', id: front.id ?? 0, heartbeat: decodeForwardedHeartbeat(front) };
+  if (forwardedHeartbeat) {
+    const heartbeat = decodeForwardedHeartbeat(forwardedHeartbeat);
+    return { kind: 'forwarded-heartbeat', id: forwardedHeartbeat.id ?? 0, heartbeat };
   }
-  if (fronted) {
-    const response = decodeForwardedResponse(fronted);
-    return { kind: 'forwarded-heartbeat-response', id: fronted.id ?? 0, response };
+  if (forwardedHeartbeatResponse) {
+    const response = decodeForwardedResponse(forwardedHeartbeatResponse);
+    return { kind: 'forwarded-heartbeat-response', id: forwardedHeartbeatResponse.id ?? 0, response };
   }
-  if (ask) return { kind: 'user-request', id: ask.id ?? 0, request: decodeUserRequest(ask) };
-  if (reply) return { kind: 'user-response', id: reply.id ?? 0, response: decodeUserResponse(reply) };
-  if (relay) {
-    const heartbeat = decodeRelayedHeartbeat(JSON.parse(relay.report ?? ''));
-    return { kind: 'relayed-heartbeat', id: relay.id ?? 0, heartbeat };
+  return decodeUserMessage(envelope) ?? decodeRelayedMessage(envelope);
+}
+
+function decodeUserMessage({ userRequest, userResponse }: swiftford.peer.IEnvelope): PeerMessage | null {
+  if (userRequest) {
+    return { kind: 'user-request', id: userRequest.id ?? 0, request: decodeUserRequest(userRequest) };
+  }
+  if (userResponse) {
+    return { kind: 'user-response', id: userResponse.id ?? 0, response: decodeUserResponse(userResponse) };
   }
-  return relayed ? decodeRelayedMessage(relayed) : null;
+  return null;
 }
 
-function decodeRelayedMessage({ id, answer }: swiftford.peer.IRelayed): PeerMessage {
-  const response = answer ? decodeRelayedResponse(JSON.parse(answer)) : null;
-  return { kind: 'relayed-heartbeat-response', id: id ?? 0, response };
+function decodeRelayedMessage(envelope: swiftford.peer.IEnvelope): PeerMessage | null {
+  const { relayedHeartbeat: relayed, relayedHeartbeatResponse: relayedResponse } = envelope;
+  if (relayed) {
+    const heartbeat = decodeRelayedHeartbeat(JSON.parse(relayed.heartbeat ?? ''));
+    return { kind: 'relayed-heartbeat', id: relayed.id ?? 0, heartbeat };
+  }
+  if (relayedResponse) {
+    const json = relayedResponse.response;
+    const response = json ? decodeRelayedResponse(JSON.parse(json)) : null;
+    return { kind: 'relayed-heartbeat-response', id: relayedResponse.id ?? 0, response };
+  }
+  return null;
 }
 
 /** Reads messages from a stream of bytes. */
@@ -71,10 +89,10 @@
 const decodeHello = (hello: swiftford.peer.IHello): PeerMessage => ({
   kind: 'hello',
   node: hello.node as NodeId,
-  leaderTerm: Number(hello.owner ?? 0) as Revision,
-  supportsDependencies: hello.chains === true,
-  supportsForwarding: hello.fronts === true,
-  supportsConfigDocuments: hello.documents === true,
+  leaderTerm: Number(hello.leaderTerm ?? 0) as Revision,
+  supportsDependencies: hello.supportsDependencies === true,
+  supportsForwarding: hello.supportsForwarding === true,
+  supportsConfigDocuments: hello.supportsConfigDocuments === true,
 });
 
 const decodeLoad = (load: swiftford.peer.ILoad): PeerMessage => ({
@@ -83,116 +101,120 @@
   afterS: load.afterS ?? 1,
   workers: load.workers ?? 0,
   backlogS: load.backlogS ?? 0,
-  memoryShort: load.short ?? false,
-  configRevision: Number(load.config ?? 0) as Revision,
-  leaderTerm: Number(load.owner ?? 0) as Revision,
+  memoryShort: load.memoryShort ?? false,
+  configRevision: Number(load.configRevision ?? 0) as Revision,
+  leaderTerm: Number(load.leaderTerm ?? 0) as Revision,
 });
 
-function decodeUserRequest(ask: swiftford.peer.IAsk): UserRequest {
-  const id = (ask.job ?? '') as JobId;
-  if (ask.op === Ask.Op.STATUS) return { op: 'status', id };
-  if (ask.op === Ask.Op.CANCEL) return { op: 'cancel', id };
-  return { op: 'submit', spec: decodeJobSpec(JSON.parse(ask.spec ?? '') as StoredJobSpec) };
+function decodeUserRequest(request: swiftford.peer.IUserRequest): UserRequest {
+  const id = (request.job ?? '') as JobId;
+  if (request.op === Op.STATUS) return { op: 'status', id };
+  if (request.op === Op.CANCEL) return { op: 'cancel', id };
+  return { op: 'submit', spec: decodeJobSpec(JSON.parse(request.spec ?? '') as StoredJobSpec) };
 }
 
-function decodeUserResponse(reply: swiftford.peer.IReply): UserResponse | null {
-  const { Kind } = Reply;
-  const id = (reply.job ?? '') as JobId;
-  const status = (reply.status ?? 'queued') as JobStatus;
-  const reason = reply.reason ?? '';
-  switch (reply.kind) {
-    case Kind.ACCEPTED:
+function decodeUserResponse(response: swiftford.peer.IUserResponse): UserResponse | null {
+  const id = (response.job ?? '') as JobId;
+  const status = (response.status ?? 'queued') as JobStatus;
+  const reason = response.reason ?? '';
+  switch (response.kind) {
+    case ResponseKind.ACCEPTED:
       return { kind: 'accepted', id };
-    case Kind.KNOWN:
+    case ResponseKind.KNOWN:
       return { kind: 'known', id, status };
-    case Kind.ENDED:
+    case ResponseKind.ENDED:
       return { kind: 'ended', id, status: status === 'done' ? 'done' : 'cancelled' };
-    case Kind.STATUS:
-      return decodeJobStatus(reply, id, status);
-    case Kind.TOO_LARGE:
+    case ResponseKind.STATUS:
+      return decodeJobStatus(response, id, status);
+    case ResponseKind.TOO_LARGE:
       return { kind: 'too-large', reason };
-    case Kind.IMPOSSIBLE:
+    case ResponseKind.IMPOSSIBLE:
       return { kind: 'impossible', reason };
-    case Kind.NOT_FOUND:
+    case ResponseKind.NOT_FOUND:
       return { kind: 'not-found' };
-    case Kind.RETRY:
-      return { kind: 'retry', afterS: reply.afterS ?? 1, reason, overload: reply.overload ?? false };
+    case ResponseKind.RETRY:
+      return { kind: 'retry', afterS: response.afterS ?? 1, reason, overload: response.overload ?? false };
     default:
       return null;
   }
 }
 
-const decodeJobStatus = (reply: swiftford.peer.IReply, id: JobId, status: JobStatus): UserResponse => ({
+const decodeJobStatus = (
+  response: swiftford.peer.IUserResponse,
+  id: JobId,
+  status: JobStatus,
+): UserResponse => ({
   kind: 'status',
   id,
   status,
-  done: reply.done ?? 0,
-  running: reply.running ?? 0,
-  ...(reply.awaits?.length ? { dependsOn: reply.awaits as JobId[] } : {}),
-  ...(reply.reason ? { reason: reply.reason } : {}),
+  done: response.done ?? 0,
+  running: response.running ?? 0,
+  ...(response.dependsOn?.length ? { dependsOn: response.dependsOn as JobId[] } : {}),
+  ...(response.reason ? { reason: response.reason } : {}),
 });
 
-function decodeTask(piece: swiftford.peer.IPiece): TaskStatus {
-  const state = TASK_STATES[piece.state ?? 0];
-  if (state === undefined) throw new InvalidPeerMessageError(`a task is in the unknown state ${piece.state}`);
-  const reason = EXIT_REASONS[piece.why ?? 0] ?? null;
+function decodeTask(task: swiftford.peer.ITaskStatus): TaskStatus {
+  const state = TASK_STATES[task.state ?? 0];
+  if (state === undefined) throw new InvalidPeerMessageError(`a task is in the unknown state ${task.state}`);
+  const reason = EXIT_REASONS[task.exitReason ?? 0] ?? null;
   return {
-    task: (piece.task ?? '') as TaskId,
-    attempt: Number(piece.attempt ?? 0) as Attempt,
+    task: (task.task ?? '') as TaskId,
+    attempt: Number(task.attempt ?? 0) as Attempt,
     state,
     exitReason: state === 'exited' ? (reason ?? 'error') : null,
-    checkpointed: piece.saved === true,
+    checkpointed: task.checkpointed === true,
   };
 }
 
-function decodeForwardedHeartbeat(front: swiftford.peer.IFront): ForwardedHeartbeat {
+function decodeForwardedHeartbeat(forwarded: swiftford.peer.IForwardedHeartbeat): ForwardedHeartbeat {
   const common = {
-    machine: (front.machine ?? '') as MachineId,
-    agentEpoch: Number(front.session ?? 0),
-    seq: Number(front.seq ?? 0),
-    fencingToken: Number(front.token ?? 0) as FencingToken,
-    preemptionNoticeS: front.noticeS ?? null,
+    machine: (forwarded.machine ?? '') as MachineId,
+    agentEpoch: Number(forwarded.agentEpoch ?? 0),
+    seq: Number(forwarded.seq ?? 0),
+    fencingToken: Number(forwarded.fencingToken ?? 0) as FencingToken,
+    preemptionNoticeS: forwarded.preemptionNoticeS ?? null,
   };
-  const pieces = front.pieces ?? [];
-  const baseSeq = Number(front.sameAs ?? 0);
+  const tasks = forwarded.tasks ?? [];
+  const baseSeq = Number(forwarded.baseSeq ?? 0);
   if (baseSeq > 0) {
-    const changed = pieces.map((piece) => ({ at: piece.at ?? 0, task: decodeTask(piece) }));
-    return { kind: 'delta', ...common, baseSeq, removed: front.dropped ?? [], changed };
+    const changed = tasks.map((task) => ({ at: task.index ?? 0, task: decodeTask(task) }));
+    return { kind: 'delta', ...common, baseSeq, removed: forwarded.removed ?? [], changed };
   }
   return {
     kind: 'full',
     heartbeat: {
       ...common,
-      addr: front.addr ?? '',
-      type: (front.type ?? '') as TypeName,
-      zone: (front.zone ?? '') as ZoneName,
-      spot: front.spot === true,
-      tasks: pieces.map(decodeTask),
+      addr: forwarded.addr ?? '',
+      type: (forwarded.type ?? '') as TypeName,
+      zone: (forwarded.zone ?? '') as ZoneName,
+      spot: forwarded.spot === true,
+      tasks: tasks.map(decodeTask),
     },
   };
 }
 
-function decodeCommand(order: swiftford.peer.IOrder): Command {
-  const op = COMMAND_OPS[order.op ?? 0];
-  if (op === undefined) throw new InvalidPeerMessageError(`a command is of the unknown kind ${order.op}`);
-  const task = (order.task ?? '') as TaskId;
-  const attempt = Number(order.attempt ?? 0) as Attempt;
-  return op === 'stop' ? { op, task, attempt, graceS: order.graceS ?? 0 } : { op, task, attempt };
+function decodeCommand(command: swiftford.peer.ICommand): Command {
+  const op = COMMAND_OPS[command.op ?? 0];
+  if (op === undefined) throw new InvalidPeerMessageError(`a command is of the unknown kind ${command.op}`);
+  const task = (command.task ?? '') as TaskId;
+  const attempt = Number(command.attempt ?? 0) as Attempt;
+  return op === 'stop' ? { op, task, attempt, graceS: command.graceS ?? 0 } : { op, task, attempt };
 }
 
-function decodeForwardedResponse(fronted: swiftford.peer.IFronted): ForwardedHeartbeatResponse {
-  const { Kind } = Fronted;
-  switch (fronted.kind) {
-    case Kind.ORDERS:
+function decodeForwardedResponse(
+  response: swiftford.peer.IForwardedHeartbeatResponse,
+): ForwardedHeartbeatResponse {
+  switch (response.kind) {
+    case ForwardedKind.COMMANDS:
       return {
         kind: 'commands',
-        fencingToken: Number(fronted.token ?? 0) as FencingToken,
-        commands: (fronted.orders ?? []).map(decodeCommand),
+        fencingToken: Number(response.fencingToken ?? 0) as FencingToken,
+        commands: (response.commands ?? []).map(decodeCommand),
       };
-    case Kind.WHOLE:
+    case ForwardedKind.FULL_HEARTBEAT_REQUIRED:
       return { kind: 'full-heartbeat-required' };
-    case Kind.ELSEWHERE:
-      return { kind: 'redirect', node: fronted.node ? (fronted.node as NodeId) : null };
+    case ForwardedKind.REDIRECT:
+      return { kind: 'redirect', node: response.node ? (response.node as NodeId) : null };
     default:
       return null;
   }
--- a/src/protocol/peer-encoder.ts
+++ b/src/protocol/peer-encoder.ts
@@ -15,7 +15,10 @@
 import { COMMAND_OPS, EXIT_REASONS, TASK_STATES } from './peer-names.ts';
 import { encodeRelayedHeartbeat, encodeRelayedResponse } from './relay.ts';
 
-const { Envelope, Ask, Reply, Fronted } = swiftford.peer;
+const { Envelope } = swiftford.peer;
+const { Op } = swiftford.peer.UserRequest;
+const { Kind: ResponseKind } = swiftford.peer.UserResponse;
+const { Kind: ForwardedKind } = swiftford.peer.ForwardedHeartbeatResponse;
 
 /** A message in its frame, ready to be sent. */
 export function encodePeerMessage(message: PeerMessage): Buffer {
@@ -33,29 +36,31 @@
     case 'load':
       return { load: encodeLoad(message) };
     case 'user-request':
-      return { ask: encodeUserRequest(message.id, message.request) };
+      return { userRequest: encodeUserRequest(message.id, message.request) };
     case 'user-response':
-      return { reply: encodeUserResponse(message.id, message.response) };
+      return { userResponse: encodeUserResponse(message.id, message.response) };
     case 'forwarded-heartbeat':
-      return { front: encodeForwardedHeartbeat(message.id, message.heartbeat) };
+      return { forwardedHeartbeat: encodeForwardedHeartbeat(message.id, message.heartbeat) };
     case 'forwarded-heartbeat-response':
-      return { fronted: encodeForwardedResponse(message.id, message.response) };
-    case 'relayed-heartbeat':
-      return { relay: { id: message.id, report: JSON.stringify(encodeRelayedHeartbeat(message.heartbeat)) } };
+      return { forwardedHeartbeatResponse: encodeForwardedResponse(message.id, message.response) };
+    case 'relayed-heartbeat': {
+      const heartbeat = JSON.stringify(encodeRelayedHeartbeat(message.heartbeat));
+      return { relayedHeartbeat: { id: message.id, heartbeat } };
+    }
     case 'relayed-heartbeat-response': {
       const { id, response } = message;
-      const answer = response === null ? '' : JSON.stringify(encodeRelayedResponse(response));
-      return { relayed: { id, answer } };
+      const json = response === null ? '' : JSON.stringify(encodeRelayedResponse(response));
+      return { relayedHeartbeatResponse: { id, response: json } };
     }
   }
 }
 
 const encodeHello = (message: Extract<PeerMessage, { kind: 'hello' }>): swiftford.peer.IHello => ({
   node: message.node,
-  owner: message.leaderTerm,
-  chains: message.supportsDependencies,
-  fronts: message.supportsForwarding,
-  documents: message.supportsConfigDocuments,
+  leaderTerm: message.leaderTerm,
+  supportsDependencies: message.supportsDependencies,
+  supportsForwarding: message.supportsForwarding,
+  supportsConfigDocuments: message.supportsConfigDocuments,
 });
 
 const encodeLoad = (message: Extract<PeerMessage, { kind: 'load' }>): swiftford.peer.ILoad => ({
@@ -63,45 +68,44 @@
   afterS: message.afterS,
   workers: message.workers,
   backlogS: message.backlogS,
-  short: message.memoryShort,
-  config: message.configRevision,
-  owner: message.leaderTerm,
+  memoryShort: message.memoryShort,
+  configRevision: message.configRevision,
+  leaderTerm: message.leaderTerm,
 });
 
-function encodeUserRequest(id: number, request: UserRequest): swiftford.peer.IAsk {
+function encodeUserRequest(id: number, request: UserRequest): swiftford.peer.IUserRequest {
   switch (request.op) {
     case 'submit': {
       const spec = JSON.stringify(encodeJobSpec(request.spec));
-      return { id, op: Ask.Op.SUBMIT, job: request.spec.id, spec };
+      return { id, op: Op.SUBMIT, job: request.spec.id, spec };
     }
     case 'status':
-      return { id, op: Ask.Op.STATUS, job: request.id };
+      return { id, op: Op.STATUS, job: request.id };
     case 'cancel':
-      return { id, op: Ask.Op.CANCEL, job: request.id };
+      return { id, op: Op.CANCEL, job: request.id };
   }
 }
 
-function encodeUserResponse(id: number, response: UserResponse | null): swiftford.peer.IReply {
-  const { Kind } = Reply;
-  if (response === null) return { id, kind: Kind.NONE };
+function encodeUserResponse(id: number, response: UserResponse | null): swiftford.peer.IUserResponse {
+  if (response === null) return { id, kind: ResponseKind.NONE };
   switch (response.kind) {
     case 'accepted':
-      return { id, kind: Kind.ACCEPTED, job: response.id };
+      return { id, kind: ResponseKind.ACCEPTED, job: response.id };
     case 'known':
-      return { id, kind: Kind.KNOWN, job: response.id, status: response.status };
+      return { id, kind: ResponseKind.KNOWN, job: response.id, status: response.status };
     case 'ended':
-      return { id, kind: Kind.ENDED, job: response.id, status: response.status };
+      return { id, kind: ResponseKind.ENDED, job: response.id, status: response.status };
     case 'status':
       return encodeJobStatus(id, response);
     case 'too-large':
-      return { id, kind: Kind.TOO_LARGE, reason: response.reason };
+      return { id, kind: ResponseKind.TOO_LARGE, reason: response.reason };
     case 'impossible':
-      return { id, kind: Kind.IMPOSSIBLE, reason: response.reason };
+      return { id, kind: ResponseKind.IMPOSSIBLE, reason: response.reason };
     case 'not-found':
-      return { id, kind: Kind.NOT_FOUND };
+      return { id, kind: ResponseKind.NOT_FOUND };
     case 'retry': {
       const { afterS, reason, overload } = response;
-      return { id, kind: Kind.RETRY, afterS, reason, overload };
+      return { id, kind: ResponseKind.RETRY, afterS, reason, overload };
     }
   }
 }
@@ -109,75 +113,80 @@
 const encodeJobStatus = (
   id: number,
   response: Extract<UserResponse, { kind: 'status' }>,
-): swiftford.peer.IReply => ({
+): swiftford.peer.IUserResponse => ({
   id,
-  kind: Reply.Kind.STATUS,
+  kind: ResponseKind.STATUS,
   job: response.id,
   status: response.status,
   done: response.done,
   running: response.running,
-  awaits: response.dependsOn ?? [],
+  dependsOn: response.dependsOn ?? [],
   reason: response.reason ?? '',
 });
 
-const encodeTask = (task: TaskStatus): swiftford.peer.IPiece => ({
+const encodeTask = (task: TaskStatus): swiftford.peer.ITaskStatus => ({
   task: task.task,
   attempt: task.attempt,
   state: TASK_STATES.indexOf(task.state),
-  why: EXIT_REASONS.indexOf(task.exitReason),
-  saved: task.checkpointed,
+  exitReason: EXIT_REASONS.indexOf(task.exitReason),
+  checkpointed: task.checkpointed,
 });
 
-const encodeForwardedHeartbeat = (id: number, forwarded: ForwardedHeartbeat): swiftford.peer.IFront =>
+const encodeForwardedHeartbeat = (
+  id: number,
+  forwarded: ForwardedHeartbeat,
+): swiftford.peer.IForwardedHeartbeat =>
   forwarded.kind === 'delta' ? encodeDelta(id, forwarded) : encodeFullHeartbeat(id, forwarded.heartbeat);
 
 const encodeDelta = (
   id: number,
   delta: Extract<ForwardedHeartbeat, { kind: 'delta' }>,
-): swiftford.peer.IFront => ({
+): swiftford.peer.IForwardedHeartbeat => ({
   id,
   machine: delta.machine,
-  session: delta.agentEpoch,
+  agentEpoch: delta.agentEpoch,
   seq: delta.seq,
-  token: delta.fencingToken,
-  noticeS: delta.preemptionNoticeS,
-  sameAs: delta.baseSeq,
-  dropped: delta.removed,
-  pieces: delta.changed.map((change) => ({ ...encodeTask(change.task), at: change.at })),
+  fencingToken: delta.fencingToken,
+  preemptionNoticeS: delta.preemptionNoticeS,
+  baseSeq: delta.baseSeq,
+  removed: delta.removed,
+  tasks: delta.changed.map((change) => ({ ...encodeTask(change.task), index: change.at })),
 });
 
-const encodeFullHeartbeat = (id: number, heartbeat: Heartbeat): swiftford.peer.IFront => ({
+const encodeFullHeartbeat = (id: number, heartbeat: Heartbeat): swiftford.peer.IForwardedHeartbeat => ({
   id,
   machine: heartbeat.machine,
-  session: heartbeat.agentEpoch,
+  agentEpoch: heartbeat.agentEpoch,
   seq: heartbeat.seq,
-  token: heartbeat.fencingToken,
-  noticeS: heartbeat.preemptionNoticeS,
+  fencingToken: heartbeat.fencingToken,
+  preemptionNoticeS: heartbeat.preemptionNoticeS,
   addr: heartbeat.addr,
   type: heartbeat.type,
   zone: heartbeat.zone,
   spot: heartbeat.spot,
-  pieces: heartbeat.tasks.map(encodeTask),
+  tasks: heartbeat.tasks.map(encodeTask),
 });
 
-const encodeCommand = (command: Command): swiftford.peer.IOrder => ({
+const encodeCommand = (command: Command): swiftford.peer.ICommand => ({
   op: COMMAND_OPS.indexOf(command.op),
   task: command.task,
   attempt: command.attempt,
   graceS: command.op === 'stop' ? command.graceS : 0,
 });
 
-function encodeForwardedResponse(id: number, response: ForwardedHeartbeatResponse): swiftford.peer.IFronted {
-  const { Kind } = Fronted;
-  if (response === null) return { id, kind: Kind.NONE };
+function encodeForwardedResponse(
+  id: number,
+  response: ForwardedHeartbeatResponse,
+): swiftford.peer.IForwardedHeartbeatResponse {
+  if (response === null) return { id, kind: ForwardedKind.NONE };
   switch (response.kind) {
     case 'full-heartbeat-required':
-      return { id, kind: Kind.WHOLE };
+      return { id, kind: ForwardedKind.FULL_HEARTBEAT_REQUIRED };
     case 'redirect':
-      return { id, kind: Kind.ELSEWHERE, node: response.node ?? '' };
+      return { id, kind: ForwardedKind.REDIRECT, node: response.node ?? '' };
     case 'commands': {
-      const orders = response.commands.map(encodeCommand);
-      return { id, kind: Kind.ORDERS, token: response.fencingToken, orders };
+      const commands = response.commands.map(encodeCommand);
+      return { id, kind: ForwardedKind.COMMANDS, fencingToken: response.fencingToken, commands };
     }
   }
 }
--- a/src/protocol/peer-frames.ts
+++ b/src/protocol/peer-frames.ts
@@ -10,7 +10,7 @@
 export const LENGTH_BYTES = 4;
 const MAX_FRAME_BYTES = 256 * 1024;
 
-/** The first byte of a frame with a forwarded heartbeat: field 6 (`front`) of the Envelope, a message. */
+/** The first byte of a frame with a forwarded heartbeat: field 6 (`forwarded_heartbeat`) of the Envelope, a message. */
 const FORWARDED_HEARTBEAT_TAG = (6 << 3) | 2;
 
 /** Whether a frame's body is a forwarded heartbeat, of which thousands may come at once; found without decoding it. */
--- a/src/protocol/peer-names.ts
+++ b/src/protocol/peer-names.ts
@@ -1,10 +1,10 @@
 // Numbers that stand for names in messages between controllers. A number is a place in a list: new names go to the end.
 import type { Command, ExitReason, TaskState } from '../core/base/model.ts';
 
-/** `Piece.state` in peer.proto. */
+/** `TaskStatus.state` in peer.proto. */
 export const TASK_STATES: TaskState[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
 
-/** `Piece.why` in peer.proto; 0 stands for none. */
+/** `TaskStatus.exit_reason` in peer.proto; 0 stands for none. */
 export const EXIT_REASONS: (ExitReason | null)[] = [
   null,
   'done',
@@ -17,5 +17,5 @@
   'unknown',
 ];
 
-/** `Order.op` in peer.proto. */
+/** `Command.op` in peer.proto. */
 export const COMMAND_OPS: Command['op'][] = ['start', 'stop', 'forget'];
