--- a/scripts/experiments/client.ts
+++ b/scripts/experiments/client.ts
@@ -1,6 +1,6 @@
-// npm run drill -- client [--jobs N] [--seed S] [--kills K]: a lab, a script that submits N jobs, and everything killed at
-// random: script, controllers, machines, answers of the state service. Then what the script was told is compared with the
-// record and with what ran.
+// npm run experiment -- client [--jobs N] [--seed S] [--kills K]: a local cluster, a script that submits N jobs, and everything
+// killed at random: script, controllers, machines, responses of the key-value store. Then what the script was told is compared
+// with the record and with what ran.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -8,6 +8,7 @@
 import { parseArgs } from 'node:util';
 import { type Fault, Lab, readLabOptions } from '../../packages/local-cluster/src/index.ts';
 import { seededRandom } from '../../src/runtime/random.ts';
+import { ClientAudit, type ToldOutcome } from './client-audit.ts';
 
 const { values } = parseArgs({
   options: {
@@ -18,19 +19,26 @@
   },
 });
 const jobs = Number(values.jobs);
-const random = seededRandom(Number(values.seed));
 const kills = Number(values.kills);
-const RATE = 25;
-const TIME_MS = 600_000;
+const random = seededRandom(Number(values.seed));
+
+const JOBS_PER_S = 25;
+const TIME_LIMIT_MS = 600_000;
+const FINAL_STATE_PREFIX = 'f/';
+/** The script waits for the lock of the one before, so it is killed somewhere in its first seconds of work after that. */
+const LOCK_WAIT_MS = 5500;
+
+const dir = mkdtempSync(join(tmpdir(), 'swiftford-experiment-'));
+const outcomesFile = join(dir, 'outcomes.jsonl');
 
-const dir = mkdtempSync(join(tmpdir(), 'swiftford-drill-'));
-const told = join(dir, 'told.jsonl');
-const log = (line: string): void => {
+function log(line: string): void {
   if (values.verbose) process.stderr.write(`${line}\n`);
-};
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
-const lab = await Lab.start(
-  readLabOptions('(drill)', {
+}
+
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+
+const cluster = await Lab.start(
+  readLabOptions('(experiment)', {
     lab: [{ port: 0, speed: 10, seed: Number(values.seed) }],
     team: { demo: [{}] },
     type: { small: [{ cpus: 8, memory_gb: 64, boot_s: 10, count: 10, spot: 10 }] },
@@ -38,32 +46,34 @@
   }),
   { program: [process.execPath, '--max-old-space-size=4096', 'target/main.js'], dir: join(dir, 'lab'), log },
 );
-await lab.ready();
+await cluster.ready();
+
+// ---- the script
 
 let script: ChildProcess | null = null;
-let done = false;
-let failed = '';
-function startScript(): void {
-  const args = ['--import', 'tsx', new URL('client-script.ts', import.meta.url).pathname];
-  const nodes = lab.controllers.map((c) => c.addr);
-  const child = spawn(
-    process.execPath,
-    [...args, join(dir, 'outbox'), told, String(jobs), String(RATE), ...nodes],
-    {
-      stdio: ['ignore', 'ignore', 'pipe'],
-    },
-  );
-  child.stderr.on('data', (d) => {
-    failed += d;
+let isDone = false;
+let scriptErrors = '';
+
+function startScript(): ChildProcess {
+  const path = new URL('client-script.ts', import.meta.url).pathname;
+  const nodes = cluster.controllers.map((controller) => controller.addr);
+  const args = [join(dir, 'outbox'), outcomesFile, String(jobs), String(JOBS_PER_S), ...nodes];
+  const child = spawn(process.execPath, ['--import', 'tsx', path, ...args], {
+    stdio: ['ignore', 'ignore', 'pipe'],
+  });
+  child.stderr.on('data', (chunk) => {
+    scriptErrors += chunk;
   });
   child.once('exit', (code) => {
-    if (code === 0) done = true;
-    else if (code !== null) log(`the script ended with ${code}: ${failed}`);
+    if (code === 0) isDone = true;
+    else if (code !== null) log(`the script ended with ${code}: ${scriptErrors}`);
     script = null;
   });
-  script = child;
+  return child;
 }
 
+// ---- faults
+
 const FAULTS: (() => Partial<Fault> & Pick<Fault, 'kind'>)[] = [
   () => ({ kind: 'kill-controller' }),
   () => ({ kind: 'kill-controller' }),
@@ -76,95 +86,63 @@
   () => ({ kind: 'spot-wave', seconds: 2 }),
   () => ({ kind: 'zone-cut', zone: 'a', seconds: 3 + random.below(12) }),
 ];
+const began = Date.now();
 let faults = 0;
 let killed = 0;
-const started = Date.now();
-async function trouble(): Promise<void> {
-  while (!done && killed < kills) {
+
+async function injectFaults(): Promise<void> {
+  while (!isDone && killed < kills) {
     await sleep(2000 + random.below(3000));
     try {
-      lab.fault({ seconds: 1, count: 1, ...FAULTS[random.below(FAULTS.length)]!() });
+      cluster.fault({ seconds: 1, count: 1, ...FAULTS[random.below(FAULTS.length)]!() });
       faults++;
-    } catch (e) {
-      log(String(e));
+    } catch (error) {
+      log(String(error));
     }
   }
 }
-async function murder(): Promise<void> {
-  while (!done && Date.now() - started < TIME_MS) {
-    if (script === null) startScript();
-    if (killed < kills) {
-      // It waits 5 s for the lock of the one before, so it is killed somewhere in its first seconds of work.
-      await sleep((killed === 0 ? 0 : 5500) + 500 + random.below(4000));
-      if (script?.kill('SIGKILL')) killed++;
-      await sleep(50);
-    } else await sleep(100);
+
+async function killScript(): Promise<void> {
+  while (!isDone && Date.now() - began < TIME_LIMIT_MS) {
+    script ??= startScript();
+    if (killed >= kills) {
+      await sleep(100);
+      continue;
+    }
+    await sleep((killed === 0 ? 0 : LOCK_WAIT_MS) + 500 + random.below(4000));
+    if (script?.kill('SIGKILL')) killed++;
+    await sleep(50);
   }
 }
-await Promise.all([trouble(), murder()]);
+
+await Promise.all([injectFaults(), killScript()]);
 (script as ChildProcess | null)?.kill('SIGKILL');
 
-// ---- what the script was told, against the record and what ran
-
-const kinds = new Map<string, { id: string; kind: string }>();
-const keysOf = new Map<string, string>();
-let doubled = 0;
-const lines = existsSync(told) ? readFileSync(told, 'utf8').trim().split('\n') : [];
-for (const line of lines) {
-  const { key, id, kind } = JSON.parse(line);
-  const before = kinds.get(key);
-  if (before !== undefined && (before.id !== id || before.kind !== kind)) doubled++;
-  kinds.set(key, { id, kind });
-  keysOf.set(id, key);
-}
-const recorded = [...lab.state.keys.keys()].filter((k) => k.startsWith('f/')).map((k) => k.slice(2));
-/** Accepted by the service, and nobody knows of it. */
-for (const id of recorded) if (!keysOf.has(id)) doubled++;
-let lost = 0;
-let wrong = 0;
-for (let n = 0; n < jobs; n++) {
-  const o = kinds.get(`job-${n}`);
-  if (o === undefined) {
-    lost++;
-    continue;
-  }
-  const record = (lab.recorded(`f/${o.id}`) as { s?: string } | undefined)?.s;
-  const right = n % 7 === 3 ? record === undefined : record === (o.kind === 'refused' ? undefined : o.kind);
-  if (!right || (n % 7 === 3 && o.kind === 'done')) {
-    wrong++;
-    log(`job-${n} ${o.id}: told ${o.kind}, recorded ${record}`);
-  }
-}
-const byTask = new Map<string, { from: number; to: number; why: string | null; machine: string }[]>();
-for (const r of lab.runs) {
-  const list = byTask.get(r.task) ?? [];
-  list.push({ from: r.from, to: r.to ?? Number.POSITIVE_INFINITY, why: r.why, machine: r.machine });
-  byTask.set(r.task, list);
-}
-let twice = 0;
-for (const [task, list] of byTask) {
-  list.sort((a, b) => a.from - b.from);
-  for (let i = 1; i < list.length; i++)
-    if (list[i]!.from < list[i - 1]!.to) {
-      twice++;
-      log(`${task} ran twice at once: ${JSON.stringify(list)}`);
-    }
-}
-/** A job that is done has run every task to its end. */
-for (const [key, o] of kinds) {
-  if (o.kind !== 'done') continue;
-  const tasks = 1 + (Number(key.slice(4)) % 3);
-  for (let t = 0; t < tasks; t++)
-    if (!byTask.get(`${o.id}/${t}`)?.some((r) => r.why === 'done')) {
-      wrong++;
-      log(`${o.id}/${t} is called done and never was`);
-    }
-}
-await lab.stop();
+// ---- what the script was told
+
+const lines = existsSync(outcomesFile) ? readFileSync(outcomesFile, 'utf8').trim().split('\n') : [];
+const told = lines.map((line) => JSON.parse(line) as ToldOutcome);
+const finished = [...cluster.state.keys.keys()]
+  .filter((key) => key.startsWith(FINAL_STATE_PREFIX))
+  .map((key) => key.slice(FINAL_STATE_PREFIX.length));
+const audit = new ClientAudit(
+  jobs,
+  {
+    finished,
+    stateOf: (id) => (cluster.recorded(`${FINAL_STATE_PREFIX}${id}`) as { s?: string } | undefined)?.s,
+    runs: cluster.runs,
+  },
+  log,
+).audit(told);
+await cluster.stop();
 rmSync(dir, { recursive: true, force: true });
-const bad = lost + doubled + wrong + twice;
-if (bad > 0 && failed !== '') process.stderr.write(failed);
+
+const { outcomes, lost, doubled, wrong, twice } = audit;
+const isSound = lost + doubled + wrong + twice === 0;
+if (!isSound && scriptErrors !== '') process.stderr.write(scriptErrors);
+const restarts = cluster.controllers.reduce((total, controller) => total + controller.restarts, 0);
+const seconds = Math.round((Date.now() - began) / 1000);
 process.stdout.write(
-  `client: jobs=${jobs} outcomes=${kinds.size} lost=${lost} doubled=${doubled} wrong=${wrong + twice} kills=${killed} faults=${faults} restarts=${lab.controllers.reduce((n, c) => n + c.restarts, 0)} seconds=${Math.round((Date.now() - started) / 1000)}\n`,
+  `client: jobs=${jobs} outcomes=${outcomes} lost=${lost} doubled=${doubled} wrong=${wrong + twice} kills=${killed} faults=${faults} restarts=${restarts} seconds=${seconds}\n`,
 );
-process.exit(bad === 0 && kinds.size === jobs ? 0 : 1);
+process.exit(isSound && outcomes === jobs ? 0 : 1);
