--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -1,4 +1,4 @@
-// What each role of the scale drill costs: processor time, memory, messages, bytes and sockets of its processes, read from
+// What each role of the scale experiment costs: processor time, memory, messages, bytes and sockets of its processes, read from
 // the kernel's own accounts once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
@@ -6,10 +6,12 @@
 import type { NodeStatus } from './controller-group.ts';
 
 /** Clock ticks a second in /proc. */
-const TICKS = 100;
+const TICKS_PER_S = 100;
 const PAGE_BYTES = 4096;
-const SOCKETS_EVERY = 10;
+/** Sockets are counted at every so manyth reading. */
+const SOCKETS_INTERVAL = 10;
 
+/** The accounts of a process at a moment. */
 interface Reading {
   at: number;
   cpuS: number;
@@ -20,7 +22,7 @@
   bytesOut: number;
 }
 
-/** Per second, but for memory and sockets, which are means. */
+/** The mean cost of a process of a role: per second, but for memory and sockets. */
 export interface RoleFigures {
   core: number;
   rssMb: number;
@@ -32,11 +34,14 @@
   sockets: number;
 }
 
+/** What all roles cost in a measurement. */
 export interface Figures {
   seconds: number;
+  /** The leader. */
   owner: RoleFigures;
   /** Mean of the other controllers. */
   others: RoleFigures;
+  /** The process with the key-value store and the cloud. */
   state: RoleFigures;
   /** Of one worker: the hosts' processes divided by the workers in them. */
   worker: { core: number; mb: number; reportsPerS: number; bytesPerS: number; ioBytesPerS: number };
@@ -48,20 +53,22 @@
   workers: number;
 }
 
-function read(pid: number): Reading | null {
+/** Reads the accounts of a process; null if it has ended. */
+function readProcess(pid: number): Reading | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    const f = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
+    // What follows the name of the program: proc(5) counts its fields from 3.
+    const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = new Map(
       readFileSync(`/proc/${pid}/io`, 'utf8')
         .split('\n')
-        .map((l) => l.split(': '))
-        .map(([k, v]) => [k, Number(v)] as const),
+        .map((line) => line.split(': '))
+        .map(([name, value]) => [name, Number(value)] as const),
     );
     return {
       at: performance.now(),
-      cpuS: (Number(f[11]) + Number(f[12])) / TICKS,
-      rssMb: (Number(f[21]) * PAGE_BYTES) / 1e6,
+      cpuS: (Number(fields[11]) + Number(fields[12])) / TICKS_PER_S,
+      rssMb: (Number(fields[21]) * PAGE_BYTES) / 1e6,
       reads: io.get('syscr') ?? 0,
       writes: io.get('syscw') ?? 0,
       bytesIn: io.get('rchar') ?? 0,
@@ -87,7 +94,7 @@
   }
 }
 
-const zero = (): RoleFigures => ({
+const noFigures = (): RoleFigures => ({
   core: 0,
   rssMb: 0,
   heapMb: 0,
@@ -100,29 +107,30 @@
 
 /** Sums up what processes of one role cost from one reading to the next. */
 class Role {
-  private readonly sum = zero();
-  private n = 0;
-  private heaps = 0;
+  private readonly sum = noFigures();
+  private readings = 0;
+  private heapReadings = 0;
   private socketReadings = 0;
   private readonly last = new Map<number, Reading>();
 
+  /** Reads a process that has the role at this moment. */
   add(pid: number, withSockets: boolean, heapMb: number | null): void {
-    const now = read(pid);
+    const now = readProcess(pid);
     if (now === null) return;
     const before = this.last.get(pid);
     this.last.set(pid, now);
     if (before === undefined) return;
-    const s = (now.at - before.at) / 1000;
-    this.n++;
-    this.sum.core += (now.cpuS - before.cpuS) / s;
+    const seconds = (now.at - before.at) / 1000;
+    this.readings++;
+    this.sum.core += (now.cpuS - before.cpuS) / seconds;
     this.sum.rssMb += now.rssMb;
-    this.sum.reads += (now.reads - before.reads) / s;
-    this.sum.writes += (now.writes - before.writes) / s;
-    this.sum.bytesIn += (now.bytesIn - before.bytesIn) / s;
-    this.sum.bytesOut += (now.bytesOut - before.bytesOut) / s;
+    this.sum.reads += (now.reads - before.reads) / seconds;
+    this.sum.writes += (now.writes - before.writes) / seconds;
+    this.sum.bytesIn += (now.bytesIn - before.bytesIn) / seconds;
+    this.sum.bytesOut += (now.bytesOut - before.bytesOut) / seconds;
     if (heapMb !== null) {
       this.sum.heapMb += heapMb;
-      this.heaps++;
+      this.heapReadings++;
     }
     if (withSockets) {
       this.sum.sockets += socketsOf(pid);
@@ -130,23 +138,32 @@
     }
   }
 
-  /** What changed hands is not carried over to the next holder of the role. */
+  /** The process has another role from now on: what it cost meanwhile counts for neither. */
   forget(pid: number): void {
     this.last.delete(pid);
   }
 
+  /** The mean of all readings. */
   mean(): RoleFigures {
-    const out = zero();
-    const n = Math.max(1, this.n);
-    for (const k of Object.keys(out) as (keyof RoleFigures)[]) out[k] = this.sum[k] / n;
-    out.heapMb = this.sum.heapMb / Math.max(1, this.heaps);
-    out.sockets = this.sum.sockets / Math.max(1, this.socketReadings);
-    return out;
+    const mean = noFigures();
+    const readings = Math.max(1, this.readings);
+    for (const figure of Object.keys(mean) as (keyof RoleFigures)[])
+      mean[figure] = this.sum[figure] / readings;
+    mean.heapMb = this.sum.heapMb / Math.max(1, this.heapReadings);
+    mean.sockets = this.sum.sockets / Math.max(1, this.socketReadings);
+    return mean;
   }
 }
 
+/** Heartbeats that workers have sent, and their bytes. */
+interface HeartbeatCounts {
+  sent: number;
+  bytes: number;
+}
+
+/** Measures the processes of a cluster by role. */
 export class Meter {
-  private owner = new Role();
+  private leader = new Role();
   private others = new Role();
   private state = new Role();
   private hosts = new Role();
@@ -154,14 +171,15 @@
   private readings = 0;
   private workers = 0;
   private services: ServiceCounts | null = null;
-  private reports: { n: number; bytes: number } | null = null;
-  private lastOwner: number | null = null;
+  private heartbeats: HeartbeatCounts | null = null;
+  /** The process of the last leader. */
+  private lastLeader: number | null = null;
 
   constructor(private readonly cluster: ScaleCluster) {}
 
   /** Forgets what was measured so far. */
   begin(): void {
-    this.owner = new Role();
+    this.leader = new Role();
     this.others = new Role();
     this.state = new Role();
     this.hosts = new Role();
@@ -169,62 +187,48 @@
     this.readings = 0;
     this.workers = 0;
     this.services = this.cluster.serviceCounts;
-    this.reports = this.hostCounts();
+    this.heartbeats = this.heartbeatCounts();
   }
 
-  private hostCounts(): { n: number; bytes: number } {
-    const all = this.cluster.hosts.map((h) => h.counts);
+  private heartbeatCounts(): HeartbeatCounts {
+    const all = this.cluster.hosts.map((host) => host.counts);
     return {
-      n: all.reduce((sum, c) => sum + c.reports, 0),
-      bytes: all.reduce((sum, c) => sum + c.bytes, 0),
+      sent: all.reduce((sum, counts) => sum + counts.reports, 0),
+      bytes: all.reduce((sum, counts) => sum + counts.bytes, 0),
     };
   }
 
   /** To be called once a second. `statuses`: of the controllers, in their order. */
   sample(statuses: readonly (NodeStatus | null)[]): void {
     const { cluster } = this;
-    const withSockets = this.readings++ % SOCKETS_EVERY === 0;
-    const owner = statuses.find((s) => s !== null)?.owner ?? null;
-    cluster.controllers.all.forEach((c, i) => {
-      const pid = c.process?.pid;
+    const withSockets = this.readings++ % SOCKETS_INTERVAL === 0;
+    const leader = statuses.find((status) => status !== null)?.owner ?? null;
+    cluster.controllers.all.forEach((controller, i) => {
+      const pid = controller.process?.pid;
       if (pid === undefined) return;
-      const owns = c.name === owner;
-      if (owns && this.lastOwner !== pid) {
-        this.others.forget(pid);
-        this.lastOwner = pid;
-      }
-      (owns ? this.owner : this.others).add(pid, withSockets, statuses[i]?.process?.heapMb ?? null);
+      const role = this.roleOf(pid, controller.name === leader);
+      role.add(pid, withSockets, statuses[i]?.process?.heapMb ?? null);
     });
     if (cluster.services?.pid !== undefined) this.state.add(cluster.services.pid, withSockets, null);
-    for (const h of cluster.hosts)
-      if (h.process.pid !== undefined) this.hosts.add(h.process.pid, false, null);
+    for (const { process: child } of cluster.hosts)
+      if (child.pid !== undefined) this.hosts.add(child.pid, false, null);
     this.workers += cluster.up.length;
     cluster.askCounts();
   }
 
+  /** What all roles have cost since it began. */
   figures(): Figures {
     const seconds = (performance.now() - this.began) / 1000;
-    const hosts = this.hosts.mean();
-    const n = this.cluster.hosts.length;
     const workers = this.workers / Math.max(1, this.readings);
-    const each = (x: number): number => (x * n) / Math.max(1, workers);
-    const reports = this.hostCounts();
-    const services = this.cluster.serviceCounts;
-    const perS = (key: keyof ServiceCounts): number =>
-      ((services?.[key] ?? 0) - (this.services?.[key] ?? 0)) / seconds;
-    const perWorker = (x: number): number => x / seconds / Math.max(1, workers);
+    const { serviceCounts } = this.cluster;
+    const perS = (count: keyof ServiceCounts): number =>
+      ((serviceCounts?.[count] ?? 0) - (this.services?.[count] ?? 0)) / seconds;
     return {
       seconds,
-      owner: this.owner.mean(),
+      owner: this.leader.mean(),
       others: this.others.mean(),
       state: this.state.mean(),
-      worker: {
-        core: each(hosts.core),
-        mb: each(hosts.rssMb),
-        reportsPerS: perWorker(reports.n - (this.reports?.n ?? 0)),
-        bytesPerS: perWorker(reports.bytes - (this.reports?.bytes ?? 0)),
-        ioBytesPerS: each(hosts.bytesIn + hosts.bytesOut),
-      },
+      worker: this.workerFigures(workers, seconds),
       stateRequestsPerS: perS('stateRequests'),
       stateChangesPerS: perS('stateChanges'),
       stateRefusedPerS: perS('stateRefused'),
@@ -233,4 +237,27 @@
       workers,
     };
   }
+
+  private roleOf(pid: number, isLeader: boolean): Role {
+    if (!isLeader) return this.others;
+    if (this.lastLeader !== pid) {
+      this.others.forget(pid);
+      this.lastLeader = pid;
+    }
+    return this.leader;
+  }
+
+  private workerFigures(workers: number, seconds: number): Figures['worker'] {
+    const host = this.hosts.mean();
+    const heartbeats = this.heartbeatCounts();
+    const each = (perHost: number): number => (perHost * this.cluster.hosts.length) / Math.max(1, workers);
+    const perS = (total: number): number => total / seconds / Math.max(1, workers);
+    return {
+      core: each(host.core),
+      mb: each(host.rssMb),
+      reportsPerS: perS(heartbeats.sent - (this.heartbeats?.sent ?? 0)),
+      bytesPerS: perS(heartbeats.bytes - (this.heartbeats?.bytes ?? 0)),
+      ioBytesPerS: each(host.bytesIn + host.bytesOut),
+    };
+  }
 }
