--- a/scripts/experiments/scale/operator.ts
+++ b/scripts/experiments/scale/operator.ts
@@ -1,5 +1,5 @@
-// The operator of the scale drill: changes quotas all the time through the state service's own protocol, and knows by which
-// limits a start may be judged: those of the revision in force, and of every later one that is on record.
+// The operator of the scale experiment: changes quotas all the time through the key-value store's own protocol, and knows by
+// which limits a start may be checked: those of the revision in force, and of every later one that is on record.
 import { build as histogram } from 'hdr-histogram-js';
 import {
   askOverHttp,
@@ -14,47 +14,63 @@
 import { seededRandom } from '../../../src/runtime/random.ts';
 import type { Revision, TeamName } from '../../../src/types/index.ts';
 import type { TeamAmounts } from '../../../test/support/rule-checker.ts';
+import { sleep } from './time.ts';
 import type { TeamLimits } from './workload.ts';
 
-const LOOK_MS = 400;
-const RETRY_MS = 1000;
-/** Documents in one transaction: what the state service's limit of 24 changes leaves. */
-const BATCH = 20;
+const LOOK_INTERVAL_MS = 400;
+const RETRY_DELAY_MS = 1000;
+/** Documents in one transaction: what the store's limit of 24 changes leaves. */
+const BATCH_DOCUMENTS = 20;
 const STOPPED_PART = 0.2;
 const STOP_WITHIN_S = 60;
 /** Limits move between these multiples of what they were at first. */
-const LOWEST = 0.6;
-const HIGHEST = 1.5;
+const LOWEST_FACTOR = 0.6;
+const HIGHEST_FACTOR = 1.5;
 
-interface Made {
+/** A change that was made. */
+interface Change {
   revision: Revision;
-  /** When its transaction was sent, and when the owner said it is in force; wall time in milliseconds. */
-  at: number;
+  /** When its transaction was sent, and when the leader said it is in force; wall time in milliseconds. */
+  sentAt: number;
   inForceAt: number | null;
   limits: Map<string, TeamAmounts>;
 }
 
+/** Changes of the configuration, and how long they took to be in force. */
 export interface ConfigFigures {
   changes: number;
   documents: number;
-  /** Changes that were not known to be in force when the drill ended. */
+  /** Changes that were not known to be in force when the experiment ended. */
   pending: number;
   p50S: number;
   p99S: number;
   maxS: number;
 }
 
+/** Quotas that are asked for, and the limits that they mean. */
+interface WantedQuotas {
+  documents: ConfigDocument[];
+  limits: Map<string, TeamAmounts>;
+}
+
+/** A time for which the store was away. */
+interface Outage {
+  from: number;
+  to: number;
+}
+
+/** Changes the quotas of teams. */
 export class ScaleOperator {
   private readonly client: ConfigClient;
   private readonly http: HttpClient;
-  private readonly random;
-  private readonly made: Made[] = [];
-  /** From a change's transaction until it is in force, in milliseconds, less the time for which the state service was away. */
-  private readonly took = histogram({ numberOfSignificantValueDigits: 3 });
-  private readonly outages: { from: number; to: number }[] = [];
+  private readonly random: ReturnType<typeof seededRandom>;
+  private readonly changes: Change[] = [];
+  /** From a change's transaction until it is in force, in milliseconds, less the time for which the store was away. */
+  private readonly delaysMs = histogram({ numberOfSignificantValueDigits: 3 });
+  private readonly outages: Outage[] = [];
   private documents = 0;
-  private stopped = false;
-  private number = 0;
+  private isStopped = false;
+  private lastNumber = 0;
 
   constructor(
     settings: Settings,
@@ -76,129 +92,146 @@
   }
 
   private async repeat(everyMs: number): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       const began = performance.now();
       await this.change(1);
       await sleep(Math.max(0, everyMs - (performance.now() - began)));
     }
   }
 
-  /** So many documents changed as fast as the state service takes them, in full transactions. */
+  /** So many documents changed as fast as the store takes them, in full transactions. */
   async burst(documents: number, withinS: number): Promise<void> {
-    const batches = Math.ceil(documents / BATCH);
-    for (let i = 0; i < batches && !this.stopped; i++) {
+    const batches = Math.ceil(documents / BATCH_DOCUMENTS);
+    for (let i = 0; i < batches && !this.isStopped; i++) {
       const began = performance.now();
-      await this.change(Math.min(BATCH, documents - i * BATCH));
+      await this.change(Math.min(BATCH_DOCUMENTS, documents - i * BATCH_DOCUMENTS));
       await sleep(Math.max(0, (withinS * 1000) / batches - (performance.now() - began)));
     }
   }
 
-  private wanted(documents: number): { documents: ConfigDocument[]; limits: Map<string, TeamAmounts> } {
+  /** Draws new quotas for so many teams that have limits. */
+  private drawQuotas(count: number): WantedQuotas {
     const limits = new Map<string, TeamAmounts>();
-    const out: ConfigDocument[] = [];
-    const limited = this.teams.filter((t) => t.cpus_max > 0);
-    const from = this.random.below(limited.length);
-    for (let i = 0; i < Math.min(documents, limited.length); i++) {
-      const t = limited[(from + i) % limited.length]!;
-      const times = LOWEST + ((HIGHEST - LOWEST) * this.random.below(1001)) / 1000;
-      const cpusMax = Math.max(t.cpus, Math.round(t.cpus_max * times));
-      const gpusMax = Math.max(t.gpus, Math.round(t.gpus_max * times));
-      const stop = this.random.below(1000) < STOPPED_PART * 1000;
-      limits.set(t.name, { cpus: cpusMax, gpus: gpusMax });
-      out.push({
-        kind: 'team',
-        name: t.name as TeamName,
-        team: {
-          cpus: t.cpus,
-          cpusMax,
-          gpus: t.gpus,
-          gpusMax,
-          above: stop ? { kind: 'stop', withinS: STOP_WITHIN_S } : { kind: 'drain' },
-          removed: false,
-        },
-      });
+    const documents: ConfigDocument[] = [];
+    const limited = this.teams.filter((team) => team.cpus_max > 0);
+    const first = this.random.below(limited.length);
+    for (let i = 0; i < Math.min(count, limited.length); i++) {
+      const team = limited[(first + i) % limited.length]!;
+      const limit = this.drawLimit(team);
+      const isStopped = this.random.below(1000) < STOPPED_PART * 1000;
+      limits.set(team.name, limit);
+      documents.push(quotaDocument(team, limit, isStopped));
     }
-    return { documents: out, limits };
+    return { documents, limits };
+  }
+
+  private drawLimit(team: TeamLimits): TeamAmounts {
+    const factor = LOWEST_FACTOR + ((HIGHEST_FACTOR - LOWEST_FACTOR) * this.random.below(1001)) / 1000;
+    return {
+      cpus: Math.max(team.cpus, Math.round(team.cpus_max * factor)),
+      gpus: Math.max(team.gpus, Math.round(team.gpus_max * factor)),
+    };
   }
 
   /** Insisted on until it is made; two changes under way at once find out and plan again. */
   private async change(documents: number): Promise<void> {
-    const wanted = this.wanted(documents);
-    const id = `scale-${++this.number}`;
-    while (!this.stopped) {
+    const wanted = this.drawQuotas(documents);
+    const id = `scale-${++this.lastNumber}`;
+    while (!this.isStopped) {
       try {
         const snapshot = await this.client.snapshot();
-        const at = Date.now();
+        const sentAt = Date.now();
         const made = await this.client.apply(snapshot, this.client.plan(snapshot, wanted.documents), id);
         this.documents += wanted.documents.length;
-        this.made.push({ revision: made.revision, at, inForceAt: null, limits: wanted.limits });
+        this.changes.push({ revision: made.revision, sentAt, inForceAt: null, limits: wanted.limits });
         return;
       } catch (e) {
         if (!(e instanceof ConfigConflict) && !(e instanceof StateUnavailable)) throw e;
-        await sleep(RETRY_MS);
+        await sleep(RETRY_DELAY_MS);
       }
     }
   }
 
   private async watch(): Promise<void> {
-    while (!this.stopped) {
+    while (!this.isStopped) {
       try {
         const record = await this.client.inForce();
-        if (record !== null) this.inForce(record.revision, record.at);
+        if (record !== null) this.onInForce(record.revision, record.at);
       } catch (e) {
         if (!(e instanceof StateUnavailable)) throw e;
       }
-      await sleep(LOOK_MS);
+      await sleep(LOOK_INTERVAL_MS);
     }
   }
 
-  private inForce(revision: Revision, at: number): void {
-    for (const m of this.made) {
-      if (m.inForceAt !== null || m.revision > revision) continue;
-      m.inForceAt = at;
-      this.took.recordValue(Math.max(1, Math.round(at - m.at - this.awayMs(m.at, at))));
+  private onInForce(revision: Revision, at: number): void {
+    for (const change of this.changes) {
+      if (change.inForceAt !== null || change.revision > revision) continue;
+      change.inForceAt = at;
+      const delayMs = at - change.sentAt - this.outageMs(change.sentAt, at);
+      this.delaysMs.recordValue(Math.max(1, Math.round(delayMs)));
     }
   }
 
-  /** The state service is away for so long from now on: nothing can be changed, nor put in force. */
+  /** The store is away for so long from now on: nothing can be changed, nor put in force. */
   outage(ms: number): void {
     this.outages.push({ from: Date.now(), to: Date.now() + ms });
   }
 
-  private awayMs(from: number, to: number): number {
-    const overlap = (o: { from: number; to: number }): number =>
-      Math.max(0, Math.min(to, o.to) - Math.max(from, o.from));
-    return this.outages.reduce((sum, o) => sum + overlap(o), 0);
+  private outageMs(from: number, to: number): number {
+    const overlap = (outage: Outage): number =>
+      Math.max(0, Math.min(to, outage.to) - Math.max(from, outage.from));
+    return this.outages.reduce((sum, outage) => sum + overlap(outage), 0);
   }
 
   /** The highest limit that a controller may have acted on at that time. */
   limitOf(team: string, at: number): TeamAmounts | undefined {
     let most = this.base.get(team);
-    for (const m of this.made) {
-      const l = m.limits.get(team);
-      if (l === undefined || m.at > at) continue;
-      if (m.inForceAt !== null && m.inForceAt <= at) most = l;
-      else most = { cpus: Math.max(most?.cpus ?? 0, l.cpus), gpus: Math.max(most?.gpus ?? 0, l.gpus) };
+    for (const { limits, sentAt, inForceAt } of this.changes) {
+      const limit = limits.get(team);
+      if (limit === undefined || sentAt > at) continue;
+      if (inForceAt !== null && inForceAt <= at) most = limit;
+      else
+        most = {
+          cpus: Math.max(most?.cpus ?? 0, limit.cpus),
+          gpus: Math.max(most?.gpus ?? 0, limit.gpus),
+        };
     }
     return most;
   }
 
+  /** What came of all changes. */
   figures(): ConfigFigures {
-    const s = (p: number): number => this.took.getValueAtPercentile(p) / 1000;
+    const seconds = (percentile: number): number => this.delaysMs.getValueAtPercentile(percentile) / 1000;
     return {
-      changes: this.made.length,
+      changes: this.changes.length,
       documents: this.documents,
-      pending: this.made.filter((m) => m.inForceAt === null).length,
-      p50S: s(50),
-      p99S: s(99),
-      maxS: this.took.maxValue / 1000,
+      pending: this.changes.filter((change) => change.inForceAt === null).length,
+      p50S: seconds(50),
+      p99S: seconds(99),
+      maxS: this.delaysMs.maxValue / 1000,
     };
   }
 
+  /** Makes no changes from now on. */
   stop(): void {
-    this.stopped = true;
+    this.isStopped = true;
     this.http.close();
   }
 }
 
-const sleep = (ms: number): Promise<void> => new Promise((r) => setTimeout(r, ms));
+/** The document of a team's quota. `isStopped`: what is above a lowered limit is stopped, not left to end. */
+function quotaDocument(team: TeamLimits, limit: TeamAmounts, isStopped: boolean): ConfigDocument {
+  return {
+    kind: 'team',
+    name: team.name as TeamName,
+    team: {
+      cpus: team.cpus,
+      cpusMax: limit.cpus,
+      gpus: team.gpus,
+      gpusMax: limit.gpus,
+      above: isStopped ? { kind: 'stop', withinS: STOP_WITHIN_S } : { kind: 'drain' },
+      removed: false,
+    },
+  };
+}
--- a/scripts/experiments/scale/resources.ts
+++ b/scripts/experiments/scale/resources.ts
@@ -1,11 +1,13 @@
-// What the scale drill takes of the machine it runs on, and whether that is there.
+// What the scale experiment takes of the machine that it runs on, and whether that is there.
 import { existsSync, readFileSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { resolve } from 'node:path';
 
-export const WORKERS_A_HOST = 500;
+/** Simulated workers in one process. */
+export const WORKERS_PER_HOST = 500;
+/** Processes of a cluster. */
 export const MAX_PROCESSES = 60;
-/** Upper estimates, in MB: a controller, a host full of workers, the services and the drill itself. */
+/** Upper estimates, in MB: a controller, a host full of workers, the services and the experiment itself. */
 const CONTROLLER_MB = 260;
 const HOST_MB = 500;
 const OWN_MB = 900;
@@ -13,9 +15,10 @@
 /** Files that a process has open beside one socket for each of its peers. */
 const FILES_BESIDE = 500;
 /** A worker's own server, and its connection. */
-const FILES_A_WORKER = 3;
+const FILES_PER_WORKER = 3;
 
-export const hostsFor = (workers: number): number => Math.ceil(workers / WORKERS_A_HOST);
+/** How many processes so many simulated workers take. */
+export const hostsFor = (workers: number): number => Math.ceil(workers / WORKERS_PER_HOST);
 
 /** The daemon with the flags that production gives it. */
 export const daemonProgram = (): string[] => [
@@ -29,7 +32,7 @@
 function openFilesLimit(): number {
   const line = readFileSync('/proc/self/limits', 'utf8')
     .split('\n')
-    .find((l) => l.startsWith('Max open files'));
+    .find((candidate) => candidate.startsWith('Max open files'));
   const limit = line?.split(/\s{2,}/)[1];
   return limit === undefined || limit === 'unlimited' ? Number.POSITIVE_INFINITY : Number(limit);
 }
@@ -44,7 +47,7 @@
   const haveMb = (totalmem() / 1e6) * MEMORY_PART;
   if (needMb > haveMb)
     return `it takes about ${Math.round(needMb)} MB, and half of the memory is ${Math.round(haveMb)} MB`;
-  const files = Math.max(WORKERS_A_HOST * FILES_A_WORKER, workers) + FILES_BESIDE;
+  const files = Math.max(WORKERS_PER_HOST * FILES_PER_WORKER, workers) + FILES_BESIDE;
   if (files > openFilesLimit())
     return `a process needs ${files} open files, and the limit is ${openFilesLimit()}`;
   return null;
