--- a/scripts/experiments/run.ts
+++ b/scripts/experiments/run.ts
@@ -1,4 +1,5 @@
 // npm run experiment -- NAME: long measurements, kept out of the tests. Each ends with one line of figures and an exit code.
+/** What each experiment is about, by name. */
 const EXPERIMENTS: Record<string, string> = {
   client: 'one outcome a job, with script, controllers and machines killed in a local cluster',
   'submission-load': 'submissions to a local cluster in open loop, and the memory of the client',
@@ -14,7 +15,8 @@
 const [asked, ...rest] = process.argv.slice(2);
 const name = asked === undefined ? undefined : (ALIASES[asked] ?? asked);
 if (name === undefined || EXPERIMENTS[name] === undefined) {
-  for (const [n, about] of Object.entries(EXPERIMENTS)) process.stderr.write(`experiment ${n}: ${about}\n`);
+  for (const [listed, about] of Object.entries(EXPERIMENTS))
+    process.stderr.write(`experiment ${listed}: ${about}\n`);
   process.exit(2);
 }
 // The experiment's own parser sees only what follows its name.
--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -1,5 +1,6 @@
-// npm run drill -- scale: the size that the operators expect, on one machine: real controllers on real sockets, hollow workers,
-// and the lab's state service and cloud. `--slopes` varies one thing at a time; `--quick` is a short run with one trouble.
+// npm run experiment -- scale: the size that the operators expect, on one machine: real controllers on real sockets, simulated
+// workers, and the local cluster's store and cloud. `--slopes` varies one thing at a time; `--quick` is a short run with one
+// end of the leader.
 import { writeFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
 import { lacking } from './scale/resources.ts';
@@ -21,15 +22,15 @@
 
 const USAGE_ERROR = 2;
 
-const whole = (least: number, most: number) => (v: string) => {
-  const n = Number(v);
-  if (!Number.isInteger(n) || n < least || n > most)
+const wholeBetween = (least: number, most: number) => (text: string) => {
+  const number = Number(text);
+  if (!Number.isInteger(number) || number < least || number > most)
     throw new InvalidArgumentError(`a whole number from ${least} to ${most} is expected`);
-  return n;
+  return number;
 };
 
 /** Everything that is listed for an ordinary year, within a quarter of an hour. */
-const TROUBLES: ScaleFault[] = [
+const FAULTS: ScaleFault[] = [
   { atS: 5, kind: 'restarts', workers: 220, forS: 600 },
   { atS: 10, kind: 'burst', startsPerS: 1000, forS: 60 },
   { atS: 30, kind: 'config-burst', documents: 200, forS: 10 },
@@ -42,93 +43,105 @@
   { atS: 460, kind: 'freeze-owner', forS: 10 },
   { atS: 540, kind: 'owner-ends' },
 ];
-const QUICK_TROUBLES: ScaleFault[] = [
+const QUICK_FAULTS: ScaleFault[] = [
   { atS: 2, kind: 'burst', startsPerS: 1000, forS: 30 },
   { atS: 10, kind: 'config-burst', documents: 200, forS: 10 },
   { atS: 15, kind: 'owner-ends' },
 ];
 
 /** More is offered than is to run: what is beyond its team's limit waits. */
-const OFFERED = 1.2;
+const OFFERED_FACTOR = 1.2;
 /** A change of the configuration is in force everywhere within this. */
 const CONFIG_IN_FORCE_S = 18;
 /** 6,900 a day. */
 const CHANGES_PER_MINUTE = 5;
 
-function setupOf(o: Options): RunSetup {
-  const plain = baseSetup(o.workers, o.controllers, o.teams, o.seed);
-  const demand = { ...plain.demand, running: Math.round(plain.demand.running * OFFERED) };
+const INTERRUPTED = 130;
+const BROKEN_SHOWN = 40;
+const PROGRESS_INTERVAL_MS = 1000;
+/** Where progress is not seen as it comes. */
+const LOGGED_PROGRESS_INTERVAL_MS = 20_000;
+
+function setupOf({ workers, controllers, teams, seed, quick }: Options): RunSetup {
+  const plain = baseSetup(workers, controllers, teams, seed);
+  const demand = { ...plain.demand, running: Math.round(plain.demand.running * OFFERED_FACTOR) };
   const base = { ...plain, demand, changesPerMinute: CHANGES_PER_MINUTE };
-  return o.quick
-    ? { ...base, fillS: 40, measureS: 20, troubles: QUICK_TROUBLES, calmS: 110 }
-    : { ...base, fillS: 70, measureS: 60, troubles: TROUBLES, calmS: 100 };
+  return quick
+    ? { ...base, fillS: 40, measureS: 20, troubles: QUICK_FAULTS, calmS: 110 }
+    : { ...base, fillS: 70, measureS: 60, troubles: FAULTS, calmS: 100 };
 }
 
+/** Writes each fault, and other progress now and then. */
 function progressTo(stream: NodeJS.WriteStream): (line: string) => void {
   const began = Date.now();
-  let last = 0;
+  const intervalMs = stream.isTTY ? PROGRESS_INTERVAL_MS : LOGGED_PROGRESS_INTERVAL_MS;
+  let lastAt = 0;
   return (line) => {
-    if (!line.startsWith('fault') && Date.now() - last < (stream.isTTY ? 1000 : 20_000)) return;
-    last = Date.now();
+    if (!line.startsWith('fault') && Date.now() - lastAt < intervalMs) return;
+    lastAt = Date.now();
     stream.write(`${Math.round((Date.now() - began) / 1000)} s  ${line}\n`);
   };
 }
 
-const count = (r: RunResult, ...rules: string[]): number =>
-  r.broken.filter((b) => rules.some((rule) => b.includes(` ${rule}: `))).length;
+const countBroken = ({ broken }: RunResult, ...rules: string[]): number =>
+  broken.filter((line) => rules.some((rule) => line.includes(` ${rule}: `))).length;
 
-function lastLine(o: Options, r: RunResult): string {
-  const f = r.figures;
-  const fixed = (x: number, digits = 2): string => x.toFixed(digits);
-  const takeover = r.takeoversS.length === 0 ? 0 : Math.max(...r.takeoversS);
+function formatResult({ workers, teams }: Options, result: RunResult): string {
+  const { figures, urgent, config } = result;
+  const takeoverS = result.takeoversS.length === 0 ? 0 : Math.max(...result.takeoversS);
   return [
-    `scale: workers=${o.workers} teams=${o.teams} running=${r.running} starts_per_s=${Math.round(r.peakStartsPerS)}`,
-    `urgent_p50_s=${fixed(r.urgent.p50S)} urgent_p99_s=${fixed(r.urgent.p99S)} takeover_s=${fixed(takeover, 1)}`,
-    `config_p99_s=${fixed(r.config.p99S)} config_max_s=${fixed(r.config.maxS)}`,
-    `owner_core=${fixed(f.owner.core, 3)} owner_mb=${Math.round(f.owner.rssMb)}`,
-    `worker_bytes_s=${Math.round(f.worker.bytesPerS)} state_requests_s=${fixed(f.stateRequestsPerS, 1)}`,
-    `state_changes_s=${fixed(f.stateChangesPerS, 1)} lost=${count(r, 'forgotten', 'left_waiting', 'nothing_ran')}`,
-    `doubled=${count(r, 'ran_twice')} over_quota=${count(r, 'quota')}`,
+    `scale: workers=${workers} teams=${teams} running=${result.running} starts_per_s=${Math.round(result.peakStartsPerS)}`,
+    `urgent_p50_s=${urgent.p50S.toFixed(2)} urgent_p99_s=${urgent.p99S.toFixed(2)} takeover_s=${takeoverS.toFixed(1)}`,
+    `config_p99_s=${config.p99S.toFixed(2)} config_max_s=${config.maxS.toFixed(2)}`,
+    `owner_core=${figures.owner.core.toFixed(3)} owner_mb=${Math.round(figures.owner.rssMb)}`,
+    `worker_bytes_s=${Math.round(figures.worker.bytesPerS)} state_requests_s=${figures.stateRequestsPerS.toFixed(1)}`,
+    `state_changes_s=${figures.stateChangesPerS.toFixed(1)} lost=${countBroken(result, 'forgotten', 'left_waiting', 'nothing_ran')}`,
+    `doubled=${countBroken(result, 'ran_twice')} over_quota=${countBroken(result, 'quota')}`,
   ].join(' ');
 }
 
-async function main(o: Options): Promise<void> {
-  const why = lacking(o.workers, o.controllers);
-  if (why !== null) {
-    process.stderr.write(`scale: ${why}\n`);
-    process.exit(USAGE_ERROR);
-  }
-  let stop: (() => Promise<void>) | null = null;
-  const onCluster = (s: () => Promise<void>): void => {
-    stop = s;
-  };
+/** Has a cluster ended when this process is told to end; returns what tells it of the cluster. */
+function stopOnSignal(): (stop: () => Promise<void>) => void {
+  let stopCluster: (() => Promise<void>) | null = null;
   for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const)
     process.on(signal, async () => {
-      await stop?.();
-      process.exit(130);
+      await stopCluster?.();
+      process.exit(INTERRUPTED);
     });
-  const progress = progressTo(process.stderr);
-  if (o.slopes) return playSlopes(o, progress, onCluster);
-  const r = await ScaleRun.play(setupOf(o), progress, onCluster);
-  if (o.json !== undefined) writeFileSync(o.json, `${JSON.stringify(r, null, 1)}\n`);
-  for (const b of r.broken.slice(0, 40)) process.stdout.write(`${b}\n`);
-  process.stdout.write(`${lastLine(o, r)}\n`);
-  const inForce = r.config.pending === 0 && r.config.maxS <= CONFIG_IN_FORCE_S;
-  process.exit(r.broken.length > 0 || r.ended > 0 || !inForce ? 1 : 0);
+  return (stop) => {
+    stopCluster = stop;
+  };
+}
+
+async function main(options: Options): Promise<void> {
+  const obstacle = lacking(options.workers, options.controllers);
+  if (obstacle !== null) {
+    process.stderr.write(`scale: ${obstacle}\n`);
+    process.exit(USAGE_ERROR);
+  }
+  const onCluster = stopOnSignal();
+  const onProgress = progressTo(process.stderr);
+  if (options.slopes) return playSlopes(options, onProgress, onCluster);
+  const result = await ScaleRun.play(setupOf(options), onProgress, onCluster);
+  if (options.json !== undefined) writeFileSync(options.json, `${JSON.stringify(result, null, 1)}\n`);
+  for (const rule of result.broken.slice(0, BROKEN_SHOWN)) process.stdout.write(`${rule}\n`);
+  process.stdout.write(`${formatResult(options, result)}\n`);
+  const isInForce = result.config.pending === 0 && result.config.maxS <= CONFIG_IN_FORCE_S;
+  process.exit(result.broken.length > 0 || result.ended > 0 || !isInForce ? 1 : 0);
 }
 
 const program = new Command('scale')
   .description('the size that the operators expect, on this machine; exits with 1 when a rule is broken')
-  .option('--workers <n>', 'hollow workers', whole(10, 4000), 2000)
-  .option('--controllers <n>', 'real controllers', whole(1, 15), 5)
-  .option('--teams <n>', 'teams with quotas', whole(6, 400), 57)
-  .option('--seed <n>', 'of the load', whole(1, 2 ** 31), 1)
-  .option('--quick', 'under four minutes, with one end of the owner')
+  .option('--workers <n>', 'simulated workers', wholeBetween(10, 4000), 2000)
+  .option('--controllers <n>', 'real controllers', wholeBetween(1, 15), 5)
+  .option('--teams <n>', 'teams with quotas', wholeBetween(6, 400), 57)
+  .option('--seed <n>', 'of the load', wholeBetween(1, 2 ** 31), 1)
+  .option('--quick', 'under four minutes, with one end of the leader')
   .option('--slopes', 'what each role costs as one thing varies')
   .option('--only <series...>', 'of the slopes, these series')
   .option('--json <file>', 'all figures')
   .option('--resume', 'of the slopes, go on with what is in that file')
   .option('--plot <file>', 'the slopes as an SVG')
-  .exitOverride((e) => process.exit(e.exitCode === 0 ? 0 : USAGE_ERROR))
+  .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : USAGE_ERROR))
   .action(main);
 await program.parseAsync();
