--- a/scripts/behaviour-digest.ts
+++ b/scripts/behaviour-digest.ts
@@ -12,8 +12,13 @@
   .option('--write', 'keep the digests of the sources as they stand')
   .parse();
 
-const kept = JSON.parse(readFileSync(FIXTURE, 'utf8')) as Record<string, string>;
-const found = Object.fromEntries(Object.keys(kept).map((seed) => [seed, digestOfSeed(Number(seed))]));
+/** Digests by seed. */
+type Digests = Record<string, string>;
+
+const kept = JSON.parse(readFileSync(FIXTURE, 'utf8')) as Digests;
+const found: Digests = Object.fromEntries(
+  Object.keys(kept).map((seed) => [seed, digestOfSeed(Number(seed))]),
+);
 const different = Object.keys(kept).filter((seed) => found[seed] !== kept[seed]);
 for (const seed of different) console.log(`seed ${seed}: ${found[seed]}, kept ${kept[seed]}`);
 console.log(`behaviour: seeds=${Object.keys(kept).length} different=${different.length}`);
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -7,8 +7,6 @@
 import { type RunResult, type RunSetup, ScaleRun } from './run.ts';
 import { PLOTTED_MEASURES, type PlottedValue, plotSlopes } from './slopes-plot.ts';
 
-export { fitLine } from './line-fit.ts';
-
 /** At the operators' size. */
 const FULL_WORKERS = 2000;
 const FULL_RUNNING = 14_000;
--- a/test/scale-experiment.test.ts
+++ b/test/scale-experiment.test.ts
@@ -1,11 +1,12 @@
-// The scale drill: its index of placements, its lines, what it refuses, and that it leaves nothing behind.
+// The scale experiment: its index of placements, its lines, what it refuses, and that it leaves nothing behind.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { readdirSync, readFileSync } from 'node:fs';
-import { test } from 'node:test';
+import { describe, it } from 'node:test';
+import { fitLine } from '../scripts/experiments/scale/line-fit.ts';
 import { Judge, LastingRooms, TrackedPlacements } from '../scripts/experiments/scale/placements.ts';
 import { lacking } from '../scripts/experiments/scale/resources.ts';
-import { fitLine } from '../scripts/experiments/scale/slopes.ts';
+import { sleep } from '../scripts/experiments/scale/time.ts';
 import { teamsFor } from '../scripts/experiments/scale/workload.ts';
 import type { JobSpec } from '../src/core/base/model.ts';
 import type { JobId, TeamName } from '../src/types/index.ts';
@@ -35,87 +36,8 @@
   return { rules, judge, placements };
 }
 
-test('what the workers of the drill say is judged in the order of its times, however its batches come', () => {
-  const { rules, judge, placements } = judged(4);
-  judge.see([{ at: 300, kind: 'on', task: 'run-1/0', machine: 'i-2' }]);
-  judge.see([
-    { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
-    { at: 200, kind: 'off', task: 'run-1/0', machine: 'i-1' },
-  ]);
-  judge.advance(5000);
-  assert.deepEqual(rules.broken, []);
-  assert.deepEqual([placements.size, placements.usedBy('small').cpus], [1, 2]);
-  assert.equal(placements.room(place('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
-});
-
-test('a task on two machines and a team above its limit are seen', () => {
-  const { rules, judge } = judged(4);
-  judge.see([
-    { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
-    { at: 200, kind: 'on', task: 'run-1/0', machine: 'i-2' },
-    { at: 300, kind: 'on', task: 'run-1/1', machine: 'i-2' },
-  ]);
-  judge.advance(5000);
-  assert.match(rules.broken.join('\n'), /ran_twice: run-1\/0 on i-2 and i-1/);
-  assert.match(rules.broken.join('\n'), /quota: small uses 6 of 4 CPUs/);
-});
-
-test('room counts that a machine has had for several reports, and not what comes and goes', () => {
-  const lasting = new LastingRooms();
-  const room = (id: string, cpus: number) => ({ machine: place(id), cpus, gpus: 0, memoryGb: 8 });
-  let found: string[] = [];
-  for (let look = 0; look < 20; look++)
-    found = [...lasting.look([room('i-1', 4), room('i-2', look % 5 === 0 ? 4 : 0)])].map(
-      (r) => `${r.machine.id} ${r.cpus}`,
-    );
-  assert.deepEqual(found, ['i-1 4', 'i-2 0']);
-});
-
-test('a job left beside room that lasts is seen', () => {
-  const { rules, judge } = judged(4, () => [{ machine: place('i-1'), cpus: 8, gpus: 0, memoryGb: 8 }]);
-  judge.see([{ at: 2, kind: 'over' }]);
-  for (let s = 2; s < 120; s++) judge.advance(s * 1000);
-  assert.match(rules.broken.join('\n'), /left_waiting: run-1/);
-});
-
-test('a line through what was measured has its slope, and says how far off it is', () => {
-  const straight = fitLine([1, 2, 3].map((x) => ({ x, y: 5 + 2 * x })));
-  assert.deepEqual(
-    [straight.slope, straight.intercept, straight.residual].map((n) => Math.round(n * 1e9)),
-    [2e9, 5e9, 0],
-  );
-  assert.ok(fitLine([1, 2, 3].map((x) => ({ x, y: x ** 4 }))).residual > 0.2);
-});
-
-test('teams have the same limits for the same seed, and none is guaranteed more than it may use', () => {
-  const demand = {
-    workers: 2000,
-    teams: 57,
-    running: 14_000,
-    jobsPerS: 0.4,
-    urgentPerS: 0.2,
-    waitingJobs: 0,
-  };
-  assert.deepEqual(teamsFor(demand, 7), teamsFor(demand, 7));
-  for (const t of teamsFor(demand, 7)) assert.ok(t.cpus_max === 0 || t.cpus <= t.cpus_max, t.name);
-});
-
-test('what the machine cannot carry, and wrong options, end in one line and exit 2', async () => {
-  assert.match(lacking(40_000, 15) ?? '', /processes|MB/);
-  const { code, text } = await new Promise<{ code: number | null; text: string }>((resolve) => {
-    const child = spawn(process.execPath, [...RUN, '--workers', 'many']);
-    let text = '';
-    child.stderr.on('data', (d) => {
-      text += d;
-    });
-    child.once('exit', (code) => resolve({ code, text }));
-  });
-  assert.equal(code, 2);
-  assert.match(text, /a whole number from 10 to 4000 is expected/);
-});
-
 /** Processes that descend from this one, by their command lines. */
-function descendants(of: number): number[] {
+function descendants(pid: number): number[] {
   const parents = new Map<number, number[]>();
   for (const name of readdirSync('/proc').filter((n) => /^\d+$/.test(n)))
     try {
@@ -125,36 +47,118 @@
     } catch {
       // It has ended meanwhile.
     }
-  const out: number[] = [];
-  for (const todo = [of]; todo.length > 0; ) {
+  const found: number[] = [];
+  for (const todo = [pid]; todo.length > 0; ) {
     const children = parents.get(todo.pop()!) ?? [];
-    out.push(...children);
+    found.push(...children);
     todo.push(...children);
   }
-  return out;
+  return found;
 }
 
-test('interrupted, the drill takes all that it started with it', async () => {
-  const child = spawn(process.execPath, [...RUN, '--workers', '20', '--controllers', '2', '--quick'], {
-    stdio: 'ignore',
+describe('the scale experiment', () => {
+  it('what the workers of the experiment say is judged in the order of its times, however its batches come', () => {
+    const { rules, judge, placements } = judged(4);
+    judge.see([{ at: 300, kind: 'on', task: 'run-1/0', machine: 'i-2' }]);
+    judge.see([
+      { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
+      { at: 200, kind: 'off', task: 'run-1/0', machine: 'i-1' },
+    ]);
+    judge.advance(5000);
+    assert.deepEqual(rules.broken, []);
+    assert.deepEqual([placements.size, placements.usedBy('small').cpus], [1, 2]);
+    assert.equal(placements.room(place('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
   });
-  const until = Date.now() + 30_000;
-  // Two controllers, the services, a host, and the guard of the processes.
-  while (descendants(child.pid!).length < 5 && Date.now() < until)
-    await new Promise((r) => setTimeout(r, 100));
-  const started = descendants(child.pid!);
-  assert.ok(started.length >= 5, `${started.length} processes`);
-  const ended = new Promise<void>((r) => child.once('exit', () => r()));
-  child.kill('SIGINT');
-  await ended;
-  await new Promise((r) => setTimeout(r, 500));
-  const alive = started.filter((pid) => {
-    try {
-      process.kill(pid, 0);
-      return !readFileSync(`/proc/${pid}/stat`, 'utf8').includes(') Z ');
-    } catch {
-      return false;
-    }
+
+  it('a task on two machines and a team above its limit are seen', () => {
+    const { rules, judge } = judged(4);
+    judge.see([
+      { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
+      { at: 200, kind: 'on', task: 'run-1/0', machine: 'i-2' },
+      { at: 300, kind: 'on', task: 'run-1/1', machine: 'i-2' },
+    ]);
+    judge.advance(5000);
+    assert.match(rules.broken.join('\n'), /ran_twice: run-1\/0 on i-2 and i-1/);
+    assert.match(rules.broken.join('\n'), /quota: small uses 6 of 4 CPUs/);
+  });
+
+  it('room counts that a machine has had for several reports, and not what comes and goes', () => {
+    const lasting = new LastingRooms();
+    const room = (id: string, cpus: number) => ({ machine: place(id), cpus, gpus: 0, memoryGb: 8 });
+    let found: string[] = [];
+    for (let look = 0; look < 20; look++)
+      found = [...lasting.look([room('i-1', 4), room('i-2', look % 5 === 0 ? 4 : 0)])].map(
+        (free) => `${free.machine.id} ${free.cpus}`,
+      );
+    assert.deepEqual(found, ['i-1 4', 'i-2 0']);
+  });
+
+  it('a job left beside room that lasts is seen', () => {
+    const { rules, judge } = judged(4, () => [{ machine: place('i-1'), cpus: 8, gpus: 0, memoryGb: 8 }]);
+    judge.see([{ at: 2, kind: 'over' }]);
+    for (let seconds = 2; seconds < 120; seconds++) judge.advance(seconds * 1000);
+    assert.match(rules.broken.join('\n'), /left_waiting: run-1/);
+  });
+
+  it('a line through what was measured has its slope, and says how far off it is', () => {
+    const straight = fitLine([1, 2, 3].map((x) => ({ x, y: 5 + 2 * x })));
+    assert.deepEqual(
+      [straight.slope, straight.intercept, straight.residual].map((n) => Math.round(n * 1e9)),
+      [2e9, 5e9, 0],
+    );
+    assert.ok(fitLine([1, 2, 3].map((x) => ({ x, y: x ** 4 }))).residual > 0.2);
+  });
+
+  it('teams have the same limits for the same seed, and none is guaranteed more than it may use', () => {
+    const demand = {
+      workers: 2000,
+      teams: 57,
+      running: 14_000,
+      jobsPerS: 0.4,
+      urgentPerS: 0.2,
+      waitingJobs: 0,
+    };
+    assert.deepEqual(teamsFor(demand, 7), teamsFor(demand, 7));
+    for (const { name, cpus, cpus_max } of teamsFor(demand, 7))
+      assert.ok(cpus_max === 0 || cpus <= cpus_max, name);
+  });
+
+  it('what the machine cannot carry, and wrong options, end in one line and exit 2', async () => {
+    assert.match(lacking(40_000, 15) ?? '', /processes|MB/);
+    const { code, text } = await new Promise<{ code: number | null; text: string }>((resolve) => {
+      const child = spawn(process.execPath, [...RUN, '--workers', 'many']);
+      let text = '';
+      child.stderr.on('data', (chunk) => {
+        text += chunk;
+      });
+      child.once('exit', (code) => resolve({ code, text }));
+    });
+    assert.equal(code, 2);
+    assert.match(text, /a whole number from 10 to 4000 is expected/);
+  });
+
+  it('interrupted, the experiment takes all that it started with it', async (t) => {
+    const child = spawn(process.execPath, [...RUN, '--workers', '20', '--controllers', '2', '--quick'], {
+      stdio: 'ignore',
+    });
+    t.after(() => child.kill('SIGINT'));
+    const until = Date.now() + 30_000;
+    // Two controllers, the services, a host, and the guard of the processes.
+    while (descendants(child.pid!).length < 5 && Date.now() < until) await sleep(100);
+    const started = descendants(child.pid!);
+    assert.ok(started.length >= 5, `${started.length} processes`);
+    const ended = new Promise<void>((resolve) => child.once('exit', () => resolve()));
+    child.kill('SIGINT');
+    await ended;
+    await sleep(500);
+    const alive = started.filter((pid) => {
+      try {
+        process.kill(pid, 0);
+        return !readFileSync(`/proc/${pid}/stat`, 'utf8').includes(') Z ');
+      } catch {
+        return false;
+      }
+    });
+    assert.deepEqual(alive, []);
   });
-  assert.deepEqual(alive, []);
 });
