--- a/scripts/experiments/fleet-jobs.ts
+++ b/scripts/experiments/fleet-jobs.ts
@@ -2,8 +2,8 @@
 import type { Random } from '../../src/core/base/io.ts';
 import type { UserRequest, UserResponse } from '../../src/core/base/model.ts';
 import type { TaskId } from '../../src/types/index.ts';
+import type { Arrival } from './fleet-arrivals.ts';
 import type { FleetControllers } from './fleet-controllers.ts';
-import type { Arrival } from './fleet-days.ts';
 
 const RETRY_FOR_MS = 60_000;
 const RETRY_DELAY_MS = 1000;
--- a/scripts/experiments/fleet-machines.ts
+++ b/scripts/experiments/fleet-machines.ts
@@ -5,8 +5,9 @@
 import { Tasks } from '../../packages/local-cluster/src/task-runner.ts';
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
 import type { TaskId, ZoneName } from '../../src/types/index.ts';
+import type { Arrival } from './fleet-arrivals.ts';
 import type { FleetControllers } from './fleet-controllers.ts';
-import { type Arrival, TYPES } from './fleet-days.ts';
+import { TYPES } from './fleet-days.ts';
 import type { FleetJob, FleetJobs } from './fleet-jobs.ts';
 
 /** What the world offers its machines. */
--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -12,10 +12,9 @@
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
 import type { MachineId, TaskId, TypeName, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
+import { type Arrival, arrivals } from './fleet-arrivals.ts';
 import { type ControllerEnvironment, FleetControllers, NODES } from './fleet-controllers.ts';
 import {
-  type Arrival,
-  arrivals,
   type Day,
   type DayFault,
   HEARTBEAT_INTERVAL_MS,
--- a/scripts/experiments/hotpath-machines.ts
+++ b/scripts/experiments/hotpath-machines.ts
@@ -11,6 +11,13 @@
 import type { NodeId } from '../../src/types/index.ts';
 import type { Kind, Lib } from './hotpath-lib.ts';
 import type { InputTimer } from './hotpath-timer.ts';
+import {
+  heartbeatBody,
+  httpRequest,
+  type WireResponse,
+  type WireResponseBody,
+  type WireTask,
+} from './hotpath-wire.ts';
 
 /** What machines need of the load. */
 export interface MachineEnvironment {
@@ -38,27 +45,7 @@
 const MAX_REQUEST_BYTES = 65_536;
 const FORWARDING_NODE = 'n-9' as NodeId;
 
-/** A task as it stands on the wire. */
-interface WireTask {
-  piece: string;
-  try: number;
-  status: string;
-  cause?: string;
-}
-
-/** A command as it stands on the wire. */
-interface WireCommand {
-  verb: string;
-  piece: string;
-  try: number;
-}
-
-/** A heartbeat's response as it stands on the wire. */
-interface WireResponse {
-  status: number;
-  body: string;
-}
-
+/** A machine that runs. */
 interface LoadMachine {
   id: string;
   type: string;
@@ -252,7 +239,7 @@
 
   /** Whether anything has changed that the machine has to tell. */
   private carryOut(machine: LoadMachine, body: string): boolean {
-    const { baton, orders } = JSON.parse(body) as { baton: number; orders: WireCommand[] };
+    const { baton, orders } = JSON.parse(body) as WireResponseBody;
     const hasNewToken = baton > machine.fencingToken;
     machine.fencingToken = Math.max(baton, machine.fencingToken);
     for (const command of orders) {
@@ -265,7 +252,7 @@
     return hasNewToken || orders.length > 0;
   }
 
-  private launch(machine: LoadMachine, key: string, command: WireCommand): void {
+  private launch(machine: LoadMachine, key: string, command: WireResponseBody['orders'][number]): void {
     const { environment } = this;
     const task: WireTask = { piece: command.piece, try: command.try, status: 'running' };
     machine.tasks.set(key, task);
@@ -281,24 +268,3 @@
   task.status = 'ended';
   task.cause = cause;
 }
-
-/** A heartbeat in the words of the wire. */
-function heartbeatBody(machine: LoadMachine): string {
-  return JSON.stringify({
-    berth: machine.id,
-    endpoint: '10.1.0.1:9000',
-    berthkind: machine.type,
-    yard: machine.zone,
-    loaners: true,
-    shift: 1,
-    tally: machine.seq,
-    baton: machine.fencingToken,
-    recallS: null,
-    pieces: [...machine.tasks.values()],
-  });
-}
-
-function httpRequest(body: string): Buffer {
-  const head = `POST /checkin HTTP/1.1\r\nHost: 10.0.0.1:80\r\nContent-Type: application/json\r\nContent-Length: ${body.length}\r\n\r\n`;
-  return Buffer.from(head + body);
-}
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -2,7 +2,8 @@
 // or unserved.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { arrivals, DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
+import { arrivals } from '../scripts/experiments/fleet-arrivals.ts';
+import { DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
 import type { Setup } from '../scripts/experiments/fleet-types.ts';
 import { FleetWorld } from '../scripts/experiments/fleet-world.ts';
 import { defaults, schedulerOptions } from '../src/cli/options.ts';
