--- a/scripts/experiments/plot.ts
+++ b/scripts/experiments/plot.ts
@@ -27,29 +27,22 @@
 
 const PANEL_SIZE = 420;
 
+/** Scales of a panel: the value, and what it is of. */
+function scalesOf(data: string) {
+  const range = [0, PANEL_SIZE];
+  return [
+    { name: 'x', type: 'linear' as const, domain: { data, field: 'value' }, range, nice: true, zero: true },
+    { name: 'y', type: 'point' as const, domain: { data, field: 'at', sort: true }, range, padding: 0.5 },
+  ];
+}
+
 /** Points of a data set, by what they are of and by side. */
 function panel(data: string, title: string, shape: string) {
   return {
     type: 'group' as const,
     encode: { enter: { width: { value: PANEL_SIZE }, height: { value: PANEL_SIZE } } },
     title,
-    scales: [
-      {
-        name: 'x',
-        type: 'linear' as const,
-        domain: { data, field: 'value' },
-        range: [0, PANEL_SIZE],
-        nice: true,
-        zero: true,
-      },
-      {
-        name: 'y',
-        type: 'point' as const,
-        domain: { data, field: 'at', sort: true },
-        range: [0, PANEL_SIZE],
-        padding: 0.5,
-      },
-    ],
+    scales: scalesOf(data),
     axes: [
       { orient: 'bottom' as const, scale: 'x', grid: true },
       { orient: 'left' as const, scale: 'y' },
--- a/scripts/experiments/scale/slopes-plot.ts
+++ b/scripts/experiments/scale/slopes-plot.ts
@@ -27,34 +27,30 @@
   return new View(parse(plotSpec(values)), { renderer: 'none' }).toSVG();
 }
 
+/** Scales of a panel, from nothing on. */
+function scalesOf(data: string) {
+  const scale = { type: 'linear' as const, zero: true };
+  return [
+    { ...scale, name: 'x', domain: { data, field: 'x' }, range: [0, PANEL_WIDTH] },
+    { ...scale, name: 'y', domain: { data, field: 'y' }, range: [PANEL_HEIGHT, 0] },
+  ];
+}
+
+/** A measure against the workers. */
 function panel(measure: string) {
+  const data = `of-${measure}`;
   return {
     type: 'group' as const,
     title: measure,
     encode: { enter: { width: { value: PANEL_WIDTH }, height: { value: PANEL_HEIGHT } } },
     data: [
       {
-        name: `of-${measure}`,
+        name: data,
         source: 'values',
         transform: [{ type: 'filter' as const, expr: `datum.measure === '${measure}'` }],
       },
     ],
-    scales: [
-      {
-        name: 'x',
-        type: 'linear' as const,
-        domain: { data: `of-${measure}`, field: 'x' },
-        range: [0, PANEL_WIDTH],
-        zero: true,
-      },
-      {
-        name: 'y',
-        type: 'linear' as const,
-        domain: { data: `of-${measure}`, field: 'y' },
-        range: [PANEL_HEIGHT, 0],
-        zero: true,
-      },
-    ],
+    scales: scalesOf(data),
     axes: [
       { orient: 'bottom' as const, scale: 'x', title: 'workers' },
       { orient: 'left' as const, scale: 'y' },
@@ -62,7 +58,7 @@
     marks: [
       {
         type: 'symbol' as const,
-        from: { data: `of-${measure}` },
+        from: { data },
         encode: {
           enter: {
             x: { scale: 'x', field: 'x' },
