--- a/scripts/experiments/scale/placements.ts
+++ b/scripts/experiments/scale/placements.ts
@@ -1,20 +1,7 @@
-// What is on machines, told by the hosts of simulated workers in batches: put in the order of its times, kept
-// in an index, and checked by the users' rules.
-import type { JobSpec, UserRequest, UserResponse } from '../../../src/core/base/model.ts';
+// What is on machines, kept in an index, and the free capacity that machines have had for some time.
+import type { JobSpec } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
-import type {
-  OnMachine,
-  Place,
-  Placements,
-  Room,
-  RuleChecker,
-  TeamAmounts,
-} from '../../../test/support/rule-checker.ts';
-import type { TaskEvent } from './messages.ts';
-
-/** Batches of different processes, and news of changes in force, come this much apart at the most. */
-const SETTLE_MS = 1200;
-const LOOK_INTERVAL_MS = 1000;
+import type { OnMachine, Place, Placements, Room, TeamAmounts } from '../../../test/support/rule-checker.ts';
 
 /**
  * Looks for which room, on a machine or under a limit, must have been there. At a look a second: three
@@ -163,76 +150,3 @@
   }
   return group;
 }
-
-/** What users, workers and the experiment itself have seen, by when it happened. */
-type Observation =
-  | TaskEvent
-  | { at: number; kind: 'asked'; request: UserRequest }
-  | { at: number; kind: 'told'; sentAt: number; request: UserRequest; answer: UserResponse }
-  | { at: number; kind: 'over' };
-
-/** Gives what users and workers saw to the rule checker, in the order in which it happened. */
-export class Judge {
-  private pending: Observation[] = [];
-  private lastLookAt = 0;
-  /** Starts a second, by the second in which they fell. */
-  readonly starts = new Map<number, number>();
-  /** Is told of tasks that are put on machines. */
-  onStart: (task: string, at: number) => void = () => {};
-
-  constructor(
-    private readonly rules: RuleChecker,
-    private readonly placements: TrackedPlacements,
-    private readonly machineOf: (id: string) => Place | undefined,
-  ) {}
-
-  /** Takes what was seen, in any order. */
-  see(observations: readonly Observation[]): void {
-    for (const observation of observations) this.pending.push(observation);
-  }
-
-  /** Checks all that no later batch can precede. */
-  advance(now: number): void {
-    const until = now - SETTLE_MS;
-    this.pending.sort((a, b) => a.at - b.at);
-    let settled = 0;
-    while (settled < this.pending.length && this.pending[settled]!.at <= until)
-      this.check(this.pending[settled++]!);
-    this.pending = this.pending.slice(settled);
-    if (until < this.lastLookAt + LOOK_INTERVAL_MS) return;
-    this.lastLookAt = until;
-    this.rules.look(until);
-  }
-
-  /** Tasks on machines. */
-  get running(): number {
-    return this.placements.size;
-  }
-
-  private check(observation: Observation): void {
-    const { at } = observation;
-    switch (observation.kind) {
-      case 'on':
-        return this.onTask(at, observation.task, observation.machine);
-      case 'off':
-        return this.placements.remove(observation.task, observation.machine);
-      case 'done':
-        return this.rules.completed(observation.task);
-      case 'asked':
-        return this.rules.asked(at, observation.request);
-      case 'told':
-        return this.rules.told(at, observation.sentAt, observation.request, observation.answer);
-      case 'over':
-        return this.rules.troublesOver(at);
-    }
-  }
-
-  private onTask(at: number, task: string, machineId: string): void {
-    const machine = this.machineOf(machineId);
-    const second = Math.floor(at / 1000);
-    this.starts.set(second, (this.starts.get(second) ?? 0) + 1);
-    if (machine !== undefined) this.rules.placing(at, task, machine);
-    this.placements.add(task, machineId);
-    this.onStart(task, at);
-  }
-}
--- a/scripts/experiments/scale/run.ts
+++ b/scripts/experiments/scale/run.ts
@@ -13,8 +13,9 @@
 import { ScaleCluster } from './cluster.ts';
 import type { NodeStatus } from './controller-group.ts';
 import { type Figures, Meter } from './measure.ts';
+import { ObservationQueue } from './observation-queue.ts';
 import { ScaleOperator } from './operator.ts';
-import { Judge, LastingRooms, TrackedPlacements } from './placements.ts';
+import { LastingRooms, TrackedPlacements } from './placements.ts';
 import { daemonProgram, hostsFor } from './resources.ts';
 import { RunFaults } from './run-faults.ts';
 import { clusterOptions, type RunResult, type RunSetup, type UrgentFigures, WORKERS } from './run-setup.ts';
@@ -50,7 +51,7 @@
   private readonly places = new Map<string, Place>();
   private readonly placements: TrackedPlacements;
   private readonly rules: RuleChecker;
-  private readonly judge: Judge;
+  private readonly observations: ObservationQueue;
   private readonly users: Users;
   private readonly meter: Meter;
   private readonly operator: ScaleOperator;
@@ -77,9 +78,9 @@
       },
       this.placements,
     );
-    this.judge = new Judge(this.rules, this.placements, machineOf);
-    cluster.onTasks = (events) => this.judge.see(events);
-    this.users = new Users(cluster, this.judge, demand, teams, seed);
+    this.observations = new ObservationQueue(this.rules, this.placements, machineOf);
+    cluster.onTasks = (events) => this.observations.add(events);
+    this.users = new Users(cluster, this.observations, demand, teams, seed);
     this.meter = new Meter(cluster);
     const limits = limitsOf([...teams, WAITING_TEAM]);
     this.operator = new ScaleOperator(cluster.controllers.settings(), teams, limits, seed + 2);
@@ -121,11 +122,11 @@
     this.operator.begin(setup.changesPerMinute);
     const measurement = await this.measure();
     await this.faults.play(setup.troubles);
-    this.judge.see([{ at: wallClock(), kind: 'over' }]);
+    this.observations.add([{ at: wallClock(), kind: 'over' }]);
     await sleep(setup.calmS * 1000);
     this.isSampling = false;
     await Promise.all(loops);
-    this.judge.advance(wallClock());
+    this.observations.advance(wallClock());
     this.rules.close(wallClock());
     return this.result(measurement);
   }
@@ -139,7 +140,7 @@
     await sleep(measureS * 1000);
     return {
       figures: this.meter.figures(),
-      running: this.judge.running,
+      running: this.observations.running,
       openJobs: this.users.open,
       meanStartsPerS: this.startsBetween(from, from + measureS) / measureS,
     };
@@ -162,7 +163,7 @@
 
   private async checkLoop(): Promise<void> {
     while (this.isSampling) {
-      this.judge.advance(wallClock());
+      this.observations.advance(wallClock());
       await sleep(CHECK_INTERVAL_MS);
     }
   }
@@ -170,7 +171,7 @@
   private reportProgress(statuses: readonly (NodeStatus | null)[]): void {
     const leader = statuses.find((status) => status !== null)?.owner ?? 'none';
     this.onProgress(
-      `leader ${leader}, ${this.cluster.up.length} workers, ${this.judge.running} tasks on them, ` +
+      `leader ${leader}, ${this.cluster.up.length} workers, ${this.observations.running} tasks on them, ` +
         `${this.users.open} jobs open, ${this.rules.broken.length} rules broken`,
     );
   }
@@ -197,7 +198,7 @@
 
   private startsBetween(fromSecond: number, toSecond: number): number {
     let total = 0;
-    for (const [second, starts] of this.judge.starts)
+    for (const [second, starts] of this.observations.starts)
       if (second >= fromSecond && second < toSecond) total += starts;
     return total;
   }
@@ -205,7 +206,7 @@
   /** The highest mean over some seconds. */
   private peakStarts(): number {
     let peak = 0;
-    for (const second of this.judge.starts.keys())
+    for (const second of this.observations.starts.keys())
       peak = Math.max(peak, this.startsBetween(second, second + PEAK_WINDOW_S) / PEAK_WINDOW_S);
     return peak;
   }
--- a/scripts/experiments/scale/users.ts
+++ b/scripts/experiments/scale/users.ts
@@ -13,7 +13,7 @@
 import { seededRandom } from '../../../src/runtime/random.ts';
 import { type JobId, parseTaskId, type TaskId } from '../../../src/types/index.ts';
 import type { ScaleCluster } from './cluster.ts';
-import type { Judge } from './placements.ts';
+import type { ObservationQueue } from './observation-queue.ts';
 import { wallClock } from './time.ts';
 import { type Demand, type DrawnJob, drawBetween, JobGenerator, type TeamLimits } from './workload.ts';
 
@@ -78,14 +78,14 @@
 
   constructor(
     private readonly cluster: ScaleCluster,
-    private readonly judge: Judge,
+    private readonly observations: ObservationQueue,
     private readonly demand: Demand,
     teams: readonly TeamLimits[],
     seed: number,
   ) {
     this.random = seededRandom(seed);
     this.generator = new JobGenerator(demand, teams, this.random);
-    judge.onStart = (task, at) => this.onTaskStart(task, at);
+    observations.onStart = (task, at) => this.onTaskStart(task, at);
   }
 
   /** What is known of a job that was submitted. */
@@ -189,13 +189,13 @@
     const node = nodes[this.nextNode++ % nodes.length]!;
     const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
     this.figures.requests++;
-    this.judge.see([{ at: sentAt, kind: 'asked', request }]);
+    this.observations.add([{ at: sentAt, kind: 'asked', request }]);
     node.client.call({ ...callOf(job, request), timeoutMs }, (reply) => {
       if (this.isStopped) return;
       const body = reply?.body.toString('utf8') ?? '';
       const response = reply === null ? null : responseOf(job.spec.id, request, reply.status, body);
       if (response === null) this.figures.unanswered++;
-      else this.judge.see([{ at: wallClock(), kind: 'told', sentAt, request, answer: response }]);
+      else this.observations.add([{ at: wallClock(), kind: 'told', sentAt, request, answer: response }]);
       onResponse(response);
     });
   }
--- a/scripts/known-red.ts
+++ b/scripts/known-red.ts
@@ -42,7 +42,7 @@
 }
 
 /** Why the run fails, one line each; none if it passes. */
-export function judge(known: readonly KnownRed[], outcomes: readonly Outcome[]): string[] {
+export function failuresOf(known: readonly KnownRed[], outcomes: readonly Outcome[]): string[] {
   const errors: string[] = [];
   const listed = new Set(known.map((red) => red.test));
   if (listed.size < known.length) errors.push('KNOWN-RED.txt: a test is listed twice');
--- a/scripts/regress.ts
+++ b/scripts/regress.ts
@@ -6,8 +6,8 @@
 import { BENCH } from './bench.ts';
 import {
   type Finding,
+  findingsOf,
   fixedFall,
-  judge,
   type Level,
   type Levels,
   NOISE,
@@ -92,7 +92,7 @@
   for (const played of await play(options.kit, args, options.why)) {
     const level = levels[played.site]?.[mode] ?? null;
     printSite(played, level);
-    findings.push(...judge(played, level));
+    findings.push(...findingsOf(played, level));
     if (options.set && levels[played.site] !== undefined) levels[played.site]![mode] = played.score;
   }
   return findings;
@@ -104,7 +104,7 @@
   for (const file of files)
     for (const played of await play(kit, ['hunt', file, '--days', days], `${why}: hunt`)) {
       printSite(played, null);
-      findings.push(...judge(played, null));
+      findings.push(...findingsOf(played, null));
     }
   return findings;
 }
--- a/scripts/regression-levels.ts
+++ b/scripts/regression-levels.ts
@@ -63,7 +63,7 @@
   | { kind: 'lower'; site: string; score: number; level: number };
 
 /** What is wrong with one play of a site's days. */
-export function judge(played: PlayedSite, level: number | null): Finding[] {
+export function findingsOf(played: PlayedSite, level: number | null): Finding[] {
   const { site, score } = played;
   const texts = [...siteFailures(played), ...played.days.flatMap(dayFailures)];
   const findings: Finding[] = texts.map((text) => ({ kind: 'broken', site, text }));
--- a/scripts/unit.ts
+++ b/scripts/unit.ts
@@ -1,11 +1,11 @@
-// Runs the tests and judges the outcome beside KNOWN-RED.txt. The runner's own output and counts are printed
+// Runs the tests and compares the outcome with KNOWN-RED.txt. The runner's own output and counts are printed
 // as they are.
 import { existsSync, readFileSync } from 'node:fs';
 import type { Readable } from 'node:stream';
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import { Command } from 'commander';
-import { formatKnownRed, judge, type Outcome, parse } from './known-red.ts';
+import { failuresOf, formatKnownRed, type Outcome, parse } from './known-red.ts';
 
 const program = new Command('unit')
   .argument('<files...>', 'test files')
@@ -18,7 +18,7 @@
 
 const outcomes: Outcome[] = [];
 const stream = run({ files: program.args, concurrency: true });
-// Suites are judged by the tests within them.
+// Suites fail or pass by the tests within them.
 const noteOutcome =
   (passed: boolean) =>
   (test: { name: string; details: { type?: string } }): void => {
@@ -29,7 +29,7 @@
 
 function finish(): void {
   for (const red of known) console.log(formatKnownRed(red));
-  const failures = [...errors, ...judge(known, outcomes)];
+  const failures = [...errors, ...failuresOf(known, outcomes)];
   for (const failure of failures) console.error(`unit: ${failure}`);
   process.exit(failures.length === 0 ? 0 : 1);
 }
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -5,7 +5,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { describe, it } from 'node:test';
-import { judge, parse } from '../scripts/known-red.ts';
+import { failuresOf, parse } from '../scripts/known-red.ts';
 
 const red = { name: 'red', passed: false };
 const sound = { name: 'sound', passed: true };
@@ -35,14 +35,14 @@
 
   it('a run passes with just the listed failures, and says in a line each why it does not', () => {
     const { known } = parse(line('red'));
-    assert.deepEqual(judge(known, [red, sound]), []);
-    assert.deepEqual(judge([], [sound]), []);
-    assert.match(judge([], [red, sound]).join(), /^failed, and not a known red: red$/);
-    assert.match(judge(known, [sound]).join(), /no test has the name: red$/);
-    assert.match(judge(known, [red, { ...red }]).join(), /2 tests have the name: red$/);
-    assert.match(judge(known, [{ ...red, passed: true }]).join(), /passes, so its line is to go: red$/);
-    assert.match(judge([...known, ...known], [red]).join(), /listed twice/);
-    assert.match(judge([], []).join(), /no test was run/);
+    assert.deepEqual(failuresOf(known, [red, sound]), []);
+    assert.deepEqual(failuresOf([], [sound]), []);
+    assert.match(failuresOf([], [red, sound]).join(), /^failed, and not a known red: red$/);
+    assert.match(failuresOf(known, [sound]).join(), /no test has the name: red$/);
+    assert.match(failuresOf(known, [red, { ...red }]).join(), /2 tests have the name: red$/);
+    assert.match(failuresOf(known, [{ ...red, passed: true }]).join(), /passes, so its line is to go: red$/);
+    assert.match(failuresOf([...known, ...known], [red]).join(), /listed twice/);
+    assert.match(failuresOf([], []).join(), /no test was run/);
   });
 
   it('the runner tells the true counts, prints what it passes over, and exits by the list', async () => {
--- a/test/regression-levels.test.ts
+++ b/test/regression-levels.test.ts
@@ -2,8 +2,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
+  findingsOf,
   fixedFall,
-  judge,
   type Level,
   type PlayedDay,
   type PlayedSite,
@@ -27,19 +27,22 @@
 
 describe('regression levels', () => {
   it('a broken rule, a failed day and an empty run fail whatever the figure; a fall beyond noise is a suspicion', () => {
-    assert.deepEqual(judge(played(), 0.62), []);
-    assert.deepEqual(judge(played(), null), []);
+    assert.deepEqual(findingsOf(played(), 0.62), []);
+    assert.deepEqual(findingsOf(played(), null), []);
     assert.match(
-      JSON.stringify(judge(played({ days: [day({ rules: { quota: 2 } })] }), 0.1)),
+      JSON.stringify(findingsOf(played({ days: [day({ rules: { quota: 2 } })] }), 0.1)),
       /rough.*quota 2/,
     );
-    assert.match(JSON.stringify(judge(played({ days: [day({ fault: 'no answers' })] }), 0.1)), /no answers/);
-    assert.equal(judge(played({ days: [day({ score: 0 })] }), 0.1).length, 1);
+    assert.match(
+      JSON.stringify(findingsOf(played({ days: [day({ fault: 'no answers' })] }), 0.1)),
+      /no answers/,
+    );
+    assert.equal(findingsOf(played({ days: [day({ score: 0 })] }), 0.1).length, 1);
     const served = (part: number) => played({ days: [day({ served: [['team red', 0.3, part]] })] });
-    assert.match(JSON.stringify(judge(served(0.49), 0.1)), /team red served 0.49/);
-    assert.deepEqual(judge(served(0.5), 0.6), []);
-    assert.equal(judge(played({ error: 'not built', days: [] }), 0.1).length, 2);
-    assert.deepEqual(judge(played({ score: 0.58 }), 0.62), [
+    assert.match(JSON.stringify(findingsOf(served(0.49), 0.1)), /team red served 0.49/);
+    assert.deepEqual(findingsOf(served(0.5), 0.6), []);
+    assert.equal(findingsOf(played({ error: 'not built', days: [] }), 0.1).length, 2);
+    assert.deepEqual(findingsOf(played({ score: 0.58 }), 0.62), [
       { kind: 'lower', site: 'a', score: 0.58, level: 0.62 },
     ]);
   });
--- a/test/scale-experiment.test.ts
+++ b/test/scale-experiment.test.ts
@@ -5,7 +5,8 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
 import { fitLine } from '../scripts/experiments/scale/line-fit.ts';
-import { Judge, LastingRooms, TrackedPlacements } from '../scripts/experiments/scale/placements.ts';
+import { ObservationQueue } from '../scripts/experiments/scale/observation-queue.ts';
+import { LastingRooms, TrackedPlacements } from '../scripts/experiments/scale/placements.ts';
 import { lacking } from '../scripts/experiments/scale/resources.ts';
 import { sleep } from '../scripts/experiments/scale/time.ts';
 import { teamsFor } from '../scripts/experiments/scale/workload.ts';
@@ -18,7 +19,7 @@
 const place = (id: string): Place => ({ id, type: 'plain', zone: 'zone-0', spot: false });
 const machines = new Map(['i-1', 'i-2'].map((id) => [id, place(id)]));
 
-function judged(limitCpus: number, rooms: () => Room[] = () => []) {
+function checkedWorkers(limitCpus: number, rooms: () => Room[] = () => []) {
   const specs = new Map<string, JobSpec>([
     ['run-1', job('run-1', { team: 'small' as TeamName, tasks: 3, cpus: 2 })],
   ]);
@@ -28,13 +29,13 @@
   );
   const limits = { cancelMs: 40_000, limitOf: () => ({ ...UNLIMITED, cpus: limitCpus }), rooms };
   const rules = new RuleChecker(limits, placements);
-  const judge = new Judge(rules, placements, (id) => machines.get(id));
+  const observations = new ObservationQueue(rules, placements, (id) => machines.get(id));
   const request = { op: 'submit' as const, spec: specs.get('run-1')! };
-  judge.see([
+  observations.add([
     { at: 0, kind: 'asked', request },
     { at: 1, kind: 'told', sentAt: 0, request, answer: { kind: 'accepted', id: 'run-1' as JobId } },
   ]);
-  return { rules, judge, placements };
+  return { rules, observations, placements };
 }
 
 /** Processes that descend from this one, by their command lines. */
@@ -59,26 +60,26 @@
 
 describe('the scale experiment', () => {
   it('what the workers of the experiment say is judged in the order of its times, however its batches come', () => {
-    const { rules, judge, placements } = judged(4);
-    judge.see([{ at: 300, kind: 'on', task: 'run-1/0', machine: 'i-2' }]);
-    judge.see([
+    const { rules, observations, placements } = checkedWorkers(4);
+    observations.add([{ at: 300, kind: 'on', task: 'run-1/0', machine: 'i-2' }]);
+    observations.add([
       { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
       { at: 200, kind: 'off', task: 'run-1/0', machine: 'i-1' },
     ]);
-    judge.advance(5000);
+    observations.advance(5000);
     assert.deepEqual(rules.broken, []);
     assert.deepEqual([placements.size, placements.usedBy('small').cpus], [1, 2]);
     assert.equal(placements.room(place('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
   });
 
   it('a task on two machines and a team above its limit are seen', () => {
-    const { rules, judge } = judged(4);
-    judge.see([
+    const { rules, observations } = checkedWorkers(4);
+    observations.add([
       { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
       { at: 200, kind: 'on', task: 'run-1/0', machine: 'i-2' },
       { at: 300, kind: 'on', task: 'run-1/1', machine: 'i-2' },
     ]);
-    judge.advance(5000);
+    observations.advance(5000);
     assert.match(rules.broken.join('\n'), /ran_twice: run-1\/0 on i-2 and i-1/);
     assert.match(rules.broken.join('\n'), /quota: small uses 6 of 4 CPUs/);
   });
@@ -95,9 +96,11 @@
   });
 
   it('a job left beside room that lasts is seen', () => {
-    const { rules, judge } = judged(4, () => [{ machine: place('i-1'), cpus: 8, gpus: 0, memoryGb: 8 }]);
-    judge.see([{ at: 2, kind: 'over' }]);
-    for (let seconds = 2; seconds < 120; seconds++) judge.advance(seconds * 1000);
+    const { rules, observations } = checkedWorkers(4, () => [
+      { machine: place('i-1'), cpus: 8, gpus: 0, memoryGb: 8 },
+    ]);
+    observations.add([{ at: 2, kind: 'over' }]);
+    for (let seconds = 2; seconds < 120; seconds++) observations.advance(seconds * 1000);
     assert.match(rules.broken.join('\n'), /left_waiting: run-1/);
   });
 
