--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -1,5 +1,6 @@
-// The world of the fleet experiment: the core with fakes of its surroundings on a simulated clock, no processes and no sockets.
-// It checks the users' rules while it runs, and writes down what each job and each team got.
+// The world of the fleet experiment: the core with fakes of its surroundings on a simulated clock, no
+// processes and no sockets. It checks the users' rules while it runs, and writes down what each job and each
+// team got.
 import { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
 import { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
 import {
@@ -11,10 +12,9 @@
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
 import type { MachineId, TaskId, TypeName, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
+import { type Arrival, arrivals } from './fleet-arrivals.ts';
 import { type ControllerEnvironment, FleetControllers, NODES } from './fleet-controllers.ts';
 import {
-  type Arrival,
-  arrivals,
   type Day,
   type DayFault,
   HEARTBEAT_INTERVAL_MS,
@@ -161,7 +161,7 @@
   private endLeader(): void {
     const leader = this.controllers.leader;
     if (leader === null) return this.after(RETRY_DELAY_MS, () => this.endLeader());
-    this.controllers.end(leader);
+    this.controllers.crash(leader);
     this.after(RESTART_MS, () => this.controllers.start(leader));
   }
 
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -1,7 +1,9 @@
-// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost or unserved.
+// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost
+// or unserved.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { arrivals, DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
+import { arrivals } from '../scripts/experiments/fleet-arrivals.ts';
+import { DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
 import type { Setup } from '../scripts/experiments/fleet-types.ts';
 import { FleetWorld } from '../scripts/experiments/fleet-world.ts';
 import { defaults, schedulerOptions } from '../src/cli/options.ts';
