--- a/scripts/experiments/scale/workload.ts
+++ b/scripts/experiments/scale/workload.ts
@@ -108,9 +108,9 @@
     const name = `team-${String(i).padStart(2, '0')}`;
     if (i < UNLIMITED_TEAMS) return { name, cpus, cpus_max: 0, gpus, gpus_max: 0 };
     const asksCpus = (demand.running * SWEEP.cpus * weight) / totalWeight;
-    const cpus_max = Math.max(64, cpus, Math.ceil(asksCpus * drawBetween(random, 1.2, 3)));
-    const gpus_max = Math.max(16, Math.round(capacity.gpus * drawBetween(random, 0.05, 0.2)));
-    return { name, cpus, cpus_max, gpus, gpus_max };
+    const cpusMax = Math.max(64, cpus, Math.ceil(asksCpus * drawBetween(random, 1.2, 3)));
+    const gpusMax = Math.max(16, Math.round(capacity.gpus * drawBetween(random, 0.05, 0.2)));
+    return { name, cpus, cpus_max: cpusMax, gpus, gpus_max: gpusMax };
   });
 }
 
--- a/scripts/refused-leader.ts
+++ b/scripts/refused-leader.ts
@@ -25,7 +25,11 @@
 
 const LINE = /^\s*([\d.]+) (\S+) (\{.*\})\s*$/;
 const CANCELLED = '"msg":"job cancelled"';
-const ANSWERED_AFTER_LEASE = '"msg":"answered beyond the hold"';
+/** The text, and that of versions before 0.10. */
+const ANSWERED_AFTER_LEASE = [
+  '"msg":"answered after the leader lease expired"',
+  '"msg":"answered beyond the hold"',
+];
 
 function parseLine(line: string): LogLine | null {
   const match = LINE.exec(line);
@@ -33,27 +37,45 @@
   return { atS: Number(match[1]), node: match[2]!, fields: JSON.parse(match[3]!) };
 }
 
-/** Reads the log of a scenario; `leaseS`: of the site's workers. */
-export function readRefusedLeader(log: string, leaseS: number): RefusedLeader {
-  const cancelled = new Map<string, Cancellation>();
-  const met = new Set<string>();
-  let latestGoneS: number | null = null;
-  for (const text of log.split('\n')) {
+/** What a log tells, line by line. */
+class RefusedLeaderLog {
+  private readonly cancelled = new Map<string, Cancellation>();
+  private readonly met = new Set<string>();
+  private latestGoneS: number | null = null;
+
+  constructor(private readonly leaseS: number) {}
+
+  read(text: string): void {
     const isCancellation = text.includes(CANCELLED);
-    if (!isCancellation && !text.includes(ANSWERED_AFTER_LEASE)) continue;
+    if (!isCancellation && !ANSWERED_AFTER_LEASE.some((marker) => text.includes(marker))) return;
     const line = parseLine(text);
-    if (line === null) continue;
-    const { atS, node, fields } = line;
-    if (isCancellation) {
-      if (!cancelled.has(fields.job!)) cancelled.set(fields.job!, { atS, node });
-      continue;
-    }
+    if (line === null) return;
+    if (isCancellation) this.onCancelled(line);
+    else this.onAnswered(line);
+  }
+
+  result(): RefusedLeader {
+    return { met: this.met.size, latestGoneS: this.latestGoneS };
+  }
+
+  private onCancelled({ atS, node, fields }: LogLine): void {
+    const job = fields.job!;
+    if (!this.cancelled.has(job)) this.cancelled.set(job, { atS, node });
+  }
+
+  private onAnswered({ atS, node, fields }: LogLine): void {
     for (const job of fields.jobs ?? []) {
-      const cancellation = cancelled.get(job);
+      const cancellation = this.cancelled.get(job);
       if (cancellation === undefined || cancellation.node === node) continue;
-      met.add(`${job} ${fields.machine}`);
-      latestGoneS = Math.max(latestGoneS ?? 0, atS + leaseS - cancellation.atS);
+      this.met.add(`${job} ${fields.machine}`);
+      this.latestGoneS = Math.max(this.latestGoneS ?? 0, atS + this.leaseS - cancellation.atS);
     }
   }
-  return { met: met.size, latestGoneS };
+}
+
+/** Reads the log of a scenario; `leaseS`: of the site's workers. */
+export function readRefusedLeader(log: string, leaseS: number): RefusedLeader {
+  const reader = new RefusedLeaderLog(leaseS);
+  for (const text of log.split('\n')) reader.read(text);
+  return reader.result();
 }
--- a/scripts/site-changes.ts
+++ b/scripts/site-changes.ts
@@ -77,7 +77,7 @@
   teams?: string[];
 }
 
-type SiteTeam = { name: string; weight?: number } & { [quota in Quota]?: number };
+type SiteTeam = { name: string; weight?: number } & { [Amount in Quota]?: number };
 
 /** What is changed of a site; the rest is passed through. */
 export interface Site {
--- a/src/cli/local-cluster-cli.ts
+++ b/src/cli/local-cluster-cli.ts
@@ -33,7 +33,7 @@
   withAddressOptions(
     program
       .command('fault <kind>')
-      .description('let something go wrong in a local cluster; docs/lab.md lists the kinds'),
+      .description('let something go wrong in a local cluster; docs/local-cluster.md lists the kinds'),
   )
     .option('--seconds <n>', 'how long, or how much notice (10)')
     .option('--count <n>', 'how many machines (1)')
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -122,7 +122,7 @@
   /** Which machines still follow a refused leader; scripts/refused-leader.ts reads this. */
   private logBeyondLease(machine: Machine): void {
     const jobs = new Set([...machine.assignments.values()].map((assignment) => assignment.job.id));
-    this.io.log('debug', 'answered beyond the hold', { machine: machine.id, jobs: [...jobs] });
+    this.io.log('debug', 'answered after the leader lease expired', { machine: machine.id, jobs: [...jobs] });
   }
 
   private mayWait(response: HeldResponse): boolean {
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -5,7 +5,7 @@
 import { describe, it } from 'node:test';
 
 /** Folders in which everything is documented. A folder joins this list when it is whole, and never leaves it. */
-const DOCUMENTED = ['src', 'packages/client/src', 'packages/local-cluster/src'];
+const DOCUMENTED = ['src', 'packages/client/src', 'packages/local-cluster/src', 'scripts', 'test/support'];
 
 const sources = (folder: string): string[] =>
   readdirSync(folder, { recursive: true, encoding: 'utf8' })
--- a/test/least-served.test.ts
+++ b/test/least-served.test.ts
@@ -145,7 +145,7 @@
       `  ${at} ${node} ${JSON.stringify(fields)}`;
     const marked = (at: number, node: string, job: string) => line(at, node, { job, msg: 'job cancelled' });
     const beyond = (at: number, node: string, ...jobs: string[]) =>
-      line(at, node, { machine: 'i-1', jobs, msg: 'answered beyond the hold' });
+      line(at, node, { machine: 'i-1', jobs, msg: 'answered after the leader lease expired' });
     const log = [
       beyond(158, 'berth-0', 'run-1', 'run-2'),
       marked(160, 'berth-1', 'run-1'),
--- a/test/support/free-capacity.ts
+++ b/test/support/free-capacity.ts
@@ -32,15 +32,20 @@
   return zones;
 }
 
+/** Whether the job's constraints allow a further task in the room, by the machine and by the zones in use. */
+function allowsRoom(spec: JobSpec, { machine }: Room, placedIn: ReadonlyMap<string, number>): boolean {
+  if (!acceptsMachine(spec, machine)) return false;
+  if (spec.zone !== null && spec.zone !== machine.zone) return false;
+  return !spec.oneZone || placedIn.size === 0 || placedIn.has(machine.zone);
+}
+
 /** How many more tasks of the job could run now, on machines that its description allows. */
 export function startableTasks(spec: JobSpec, rooms: readonly Room[], placements: Placements): number {
   const placedIn = countByZone(spec.id, placements);
   const fittingIn = new Map<string, number>();
   for (const room of rooms) {
     const { zone } = room.machine;
-    if (!acceptsMachine(spec, room.machine)) continue;
-    if (spec.zone !== null && spec.zone !== zone) continue;
-    if (spec.oneZone && placedIn.size > 0 && !placedIn.has(zone)) continue;
+    if (!allowsRoom(spec, room, placedIn)) continue;
     fittingIn.set(zone, (fittingIn.get(zone) ?? 0) + fittingTasks(spec, room));
   }
   let total = 0;
