--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -32,6 +32,17 @@
   readonly sentAt: number;
 }
 
+/** What a {@link FakeWorker} begins with. */
+export interface FakeWorkerInit {
+  environment: WorkerEnvironment;
+  id: MachineId;
+  type: TypeName;
+  zone: ZoneName;
+  spot: boolean;
+  /** Index of the node that it sends its heartbeats to first. */
+  target: number;
+}
+
 /** The agent on one machine. Times are in milliseconds. */
 export class FakeWorker implements TaskOwner {
   addr: string;
@@ -67,16 +78,21 @@
   private hanging = false;
   /** Responses that came while it hung; it reads them as it goes on. */
   private readonly unreadResponses: (() => void)[] = [];
-
-  /** `target`: index of the node that it reports to first. */
-  constructor(
-    private readonly environment: WorkerEnvironment,
-    readonly id: MachineId,
-    readonly type: TypeName,
-    readonly zone: ZoneName,
-    readonly spot: boolean,
-    private target: number,
-  ) {
+  private readonly environment: WorkerEnvironment;
+  readonly id: MachineId;
+  readonly type: TypeName;
+  readonly zone: ZoneName;
+  readonly spot: boolean;
+  private target: number;
+
+  constructor(init: FakeWorkerInit) {
+    this.environment = init.environment;
+    this.id = init.id;
+    this.type = init.type;
+    this.zone = init.zone;
+    this.spot = init.spot;
+    this.target = init.target;
+    const { environment, id } = init;
     this.addr = `10.1.0.1:${id}`;
     this.createdAt = environment.now;
     this.workerTasks = new WorkerTasks<FakeWorker>(environment, this);
--- a/packages/local-cluster/src/local-machines.ts
+++ b/packages/local-cluster/src/local-machines.ts
@@ -97,7 +97,7 @@
   machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const { random, clock } = this.dependencies;
     const firstNode = random.below(this.nodeNames.length);
-    const worker = new FakeWorker(this, id, type, zone, spot, firstNode);
+    const worker = new FakeWorker({ environment: this, id, type, zone, spot, target: firstNode });
     this.workers.set(id, worker);
     this.onMachineCreated();
     listen(0, (method, path, body, respond) => this.serve(worker, { method, path, body }, respond)).then(
--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -102,7 +102,14 @@
 
   machine(id: string, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const firstNode = this.random.below(NODES.length);
-    const worker = new FakeWorker(this, id as MachineId, type, zone, spot, firstNode);
+    const worker = new FakeWorker({
+      environment: this,
+      id: id as MachineId,
+      type,
+      zone,
+      spot,
+      target: firstNode,
+    });
     this.workers.set(id, worker);
     this.rented.push(worker);
     return worker;
--- a/scripts/experiments/scale/worker-process.ts
+++ b/scripts/experiments/scale/worker-process.ts
@@ -105,7 +105,14 @@
 
   private addWorker({ id, type, zone, spot }: RentedMachine): void {
     const firstNode = this.random.below(this.nodeNames.length);
-    const worker = new FakeWorker(this, id as MachineId, type as TypeName, zone as ZoneName, spot, firstNode);
+    const worker = new FakeWorker({
+      environment: this,
+      id: id as MachineId,
+      type: type as TypeName,
+      zone: zone as ZoneName,
+      spot,
+      target: firstNode,
+    });
     this.workers.set(id, worker);
     listen(0, (method, path, body, respond) => {
       if (!worker.up) return respond(refuse(503, 'it is not up yet'));
--- a/src/core/jobs/job-acceptance.ts
+++ b/src/core/jobs/job-acceptance.ts
@@ -156,7 +156,14 @@
   }
 
   private newJob(spec: JobSpec, revision: Revision, acceptedAt: WallTime): Job {
-    return new Job(spec, revision, acceptedAt, this.io.now, false, this.waitingJobs);
+    return new Job({
+      spec,
+      revision,
+      acceptedAt,
+      seenAt: this.io.now,
+      mayHaveUnlocatedTasks: false,
+      waitingJobs: this.waitingJobs,
+    });
   }
 
   private notifyOpened(job: Job): void {
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -48,7 +48,14 @@
   /** Opens a job whose record was read at the beginning of the term; where its tasks are is not known yet. */
   restore(item: StoreItem): void {
     const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
-    const job = new Job(spec, item.revision, acceptedAt, this.io.now, true, this.waitingJobs);
+    const job = new Job({
+      spec,
+      revision: item.revision,
+      acceptedAt,
+      seenAt: this.io.now,
+      mayHaveUnlocatedTasks: true,
+      waitingJobs: this.waitingJobs,
+    });
     job.cancelled = cancelled;
     job.dependencyParts = dependencyParts;
     this.openJobs.set(spec.id, job);
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -38,6 +38,20 @@
   isGone?: boolean;
 }
 
+/** What a {@link Job} begins with. */
+export interface JobInit {
+  spec: JobSpec;
+  /** Revision of the job's record, the condition of the next write to it. */
+  revision: Revision;
+  acceptedAt: WallTime;
+  /** When this controller first saw the job. */
+  seenAt: Instant;
+  /** Any of its tasks may be on a machine that has not sent a heartbeat to this leader yet. */
+  mayHaveUnlocatedTasks: boolean;
+  /** Where a job keeps itself listed while it has waiting tasks; see `JobTable.waitingJobs`. */
+  waitingJobs?: Set<Job> | null;
+}
+
 /** A job whose final state is not stored yet. */
 export class Job {
   private readonly taskPhases: TaskPhases;
@@ -112,19 +126,21 @@
   slackS: number | null = null;
   /** Number of further values of its record, which hold dependencies. */
   dependencyParts = 0;
-
-  constructor(
-    readonly spec: JobSpec,
-    /** Revision of the job's record, the condition of the next write to it. */
-    public revision: Revision,
-    readonly acceptedAt: WallTime,
-    /** When this controller first saw the job. */
-    readonly seenAt: Instant,
-    /** Any of its tasks may be on a machine that has not sent a heartbeat to this leader yet. */
-    mayHaveUnlocatedTasks: boolean,
-    /** Where a job keeps itself listed while it has waiting tasks; see `JobTable.waitingJobs`. */
-    private readonly waitingJobs: Set<Job> | null = null,
-  ) {
+  readonly spec: JobSpec;
+  /** Revision of the job's record, the condition of the next write to it. */
+  revision: Revision;
+  readonly acceptedAt: WallTime;
+  /** When this controller first saw the job. */
+  readonly seenAt: Instant;
+  private readonly waitingJobs: Set<Job> | null;
+
+  constructor(init: JobInit) {
+    this.spec = init.spec;
+    this.revision = init.revision;
+    this.acceptedAt = init.acceptedAt;
+    this.seenAt = init.seenAt;
+    this.waitingJobs = init.waitingJobs ?? null;
+    const { spec, acceptedAt, seenAt, mayHaveUnlocatedTasks } = init;
     this.isBlocked = (spec.dependsOn ?? []).length > 0;
     this.readyWall = acceptedAt;
     this.readyAt = seenAt;
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -82,7 +82,7 @@
     spot: boolean,
     leaseExpiresAt: Instant,
   ): Machine {
-    const machine = new Machine(id, type, zone, spot, this.io.now, leaseExpiresAt);
+    const machine = new Machine({ id, type, zone, spot, requestedAt: this.io.now, leaseExpiresAt });
     this.byId.set(id, machine);
     return machine;
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -17,6 +17,16 @@
   removeMember(id: MachineId, now: Instant): void;
 }
 
+/** What a {@link Machine} begins with. */
+export interface MachineInit {
+  id: MachineId;
+  type: MachineType;
+  zone: ZoneName;
+  spot: boolean;
+  requestedAt: Instant;
+  leaseExpiresAt: Instant;
+}
+
 /** A machine as the leader knows it. `MachineTable` and its parts change it; others only read it. */
 export class Machine implements MachineCapacity {
   /** Where its agent answers probes; null before the first heartbeat. */
@@ -87,18 +97,22 @@
   indexPosition: IndexPosition | null = null;
   /** Counted in full against every team's limit, as it is unknown what runs on it. */
   countsAsUncertain = false;
+  readonly id: MachineId;
+  readonly type: MachineType;
+  readonly zone: ZoneName;
+  readonly spot: boolean;
+  readonly requestedAt: Instant;
 
-  constructor(
-    readonly id: MachineId,
-    readonly type: MachineType,
-    readonly zone: ZoneName,
-    readonly spot: boolean,
-    readonly requestedAt: Instant,
-    leaseExpiresAt: Instant,
-  ) {
+  constructor(init: MachineInit) {
+    this.id = init.id;
+    this.type = init.type;
+    this.zone = init.zone;
+    this.spot = init.spot;
+    this.requestedAt = init.requestedAt;
+    const { requestedAt } = init;
     this.lastHeartbeat = requestedAt;
     this.idleSince = requestedAt;
-    this.leaseExpiresAt = leaseExpiresAt;
+    this.leaseExpiresAt = init.leaseExpiresAt;
   }
 
   /**
--- a/test/dependency-graph.test.ts
+++ b/test/dependency-graph.test.ts
@@ -24,7 +24,14 @@
   const dependencies = new Dependencies(io, settings('node-0'), jobs, estimates);
   jobs.listener = dependencies;
   const open = (spec: JobSpec): Job => {
-    const opened = new Job(spec, 1 as Revision, 1e9 as WallTime, 0 as Instant, false, jobs.waitingJobs);
+    const opened = new Job({
+      spec,
+      revision: 1 as Revision,
+      acceptedAt: 1e9 as WallTime,
+      seenAt: 0 as Instant,
+      mayHaveUnlocatedTasks: false,
+      waitingJobs: jobs.waitingJobs,
+    });
     jobs.openJobs.set(spec.id, opened);
     dependencies.onOpened(opened);
     return opened;
--- a/test/fair-share.test.ts
+++ b/test/fair-share.test.ts
@@ -48,7 +48,13 @@
 }
 
 const candidate = (amount: number, deadlines: number[], name = 'run-1'): Candidate => ({
-  job: new Job(job(name), 0 as Revision, 0 as WallTime, 0 as Instant, false),
+  job: new Job({
+    spec: job(name),
+    revision: 0 as Revision,
+    acceptedAt: 0 as WallTime,
+    seenAt: 0 as Instant,
+    mayHaveUnlocatedTasks: false,
+  }),
   deadlines,
   amount,
   work: amount,
@@ -240,7 +246,13 @@
     pool.total[0] = 80;
     capacityIndex.pools.set('box', pool);
     const jobOf = (id: string, kind: 'array' | 'service', estimatedRunS: number): Job =>
-      new Job(job(id, { class: id, kind, estimatedRunS }), 1 as Revision, 0 as WallTime, 0 as Instant, false);
+      new Job({
+        spec: job(id, { class: id, kind, estimatedRunS }),
+        revision: 1 as Revision,
+        acceptedAt: 0 as WallTime,
+        seenAt: 0 as Instant,
+        mayHaveUnlocatedTasks: false,
+      });
     const machineSets = new MachineSets(capacityIndex, usage, new RuntimeEstimates(), () => new Map());
     usage.add(jobOf('watch', 'service', 0), 20, box.name);
     const machineSet = machineSets.of(jobOf('plain', 'array', 10));
--- a/test/machine-safety.test.ts
+++ b/test/machine-safety.test.ts
@@ -106,7 +106,13 @@
   });
 
   it('a second assignment of a task neither replaces the first nor frees the task when it is removed', () => {
-    const assignedJob = new Job(job('run-1'), 1 as Revision, 0 as WallTime, 0 as Instant, false);
+    const assignedJob = new Job({
+      spec: job('run-1'),
+      revision: 1 as Revision,
+      acceptedAt: 0 as WallTime,
+      seenAt: 0 as Instant,
+      mayHaveUnlocatedTasks: false,
+    });
     const entry = (machine: string): TaskAssignment => ({
       job: assignedJob,
       index: 0,
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -83,13 +83,13 @@
       ),
     );
     const jobOf = (team: string, gpus: number): Job =>
-      new Job(
-        job('run-1', { team: team as TeamName, gpus, tasks: 4 }),
-        1 as Revision,
-        0 as WallTime,
-        0 as Instant,
-        false,
-      );
+      new Job({
+        spec: job('run-1', { team: team as TeamName, gpus, tasks: 4 }),
+        revision: 1 as Revision,
+        acceptedAt: 0 as WallTime,
+        seenAt: 0 as Instant,
+        mayHaveUnlocatedTasks: false,
+      });
     assert.ok(quota.withinGuarantee(jobOf('seers', 2)));
     assert.ok(!quota.withinGuarantee(jobOf('seers', 0)));
     assert.ok(!quota.withinGuarantee(jobOf('none', 2)));
--- a/test/support/simulated-world.ts
+++ b/test/support/simulated-world.ts
@@ -280,7 +280,14 @@
   /** A machine that the cloud rents out. */
   machine(id: string, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const firstNode = this.spread ? this.workers.size % this.nodeNames.length : 0;
-    const worker = new FakeWorker(this, id as MachineId, type, zone, spot, firstNode);
+    const worker = new FakeWorker({
+      environment: this,
+      id: id as MachineId,
+      type,
+      zone,
+      spot,
+      target: firstNode,
+    });
     this.workers.set(id, worker);
     return worker;
   }
