--- a/packages/client/src/pipeline.ts
+++ b/packages/client/src/dependency-order.ts
@@ -1,5 +1,5 @@
 // Jobs that await one another by name, in an order in which each comes after what it awaits.
-import { BadRequest } from './types.ts';
+import { InvalidRequestError } from './types.ts';
 
 /** Names in order; throws BadRequest for an unknown name or a cycle, which it spells out. */
 export function inOrder(awaits: ReadonlyMap<string, readonly string[]>): string[] {
@@ -12,7 +12,9 @@
       if (state.get(name) === 'placed') return;
       if (state.get(name) === 'open') {
         const cycle = [...path.map((p) => p.name), name];
-        throw new BadRequest(`jobs await one another: ${cycle.slice(cycle.indexOf(name)).join(' -> ')}`);
+        throw new InvalidRequestError(
+          `jobs await one another: ${cycle.slice(cycle.indexOf(name)).join(' -> ')}`,
+        );
       }
       state.set(name, 'open');
       path.push({ name, next: 0 });
@@ -24,7 +26,7 @@
       if (top.next < needs.length) {
         const need = needs[top.next++]!;
         if (!awaits.has(need))
-          throw new BadRequest(`${top.name} awaits ${need}, which is not in the pipeline`);
+          throw new InvalidRequestError(`${top.name} awaits ${need}, which is not in the pipeline`);
         enter(need);
       } else {
         state.set(top.name, 'placed');
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,12 +1,12 @@
 // The library's public entry.
 export { Client, type ClientOptions, type SubmitOptions, type Submitted } from './client.ts';
-export type { Torn } from './outbox.ts';
 export { newId } from './request.ts';
+export type { TornTail as Torn } from './request-journal.ts';
 export {
-  BadRequest,
+  InvalidRequestError as BadRequest,
+  type JobPhase as Phase,
   type JobRequest,
   type JobState,
-  OutboxError,
+  JournalError as OutboxError,
   type Outcome,
-  type Phase,
 } from './types.ts';
--- a/packages/client/src/disk.ts
+++ b/packages/client/src/journal-file.ts
@@ -3,8 +3,8 @@
 import { open as openFile, readFile, rename } from 'node:fs/promises';
 import { dirname } from 'node:path';
 import lockfile from 'proper-lockfile';
-import type { Disk } from './outbox.ts';
-import { OutboxError } from './types.ts';
+import type { Disk } from './request-journal.ts';
+import { JournalError } from './types.ts';
 
 /** A writer that has not renewed its lock for so long is taken for dead, as after SIGKILL. */
 const STALE_MS = 5000;
@@ -20,7 +20,7 @@
     return await openLocked(file, lock);
   } catch (e) {
     await lock.release();
-    throw new OutboxError(file, 0, (e as NodeJS.ErrnoException).code ?? String(e));
+    throw new JournalError(file, 0, (e as NodeJS.ErrnoException).code ?? String(e));
   }
 }
 
@@ -45,7 +45,7 @@
     return lock;
   } catch (e) {
     const { code, message } = e as NodeJS.ErrnoException;
-    throw new OutboxError(file, 0, code === 'ELOCKED' ? 'another process is using it' : (code ?? message));
+    throw new JournalError(file, 0, code === 'ELOCKED' ? 'another process is using it' : (code ?? message));
   }
 }
 
--- a/packages/client/src/frames.ts
+++ b/packages/client/src/journal-frames.ts
@@ -45,7 +45,7 @@
 export function readFrames(bytes: Buffer): ReadFrames {
   if (bytes.length < HEAD.length && HEAD.subarray(0, bytes.length).equals(bytes))
     return { entries: [], end: 0 };
-  if (!bytes.subarray(0, HEAD.length).equals(HEAD)) throw new Damaged(0, 'this is no outbox');
+  if (!bytes.subarray(0, HEAD.length).equals(HEAD)) throw new DamagedFrameError(0, 'this is no outbox');
   const entries: unknown[] = [];
   let at = HEAD.length;
   for (;;) {
@@ -56,7 +56,8 @@
   }
   // Also a length that was damaged to reach beyond the end must not hide what comes after it.
   for (let i = bytes.indexOf(MARK, at + 1); i >= 0; i = bytes.indexOf(MARK, i + 1))
-    if (frameAt(bytes, i) !== null) throw new Damaged(at, 'a record is damaged, and others follow it');
+    if (frameAt(bytes, i) !== null)
+      throw new DamagedFrameError(at, 'a record is damaged, and others follow it');
   return { entries, end: at };
 }
 
@@ -65,10 +66,10 @@
     const list = JSON.parse(payload.toString('utf8'));
     if (Array.isArray(list)) return list;
   } catch {}
-  throw new Damaged(at, 'a record cannot be read');
+  throw new DamagedFrameError(at, 'a record cannot be read');
 }
 
-export class Damaged extends Error {
+export class DamagedFrameError extends Error {
   constructor(
     readonly offset: number,
     readonly reason: string,
--- a/packages/client/src/outbox.ts
+++ b/packages/client/src/request-journal.ts
@@ -1,8 +1,8 @@
 // What a script has asked for, kept in one file so that the same script, started again after it was killed, goes on with
 // the same ids. Entries that come together are written and synced together.
-import { Damaged, encodeFrame, HEAD, readFrames } from './frames.ts';
+import { DamagedFrameError, encodeFrame, HEAD, readFrames } from './journal-frames.ts';
 import type { Entry, Kept } from './session.ts';
-import { OutboxError } from './types.ts';
+import { JournalError } from './types.ts';
 
 /** The file as the outbox uses it; disk.ts has the real one. Errors are those of Node, with their `code`. */
 export interface Disk {
@@ -22,7 +22,7 @@
 }
 
 /** Found at the end of the file: the start of a record that was never said to be kept. It is cut off. */
-export interface Torn {
+export interface TornTail {
   offset: number;
   bytes: number;
 }
@@ -32,7 +32,7 @@
 /** A frame takes as many jobs. */
 const PER_FRAME = 1000;
 
-export class Outbox {
+export class RequestJournal {
   private readonly jobs = new Map<string, Kept>();
   private readonly byKey = new Map<string, Kept>();
   private waiting: { entry: Entry; done: () => void }[] = [];
@@ -40,22 +40,22 @@
   private length = 0;
   /** Length that a file written anew would have, about. */
   private live = HEAD.length;
-  private failure: OutboxError | null = null;
-  torn: Torn | null = null;
+  private failure: JournalError | null = null;
+  torn: TornTail | null = null;
 
   private constructor(
     private readonly disk: Disk,
-    private readonly onError: (e: OutboxError) => void,
+    private readonly onError: (e: JournalError) => void,
     private readonly compactBytes: number,
   ) {}
 
   /** `onError` hears the first error of writing; from then on nothing more is written. */
   static async open(
     disk: Disk,
-    onError: (e: OutboxError) => void,
+    onError: (e: JournalError) => void,
     compactBytes = COMPACT_BYTES,
-  ): Promise<Outbox> {
-    const outbox = new Outbox(disk, onError, compactBytes);
+  ): Promise<RequestJournal> {
+    const outbox = new RequestJournal(disk, onError, compactBytes);
     await outbox.load();
     return outbox;
   }
@@ -67,7 +67,7 @@
       for (const e of entries) this.apply(e as Entry);
       this.length = end;
     } catch (e) {
-      if (e instanceof Damaged) throw new OutboxError(this.disk.name, e.offset, e.reason);
+      if (e instanceof DamagedFrameError) throw new JournalError(this.disk.name, e.offset, e.reason);
       throw e;
     }
     if (this.length < bytes.length) {
@@ -108,7 +108,7 @@
         for (const { entry } of batch) this.apply(entry);
         if (this.length > this.compactBytes && this.live * 3 < this.length) await this.compact();
       } catch (e) {
-        this.failure = e as OutboxError;
+        this.failure = e as JournalError;
         this.onError(this.failure);
         break;
       }
@@ -148,9 +148,9 @@
     }
   }
 
-  private error(at: number, e: unknown): OutboxError {
+  private error(at: number, e: unknown): JournalError {
     const { code, message } = e as NodeJS.ErrnoException;
-    return new OutboxError(this.disk.name, at, code === 'ENOSPC' ? 'the disk is full' : (code ?? message));
+    return new JournalError(this.disk.name, at, code === 'ENOSPC' ? 'the disk is full' : (code ?? message));
   }
 
   private apply(e: Entry): void {
@@ -200,7 +200,7 @@
   /** Waits for what is being written; nothing may be kept after it. */
   async close(): Promise<void> {
     await this.writing;
-    this.failure ??= new OutboxError(this.disk.name, this.length, 'it is closed');
+    this.failure ??= new JournalError(this.disk.name, this.length, 'it is closed');
     await this.disk.close();
   }
 }
--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -1,10 +1,10 @@
 // A caller's job, with what was left out, in the form that the service takes; refused here if it can't be right.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
-import { InvalidMessage, isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
-import { encodeJob, inOurWords } from '../../../src/protocol/user.ts';
+import { InvalidMessageError, isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
+import { encodeJob, withOurFieldName } from '../../../src/protocol/user.ts';
 import type { JobId, TeamName, TypeName, ZoneName } from '../../../src/types/index.ts';
-import { BadRequest, type JobRequest } from './types.ts';
+import { InvalidRequestError, type JobRequest } from './types.ts';
 
 const FIELDS = new Set(
   [
@@ -19,11 +19,11 @@
 /** The body of the submission; throws BadRequest naming the field. */
 export function bodyOf(id: string, request: JobRequest): string {
   const unknown = Object.keys(request).find((k) => !FIELDS.has(k));
-  if (unknown !== undefined) throw new BadRequest(`${unknown}: there is no such field`);
-  if (!isJobId(id)) throw new BadRequest(`${id}: a job id looks like run-000412`);
+  if (unknown !== undefined) throw new InvalidRequestError(`${unknown}: there is no such field`);
+  if (!isJobId(id)) throw new InvalidRequestError(`${id}: a job id looks like run-000412`);
   const r = request;
   if (r.priority !== undefined && !Object.hasOwn(PRIORITIES, r.priority))
-    throw new BadRequest(`priority must be one of ${Object.keys(PRIORITIES).join(', ')}`);
+    throw new InvalidRequestError(`priority must be one of ${Object.keys(PRIORITIES).join(', ')}`);
   const spec: JobSpec = {
     id: id as JobId,
     class: r.class,
@@ -36,23 +36,23 @@
     memoryGb: r.memoryGb,
     image: r.image,
     imageGb: r.imageGb,
-    types: (r.types ?? null) as TypeName[] | null,
+    machineTypes: (r.types ?? null) as TypeName[] | null,
     zone: (r.zone ?? null) as ZoneName | null,
     oneZone: r.oneZone ?? false,
     spread: r.spread ?? false,
     spot: r.spot ?? false,
-    estimateS: r.estimateS,
-    checkpointS: r.checkpointS ?? 0,
-    saveS: r.saveS ?? 0,
+    estimatedRunS: r.estimateS,
+    checkpointIntervalS: r.checkpointS ?? 0,
+    checkpointDurationS: r.saveS ?? 0,
     deadlineS: r.deadlineS ?? null,
-    ...(r.awaits === undefined || r.awaits.length === 0 ? {} : { awaits: r.awaits as JobId[] }),
+    ...(r.awaits === undefined || r.awaits.length === 0 ? {} : { dependsOn: r.awaits as JobId[] }),
   };
   const body = encodeJob(spec);
   try {
     // What the service would refuse as malformed is refused before it is kept.
     parseJob(JSON.parse(body));
   } catch (e) {
-    if (e instanceof InvalidMessage) throw new BadRequest(inOurWords(e.message));
+    if (e instanceof InvalidMessageError) throw new InvalidRequestError(withOurFieldName(e.message));
     throw e;
   }
   return body;
--- a/packages/client/src/session.ts
+++ b/packages/client/src/session.ts
@@ -3,19 +3,19 @@
 // - A job is sent only after its id and body are kept, and always under the same id.
 // - It has one request under way at a time of which the answer counts, so none replaces a newer one.
 // - It ends with one outcome, which is what the service settled on, or the statement that the caller's time was over.
-import { InvalidMessage } from '../../../src/protocol/job.ts';
+import { InvalidMessageError } from '../../../src/protocol/job.ts';
 import {
   cancelCall,
+  decodeJobStatus,
   decodeReason,
-  decodeTold,
+  type JobStatusView,
   statusCall,
   submitCall,
-  type Told,
   type UserCall,
 } from '../../../src/protocol/user.ts';
 import type { JobId } from '../../../src/types/index.ts';
-import { Health } from './health.ts';
-import { backoffMs, RetryBudget } from './pace.ts';
+import { Health } from './node-health.ts';
+import { backoffMs, RetryBudget } from './retry-policy.ts';
 import { Schedule } from './schedule.ts';
 import type { JobState, Outcome } from './types.ts';
 
@@ -58,7 +58,7 @@
   | { kind: 'keep'; seq: number; entry: Entry }
   | { kind: 'send'; tag: number; node: string; call: UserCall; timeoutMs: number }
   | { kind: 'accepted'; id: string }
-  | { kind: 'state'; state: JobState }
+  | { kind: 'store'; state: JobState }
   /** To be told when `after` is kept (0: at once): a later run must not find another one. */
   | { kind: 'outcome'; outcome: Outcome; after: number };
 
@@ -91,7 +91,7 @@
   lastNode: string | null;
   lastReason: string;
   flying: number | null;
-  told: Told | null;
+  told: JobStatusView | null;
 }
 interface Flight {
   job: Job;
@@ -353,9 +353,9 @@
     const { status, body } = reply;
     if (status === 200 || status === 201) {
       try {
-        return this.told(job, op, decodeTold(body));
+        return this.told(job, op, decodeJobStatus(body));
       } catch (e) {
-        if (!(e instanceof InvalidMessage)) throw e;
+        if (!(e instanceof InvalidMessageError)) throw e;
         return this.again(job, null, e.message);
       }
     }
@@ -366,7 +366,7 @@
     this.again(job, reply.retryAfterS, reason);
   }
 
-  private told(job: Job, op: Op, told: Told): void {
+  private told(job: Job, op: Op, told: JobStatusView): void {
     this.budget.earn();
     job.tries = 0;
     if (job.stage === 'submitting') {
@@ -377,7 +377,7 @@
     const before = job.told;
     job.told = told;
     if (before?.status !== told.status || before.done !== told.done || before.running !== told.running)
-      this.effects.push({ kind: 'state', state: stateOf(job.id, told) });
+      this.effects.push({ kind: 'store', state: stateOf(job.id, told) });
     const { status } = told;
     if (status === 'done' || status === 'cancelled') return this.end(job, { kind: status, id: job.id });
     // Not ended yet though it is to be: asked again as if it had been sent back.
@@ -432,7 +432,7 @@
   return op === 'submit' ? submitCall(job.body!) : op === 'cancel' ? cancelCall(id) : statusCall(id);
 }
 
-const stateOf = (id: string, { status, done, running }: Told): JobState => ({
+const stateOf = (id: string, { status, done, running }: JobStatusView): JobState => ({
   id,
   phase: status,
   done,
--- a/packages/client/src/types.ts
+++ b/packages/client/src/types.ts
@@ -41,12 +41,12 @@
   awaits?: string[];
 }
 
-export type Phase = 'queued' | 'running' | 'done' | 'cancelled';
+export type JobPhase = 'queued' | 'running' | 'done' | 'cancelled';
 
 /** What the service said of a job last. */
 export interface JobState {
   id: string;
-  phase: Phase;
+  phase: JobPhase;
   /** Tasks done and running, for display. */
   done: number;
   running: number;
@@ -65,7 +65,7 @@
   | { kind: 'gave-up'; id: string; at: number; reason: string; accepted: boolean | null; resume: string };
 
 /** The outbox cannot be read or written. Nothing was overwritten; `offset` is where in the file, in bytes. */
-export class OutboxError extends Error {
+export class JournalError extends Error {
   override readonly name = 'OutboxError';
   constructor(
     readonly file: string,
@@ -77,6 +77,6 @@
 }
 
 /** A request that the library refuses before anything is kept or sent. */
-export class BadRequest extends Error {
+export class InvalidRequestError extends Error {
   override readonly name = 'BadRequest';
 }
--- a/packages/lab/src/data.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -2,8 +2,8 @@
 // keeps them; a change is answered only when it is on disk, so that a lab that is killed comes back with all that its
 // controllers were told.
 import { ClassicLevel } from 'classic-level';
-import type { FakeState, Kept, StateChange } from './state.ts';
-import type { Description } from './tasks.ts';
+import type { FakeStore, StoreChange, StoredEntry } from './fake-store.ts';
+import type { Description } from './task-runner.ts';
 
 type Op = { type: 'put'; key: string; value: unknown } | { type: 'del'; key: string };
 
@@ -17,7 +17,7 @@
 /** Machine names are reserved so many at a time. */
 const NAMES = 1000;
 
-export class Data {
+export class ClusterStorage {
   private ops: Op[] = [];
   private writing: Promise<void> | null = null;
   private waiting: (() => void)[] = [];
@@ -29,17 +29,17 @@
   ) {}
 
   /** `onError` hears the first error of writing; nothing is answered after it. */
-  static async open(dir: string, onError: (e: Error) => void): Promise<Data> {
+  static async open(dir: string, onError: (e: Error) => void): Promise<ClusterStorage> {
     const db = new ClassicLevel<string, unknown>(dir, { valueEncoding: 'json' });
     await db.open();
-    return new Data(db, onError);
+    return new ClusterStorage(db, onError);
   }
 
   /** Fills the state service with what was kept, and keeps what it does from now on. */
-  async attach(state: FakeState): Promise<void> {
-    const keys: [string, Kept][] = [];
+  async attach(state: FakeStore): Promise<void> {
+    const keys: [string, StoredEntry][] = [];
     const holds: [number, number][] = [];
-    for await (const [k, v] of this.part(KEY)) keys.push([k, v as Kept]);
+    for await (const [k, v] of this.part(KEY)) keys.push([k, v as StoredEntry]);
     for await (const [k, v] of this.part(HOLD)) holds.push([Number(k), v as number]);
     state.restore(((await this.db.get(REVISION)) as number | undefined) ?? 0, keys, holds);
     state.onChange = (c) => this.change(c);
@@ -59,7 +59,7 @@
       yield [k.slice(prefix.length), v];
   }
 
-  private change(c: StateChange): void {
+  private change(c: StoreChange): void {
     if ('hold' in c) this.set(HOLD + c.hold, c.ttlMs);
     else {
       this.set(KEY + c.key, c.kept === null ? null : { ...c.kept });
--- a/packages/lab/src/controller-process.ts
+++ b/packages/local-cluster/src/controller-process.ts
@@ -2,8 +2,8 @@
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, openSync } from 'node:fs';
 import { join } from 'node:path';
-import type { Guard } from './guard.ts';
-import { freePort } from './serve.ts';
+import { freePort } from './json-server.ts';
+import type { ProcessGuard } from './process-guard.ts';
 import type { NodeAddress } from './settings-file.ts';
 
 /** Free addresses for so many controllers, spread over the zones. */
@@ -27,7 +27,7 @@
   name: string,
   dir: string,
   program: readonly string[],
-  guard: Guard,
+  guard: ProcessGuard,
 ): ChildProcess {
   const log = openSync(join(dir, `${name}.log`), 'a');
   const [command, ...args] = [...program, 'serve', '--config', join(dir, `${name}.json`)];
--- a/packages/lab/src/cloud.ts
+++ b/packages/local-cluster/src/fake-cloud.ts
@@ -1,7 +1,7 @@
 // The cloud's protocol: rentals by request name, capacity, boots, lists that lag.
-import type { CloudOp, CloudReply, ListedMachine, MachineType } from '../../../src/core/base/model.ts';
+import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../../../src/core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
-import type { Clock } from './place.ts';
+import type { SimulationClock } from './clock.ts';
 
 /** A machine as the cloud knows it. */
 export interface CloudMachine {
@@ -13,7 +13,7 @@
   die(): void;
 }
 
-export interface CloudPlace extends Clock {
+export interface CloudEnvironment extends SimulationClock {
   /** Machines that are rented, by id. */
   readonly workers: Map<string, CloudMachine>;
   machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): CloudMachine;
@@ -63,9 +63,9 @@
     },
   ];
 
-  constructor(private readonly place: CloudPlace) {}
+  constructor(private readonly place: CloudEnvironment) {}
 
-  serve(op: CloudOp): CloudReply {
+  serve(op: CloudRequest): CloudReply {
     if (this.down) return { kind: 'refused', busy: false };
     switch (op.kind) {
       case 'types':
--- a/packages/lab/src/state.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -1,27 +1,27 @@
 // The state service's protocol: versions, transactions, leases, watches, outages.
-import type { Item, StateOp, StateReply } from '../../../src/core/base/model.ts';
-import type { HoldId, Revision } from '../../../src/types/index.ts';
-import type { Clock } from './place.ts';
+import type { StoreItem, StoreReply, StoreRequest } from '../../../src/core/base/model.ts';
+import type { Revision, StoreLeaseId } from '../../../src/types/index.ts';
+import type { SimulationClock } from './clock.ts';
 
-export interface Kept {
+export interface StoredEntry {
   value: unknown;
   revision: number;
   hold: number | null;
 }
 /** `kept` or `ttlMs` null: it is gone. */
-export type StateChange =
-  | { key: string; kept: Kept | null; revision: number }
+export type StoreChange =
+  | { key: string; kept: StoredEntry | null; revision: number }
   | { hold: number; ttlMs: number | null };
 
 const KEPT_CHANGES = 10_000;
 
-export class FakeState {
-  readonly keys = new Map<string, Kept>();
+export class FakeStore {
+  readonly keys = new Map<string, StoredEntry>();
   revision = 0;
   down = false;
   /** Nodes that alone get 503. */
   readonly refused = new Set<string>();
-  readonly served: StateOp[] = [];
+  readonly served: StoreRequest[] = [];
   /** A prefix whose lists are refused. */
   unreadable: string | null = null;
   /** Keys whose reads are refused, by their beginning. */
@@ -41,7 +41,7 @@
   /** How long news takes to those that watch. */
   watchLagMs = 0;
   /** Which changes and renewals are carried out at once while their answer is lost. */
-  losesAnswer: ((node: string, op: StateOp) => boolean) | null = null;
+  losesAnswer: ((node: string, op: StoreRequest) => boolean) | null = null;
   /** How many were. */
   answersLost = 0;
   /** Transactions carried out after newer ones of the same node. */
@@ -50,14 +50,14 @@
   private sent = 0;
   private holds = new Map<number, { ends: number; ttl: number }>();
   private nextHold = 1;
-  private log: { key: string; item: Item | null; revision: number }[] = [];
+  private log: { key: string; item: StoreItem | null; revision: number }[] = [];
   private watches: (() => boolean)[] = [];
   /** Hears of every change, in order, before it is answered. */
-  onChange: ((c: StateChange) => void) | null = null;
+  onChange: ((c: StoreChange) => void) | null = null;
   /** Changes up to here are no longer kept. */
   private forgotten = 0;
 
-  constructor(private readonly place: Clock) {}
+  constructor(private readonly place: SimulationClock) {}
 
   outage(seconds: number): void {
     this.down = true;
@@ -68,35 +68,39 @@
     });
   }
 
-  serve(node: string, op: StateOp, reply: (r: StateReply) => void): void {
+  serve(node: string, op: StoreRequest, reply: (r: StoreReply) => void): void {
     if (this.down || this.refused.has(node)) return reply({ kind: 'refused', busy: false });
     if (op.kind === 'list' && op.prefix === this.unreadable) return reply({ kind: 'refused', busy: true });
     if (op.kind === 'get' && this.unread !== null && op.key.startsWith(this.unread))
       return reply({ kind: 'refused', busy: true });
-    if (op.kind === 'commit') {
+    if (op.kind === 'compare-and-swap') {
       const no = ++this.sent;
       const ms = this.lateMs?.(node) ?? null;
       if (ms !== null) return this.place.after(ms, () => this.carryOutLate(node, no, op));
       this.newest.set(node, no);
     }
     this.expire();
-    const forHold = op.kind === 'grant' || op.kind === 'extend' || op.kind === 'revoke';
+    const forHold = op.kind === 'grant-lease' || op.kind === 'renew-lease' || op.kind === 'revoke-lease';
     if (this.halfRefused && !forHold && op.kind !== 'watch' && ++this.refusals % 2 === 0)
       return reply({ kind: 'refused', busy: true });
     this.served.push(op);
     if (op.kind === 'watch') return this.watch(node, op, reply);
     const r = this.execute(op);
-    const changed = op.kind === 'commit' && r.kind === 'committed' && op.puts.length > 0;
+    const changed = op.kind === 'compare-and-swap' && r.kind === 'committed' && op.puts.length > 0;
     const once = changed && this.loseNextAnswer;
     if (once) this.loseNextAnswer = false;
-    if (once || ((changed || op.kind === 'extend') && this.losesAnswer?.(node, op) === true)) {
+    if (once || ((changed || op.kind === 'renew-lease') && this.losesAnswer?.(node, op) === true)) {
       this.answersLost++;
     } else reply(r);
     this.wake();
   }
 
   /** During an outage it waits on: nothing is carried out before the end. */
-  private carryOutLate(node: string, no: number, op: Extract<StateOp, { kind: 'commit' }>): void {
+  private carryOutLate(
+    node: string,
+    no: number,
+    op: Extract<StoreRequest, { kind: 'compare-and-swap' }>,
+  ): void {
     if (this.down) return this.place.after(1000, () => this.carryOutLate(node, no, op));
     this.expire();
     const r = this.execute(op);
@@ -118,13 +122,13 @@
     }
   }
 
-  private changed(key: string, item: Item | null, revision: number): void {
+  private changed(key: string, item: StoreItem | null, revision: number): void {
     this.log.push({ key, item, revision });
     this.onChange?.({ key, kept: item === null ? null : this.keys.get(key)!, revision });
   }
 
   /** Begins with what an earlier one held, as after an outage: holds have their full time, older watches read again. */
-  restore(revision: number, keys: Iterable<[string, Kept]>, holds: Iterable<[number, number]>): void {
+  restore(revision: number, keys: Iterable<[string, StoredEntry]>, holds: Iterable<[number, number]>): void {
     this.revision = revision;
     this.forgotten = revision;
     for (const [key, kept] of keys) this.keys.set(key, kept);
@@ -141,12 +145,12 @@
     this.watches = this.watches.filter((w) => !w());
   }
 
-  private item(key: string): Item {
+  private item(key: string): StoreItem {
     const v = this.keys.get(key)!;
     return { key, value: structuredClone(v.value), revision: v.revision as Revision };
   }
 
-  private execute(op: Exclude<StateOp, { kind: 'watch' }>): StateReply {
+  private execute(op: Exclude<StoreRequest, { kind: 'watch' }>): StoreReply {
     switch (op.kind) {
       case 'get':
         return this.keys.has(op.key) ? { kind: 'item', item: this.item(op.key) } : { kind: 'missing' };
@@ -161,24 +165,24 @@
           revision: this.revision as Revision,
         };
       }
-      case 'grant': {
+      case 'grant-lease': {
         const id = this.nextHold++;
         this.holds.set(id, { ttl: op.ttlMs, ends: this.place.now + op.ttlMs });
         this.onChange?.({ hold: id, ttlMs: op.ttlMs });
         this.place.after(op.ttlMs + 50, () => this.poll());
-        return { kind: 'granted', hold: id as HoldId };
+        return { kind: 'lease-granted', lease: id as StoreLeaseId };
       }
-      case 'extend': {
-        const h = this.holds.get(op.hold);
+      case 'renew-lease': {
+        const h = this.holds.get(op.lease);
         if (h === undefined) return { kind: 'missing' };
         h.ends = this.place.now + h.ttl;
         this.place.after(h.ttl + 50, () => this.poll());
         return { kind: 'ok' };
       }
-      case 'revoke':
-        this.endHold(op.hold);
+      case 'revoke-lease':
+        this.endHold(op.lease);
         return { kind: 'ok' };
-      case 'commit':
+      case 'compare-and-swap':
         return this.commit(op);
     }
   }
@@ -188,9 +192,9 @@
     this.wake();
   }
 
-  private commit(op: Extract<StateOp, { kind: 'commit' }>): StateReply {
+  private commit(op: Extract<StoreRequest, { kind: 'compare-and-swap' }>): StoreReply {
     const { limits } = this;
-    if (limits !== null && op.puts.length + op.drops.length > limits.txnOps)
+    if (limits !== null && op.puts.length + op.deletes.length > limits.txnOps)
       return { kind: 'rejected', reason: 'too many operations' };
     if (limits !== null && op.puts.some((p) => JSON.stringify(p.value).length > limits.valueBytes))
       return { kind: 'rejected', reason: 'the value is too large' };
@@ -198,22 +202,26 @@
       .filter((c) => (this.keys.get(c.key)?.revision ?? 0) !== c.revision)
       .map((c) => c.key);
     if (failed.length > 0) return { kind: 'conflict', failed };
-    if (op.puts.some((p) => p.hold !== undefined && !this.holds.has(p.hold)))
+    if (op.puts.some((p) => p.lease !== undefined && !this.holds.has(p.lease)))
       return { kind: 'rejected', reason: 'no such lease' };
-    if (op.puts.length + op.drops.length > 0) this.revision++;
+    if (op.puts.length + op.deletes.length > 0) this.revision++;
     for (const p of op.puts) {
       this.keys.set(p.key, {
         value: structuredClone(p.value),
         revision: this.revision,
-        hold: p.hold ?? null,
+        hold: p.lease ?? null,
       });
       this.changed(p.key, this.item(p.key), this.revision);
     }
-    for (const key of op.drops) if (this.keys.delete(key)) this.changed(key, null, this.revision);
+    for (const key of op.deletes) if (this.keys.delete(key)) this.changed(key, null, this.revision);
     return { kind: 'committed', revision: this.revision as Revision };
   }
 
-  private watch(node: string, op: Extract<StateOp, { kind: 'watch' }>, reply: (r: StateReply) => void): void {
+  private watch(
+    node: string,
+    op: Extract<StoreRequest, { kind: 'watch' }>,
+    reply: (r: StoreReply) => void,
+  ): void {
     if (op.after < this.forgotten) return reply({ kind: 'too-old' });
     const ends = this.place.now + op.waitMs;
     const look = (): boolean => {
@@ -224,9 +232,9 @@
       // A node that is refused alone waits as in an outage.
       if (this.down || this.refused.has(node) || (fresh.length === 0 && this.place.now < ends)) return false;
       const last = new Map(fresh.map((l) => [l.key, l.item]));
-      const puts = [...last.values()].filter((i): i is Item => i !== null);
-      const drops = [...last].filter(([, i]) => i === null).map(([k]) => k);
-      const news: StateReply = { kind: 'changes', revision: this.revision as Revision, puts, drops };
+      const puts = [...last.values()].filter((i): i is StoreItem => i !== null);
+      const deletes = [...last].filter(([, i]) => i === null).map(([k]) => k);
+      const news: StoreReply = { kind: 'changes', revision: this.revision as Revision, puts, deletes };
       if (this.watchLagMs === 0) reply(news);
       else this.place.after(this.watchLagMs, () => reply(news));
       return true;
--- a/packages/lab/src/worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -2,31 +2,31 @@
 import type {
   Command,
   ExitReason,
+  Heartbeat,
+  HeartbeatResponse,
   ListedMachine,
-  Report,
-  TaskReport,
-  WorkerAnswer,
+  TaskStatus,
   WorkerReply,
 } from '../../../src/core/base/model.ts';
 import {
+  type FencingToken,
   type MachineId,
-  splitTask,
+  parseTaskId,
   type TaskId,
-  type Token,
   type TypeName,
   type ZoneName,
 } from '../../../src/types/index.ts';
-import type { Clock } from './place.ts';
+import type { SimulationClock } from './clock.ts';
 
 /** A task under way on a machine. */
-export interface Work {
+export interface RunningTask {
   /** Asks it to end, with so many seconds to save; `ended` says whether its progress was saved. */
   stop(graceS: number, ended: (saved: boolean) => void): void;
   /** Ends it at once and for good, as when its machine is gone. */
   kill(): void;
 }
 
-export interface WorkerPlace extends Clock {
+export interface WorkerEnvironment extends SimulationClock {
   /** How often workers report when nothing changes, and how long they go on unanswered. */
   readonly reportMs: number;
   readonly leaseMs: number;
@@ -36,9 +36,9 @@
   sendReport(
     worker: FakeWorker,
     node: string,
-    report: Report,
+    report: Heartbeat,
     timeoutMs: number,
-    done: (a: WorkerAnswer | null) => void,
+    done: (a: HeartbeatResponse | null) => void,
   ): void;
   /** A task is put on a machine; the place may look whether it is allowed there. */
   placed(worker: FakeWorker, task: TaskId): void;
@@ -49,7 +49,7 @@
     attempt: number,
     end: (why: ExitReason) => void,
     is: (state: 'fetching' | 'waiting' | 'running') => void,
-  ): Work;
+  ): RunningTask;
   /** The machine and all that is on it are no more. */
   gone(worker: FakeWorker): void;
 }
@@ -58,10 +58,10 @@
   task: TaskId;
   job: string;
   attempt: number;
-  state: TaskReport['state'];
-  why: TaskReport['why'];
+  state: TaskStatus['state'];
+  why: TaskStatus['exitReason'];
   saved: boolean;
-  work: Work | null;
+  work: RunningTask | null;
 }
 const WAIT_MS = 4000;
 /** An answer to a machine with work comes at once, if nothing holds it up. */
@@ -107,7 +107,7 @@
   lateCommands = 0;
 
   constructor(
-    private readonly place: WorkerPlace,
+    private readonly place: WorkerEnvironment,
     readonly id: MachineId,
     readonly type: TypeName,
     readonly zone: ZoneName,
@@ -224,14 +224,14 @@
     this.changed = true;
   }
 
-  report(): Report {
+  report(): Heartbeat {
     this.seq++;
     const tasks = [...this.tasks.values()].map((t) => ({
       task: t.task,
       attempt: t.attempt as never,
       state: t.state,
-      why: t.why,
-      saved: t.saved,
+      exitReason: t.why,
+      checkpointed: t.saved,
     }));
     return {
       machine: this.id,
@@ -239,10 +239,10 @@
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      session: this.session,
+      agentEpoch: this.session,
       seq: this.seq,
-      token: this.token as Token,
-      noticeS: this.noticeS,
+      fencingToken: this.token as FencingToken,
+      preemptionNoticeS: this.noticeS,
       tasks,
     };
   }
@@ -255,7 +255,7 @@
     this.changed = false;
     this.lastReport = sentAt;
     const r = this.report();
-    const read = (a: WorkerAnswer | null): void => {
+    const read = (a: HeartbeatResponse | null): void => {
       if (no !== this.reportNo || this.dead) return;
       if (this.hanging) {
         this.unread.push(() => {
@@ -266,9 +266,9 @@
       }
       this.inFlight = false;
       if (a === null) this.moveOn();
-      else if (a.kind === 'elsewhere') this.follow(a.node);
-      else if (session === this.session && a.token >= this.token) {
-        this.see(a.token);
+      else if (a.kind === 'redirect') this.follow(a.node);
+      else if (session === this.session && a.fencingToken >= this.token) {
+        this.see(a.fencingToken);
         this.leaseFrom = Math.max(this.leaseFrom, sentAt);
         if (this.place.now - sentAt > LATE_MS) this.lateCommands += a.commands.length;
         for (const c of a.commands) this.execute(c);
@@ -303,7 +303,7 @@
       for (const c of commands) this.execute(c);
     }
     this.arm();
-    reply({ kind: 'report', report: this.report(), executed: ok });
+    reply({ kind: 'heartbeat', heartbeat: this.report(), executed: ok });
   }
 
   private execute(c: Command): void {
@@ -332,7 +332,7 @@
   }
 
   private startTask(task: TaskId, attempt: number, key: string): void {
-    const job = splitTask(task).job;
+    const job = parseTaskId(task).job;
     const t: Running = { task, job, attempt, state: 'running', why: null, saved: false, work: null };
     this.place.placed(this, task);
     this.starts++;
--- a/packages/lab/src/serve.ts
+++ b/packages/local-cluster/src/json-server.ts
@@ -1,6 +1,6 @@
 // HTTP for the stand-ins: JSON in and out, bad requests answered, a delay before the answer if the system has one.
 import { serveHttp } from '../../../src/http/server.ts';
-import { InvalidMessage } from '../../../src/protocol/job.ts';
+import { InvalidMessageError } from '../../../src/protocol/job.ts';
 
 export interface Answer {
   status: number;
@@ -34,7 +34,7 @@
         try {
           serve(m.method, m.target, m.body.length === 0 ? {} : JSON.parse(m.body.toString('utf8')), answer);
         } catch (e) {
-          if (!(e instanceof InvalidMessage) && !(e instanceof SyntaxError)) throw e;
+          if (!(e instanceof InvalidMessageError) && !(e instanceof SyntaxError)) throw e;
           answer(error(400, e.message));
         }
       },
--- a/packages/lab/src/lab.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -2,24 +2,28 @@
 import type { ChildProcess } from 'node:child_process';
 import { mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import type { ExitReason, Report, WorkerAnswer } from '../../../src/core/base/model.ts';
+import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
 import { HttpClient } from '../../../src/http/client.ts';
-import { decodeOrders, decodeWorkerAnswer, encodeReport } from '../../../src/protocol/far.ts';
 import { isJobId } from '../../../src/protocol/job.ts';
-import { seeded } from '../../../src/runtime/random.ts';
+import {
+  decodeCommands,
+  decodeHeartbeatResponse,
+  encodeHeartbeat,
+} from '../../../src/protocol/server-side.ts';
+import { seededRandom } from '../../../src/runtime/random.ts';
 import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
-import type { CloudPlace, FakeCloud } from './cloud.ts';
+import { ClusterStorage } from './cluster-storage.ts';
 import { nodeAddresses, spawnController } from './controller-process.ts';
-import { Data } from './data.ts';
-import { endGroup, Guard } from './guard.ts';
-import { type Fault, type LabOptions, readFault } from './options.ts';
-import { error, type Listening, listen } from './serve.ts';
-import { OutsideServices } from './services.ts';
+import type { CloudEnvironment, FakeCloud } from './fake-cloud.ts';
+import type { FakeStore } from './fake-store.ts';
+import type { RunningTask, WorkerEnvironment } from './fake-worker.ts';
+import { FakeWorker } from './fake-worker.ts';
+import { error, type Listening, listen } from './json-server.ts';
+import { type Fault, type LocalClusterOptions, readFault } from './options.ts';
+import { OutsideServices } from './outside-services.ts';
+import { endGroup, ProcessGuard } from './process-guard.ts';
 import { settingsFile } from './settings-file.ts';
-import type { FakeState } from './state.ts';
-import { type Description, type Run, Tasks } from './tasks.ts';
-import type { Work, WorkerPlace } from './worker.ts';
-import { FakeWorker } from './worker.ts';
+import { type Description, type Run, Tasks } from './task-runner.ts';
 
 export interface LabSetup {
   /** The daemon: program and arguments before `serve`. */
@@ -40,16 +44,16 @@
 
 const RESTART_MS = 1500;
 
-export class Lab implements CloudPlace, WorkerPlace {
+export class LocalCluster implements CloudEnvironment, WorkerEnvironment {
   readonly workers = new Map<string, FakeWorker>();
   readonly reportMs: number;
   readonly leaseMs: number;
   readonly nodeNames: string[];
-  readonly state: FakeState;
+  readonly state: FakeStore;
   readonly cloud: FakeCloud;
   private readonly services: OutsideServices;
   readonly controllers: Controller[] = [];
-  private readonly guard = new Guard();
+  private readonly guard = new ProcessGuard();
   private readonly tasks: Tasks;
   private readonly timers = new Set<NodeJS.Timeout>();
   private readonly serving: Listening[] = [];
@@ -59,16 +63,16 @@
   /** Zones that are cut off, until when, and whether what is sent to them and from them is held. */
   private readonly cuts = new Map<string, { until: number; hold: boolean }>();
   private stopping = false;
-  private data: Data | null = null;
+  private data: ClusterStorage | null = null;
   /** Address of the lab itself. */
   addr = '';
 
   private constructor(
-    private readonly options: LabOptions,
+    private readonly options: LocalClusterOptions,
     private readonly setup: LabSetup,
   ) {
     const { lab, workers } = options;
-    this.random = seeded(lab.seed);
+    this.random = seededRandom(lab.seed);
     this.reportMs = workers.report_s * 1000;
     this.leaseMs = workers.lease_s * 1000;
     this.nodeNames = Array.from({ length: lab.controllers }, (_, i) => `node-${i}`);
@@ -82,8 +86,8 @@
     this.cloud = this.services.cloud;
   }
 
-  static async start(options: LabOptions, setup: LabSetup): Promise<Lab> {
-    const lab = new Lab(options, setup);
+  static async start(options: LocalClusterOptions, setup: LabSetup): Promise<LocalCluster> {
+    const lab = new LocalCluster(options, setup);
     try {
       await lab.begin();
     } catch (e) {
@@ -113,7 +117,9 @@
 
   private async remember(dir: string): Promise<void> {
     mkdirSync(dir, { recursive: true });
-    const data = await Data.open(dir, (e) => this.setup.log(`records cannot be kept: ${e.message}`));
+    const data = await ClusterStorage.open(dir, (e) =>
+      this.setup.log(`records cannot be kept: ${e.message}`),
+    );
     this.data = data;
     await data.attach(this.state);
     const { jobs, done } = await data.world();
@@ -207,9 +213,9 @@
   ): void {
     if (!w.up) return answer(error(503, 'it is not up yet'));
     if (method === 'GET' && path === '/inspect')
-      return answer({ status: 200, body: encodeReport(w.report()) });
+      return answer({ status: 200, body: encodeHeartbeat(w.report()) });
     if (method !== 'POST' || path !== '/orders') return answer(error(404, 'no such path'));
-    const { token, session, commands } = decodeOrders(body);
+    const { token, session, commands } = decodeCommands(body);
     if (session === null) return answer(error(400, 'the session is missing'));
     const cut = this.cutOf(w);
     if (cut !== null) {
@@ -217,7 +223,8 @@
       return;
     }
     w.orders(token, session, commands, (r) => {
-      if (r.kind === 'report') answer({ status: r.executed ? 200 : 409, body: encodeReport(r.report) });
+      if (r.kind === 'heartbeat')
+        answer({ status: r.executed ? 200 : 409, body: encodeHeartbeat(r.heartbeat) });
     });
   }
 
@@ -238,11 +245,11 @@
   sendReport(
     worker: FakeWorker,
     node: string,
-    report: Report,
+    report: Heartbeat,
     timeoutMs: number,
-    done: (a: WorkerAnswer | null) => void,
+    done: (a: HeartbeatResponse | null) => void,
   ): void {
-    const body = encodeReport(report);
+    const body = encodeHeartbeat(report);
     const cut = this.cutOf(worker);
     if (cut !== null) {
       const late = { method: 'POST', path: '/checkin', body, timeoutMs };
@@ -250,9 +257,9 @@
       return this.after(timeoutMs, () => done(null));
     }
     this.lines.get(node)!.call({ method: 'POST', path: '/checkin', body, timeoutMs }, (r) => {
-      let answer: WorkerAnswer | null = null;
+      let answer: HeartbeatResponse | null = null;
       try {
-        if (r !== null) answer = decodeWorkerAnswer(r.status, JSON.parse(r.body.toString('utf8')));
+        if (r !== null) answer = decodeHeartbeatResponse(r.status, JSON.parse(r.body.toString('utf8')));
       } catch {}
       if (!this.stopping) done(answer);
     });
@@ -271,7 +278,7 @@
     attempt: number,
     end: (why: ExitReason) => void,
     is: (state: 'fetching' | 'waiting' | 'running') => void,
-  ): Work {
+  ): RunningTask {
     const type = this.options.types[worker.type]!;
     const machine = { id: worker.id, fetchGbPerS: type.fetch_gb_per_s, cacheGb: type.cache_gb };
     return this.tasks.launch(machine, task, attempt, end, is);
--- a/packages/lab/src/options.ts
+++ b/packages/local-cluster/src/options.ts
@@ -1,6 +1,6 @@
 // What a lab is like: zones, teams, machine types, times and limits. Every key, default and bound stands here once.
 import * as v from 'valibot';
-import { BadSettings } from '../../../src/protocol/settings.ts';
+import { InvalidSettingsError } from '../../../src/protocol/settings.ts';
 
 const number = (least: number, most: number, value: number) =>
   v.optional(v.pipe(v.number(), v.minValue(least), v.maxValue(most)), value);
@@ -85,9 +85,9 @@
   const { kind, ...rest } = given as { kind?: unknown };
   const known = FAULTS.find((k) => k === kind);
   if (known === undefined)
-    throw new BadSettings(`${file}: there is no such fault: ${kind}; ${FAULTS.join(', ')}`);
+    throw new InvalidSettingsError(`${file}: there is no such fault: ${kind}; ${FAULTS.join(', ')}`);
   const checked = v.safeParse(fault, rest);
-  if (!checked.success) throw new BadSettings(`${file}: ${known}: ${checked.issues[0].message}`);
+  if (!checked.success) throw new InvalidSettingsError(`${file}: ${known}: ${checked.issues[0].message}`);
   const { at_s: _, ...f } = checked.output;
   return { kind: known, ...f };
 }
@@ -105,7 +105,7 @@
   fault: v.optional(v.record(v.picklist(FAULTS), v.array(fault)), {}),
 });
 
-export interface LabOptions {
+export interface LocalClusterOptions {
   lab: v.InferOutput<typeof lab>;
   workers: v.InferOutput<typeof times>;
   state: v.InferOutput<typeof state>;
@@ -116,13 +116,13 @@
 }
 
 /** Reads the parsed form of an HCL file; `deploy/lab.hcl` shows all of it. */
-export function readLabOptions(file: string, parsed: unknown): LabOptions {
+export function readLocalClusterOptions(file: string, parsed: unknown): LocalClusterOptions {
   const checked = v.safeParse(schema, parsed);
   if (!checked.success) {
     const issue = checked.issues[0];
     const path = issue.path?.map((p) => String(p.key)).filter((p) => p !== '0');
     const what = issue.expected === 'never' ? 'unknown name' : issue.message;
-    throw new BadSettings(`${file}: ${path?.join('.') ?? '(whole file)'}: ${what}`);
+    throw new InvalidSettingsError(`${file}: ${path?.join('.') ?? '(whole file)'}: ${what}`);
   }
   const o = checked.output;
   const first = <T>(named: Record<string, T[]>): Record<string, T> =>
@@ -142,4 +142,4 @@
   };
 }
 
-export const defaults = (): LabOptions => readLabOptions('(defaults)', {});
+export const defaults = (): LocalClusterOptions => readLocalClusterOptions('(defaults)', {});
--- a/packages/lab/src/services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -1,18 +1,19 @@
 // State service and cloud behind sockets: their limits, delays and lost answers, around the stand-ins that do the work.
-import { Budget } from '../../../src/core/base/budget.ts';
+
 import type { Random } from '../../../src/core/base/io.ts';
-import type { CloudReply, MachineType, StateReply } from '../../../src/core/base/model.ts';
+import type { CloudReply, MachineType, StoreReply } from '../../../src/core/base/model.ts';
+import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
 import {
-  decodeCloudCall,
-  decodeStateCall,
+  decodeCloudRequest,
+  decodeStoreRequest,
   encodeCloudReply,
-  encodeStateReply,
-} from '../../../src/protocol/far.ts';
+  encodeStoreReply,
+} from '../../../src/protocol/server-side.ts';
 import type { Instant, TypeName, ZoneName } from '../../../src/types/index.ts';
-import { type CloudPlace, FakeCloud } from './cloud.ts';
-import type { LabOptions } from './options.ts';
-import { error, type Serve } from './serve.ts';
-import { FakeState } from './state.ts';
+import { type CloudEnvironment, FakeCloud } from './fake-cloud.ts';
+import { FakeStore } from './fake-store.ts';
+import { error, type Serve } from './json-server.ts';
+import type { LocalClusterOptions } from './options.ts';
 
 /** What the services have been asked for since they began. */
 export interface ServiceCounts {
@@ -26,7 +27,7 @@
 }
 
 export class OutsideServices {
-  readonly state: FakeState;
+  readonly state: FakeStore;
   readonly cloud: FakeCloud;
   readonly counts: ServiceCounts = {
     stateRequests: 0,
@@ -38,22 +39,22 @@
   /** Until when half of the state service's answers are lost, and until when it executes late. Milliseconds. */
   silentUntil = 0;
   lateUntil = 0;
-  private readonly requests: Budget;
-  private readonly writes: Budget;
-  private readonly calls: Budget;
+  private readonly requests: TokenBucket;
+  private readonly writes: TokenBucket;
+  private readonly calls: TokenBucket;
 
   constructor(
-    private readonly place: CloudPlace,
-    private readonly options: LabOptions,
+    private readonly place: CloudEnvironment,
+    private readonly options: LocalClusterOptions,
     private readonly random: Random,
     /** Calls back when what was changed so far may be told. */
     private readonly whenKept: (answer: () => void) => void,
   ) {
     const { lab, state, cloud } = options;
-    this.requests = new Budget(state.rps, state.rps);
-    this.writes = new Budget(state.write_rps, state.write_rps);
-    this.calls = new Budget(cloud.rps, 2 * cloud.rps);
-    this.state = new FakeState(place);
+    this.requests = new TokenBucket(state.rps, state.rps);
+    this.writes = new TokenBucket(state.write_rps, state.write_rps);
+    this.calls = new TokenBucket(cloud.rps, 2 * cloud.rps);
+    this.state = new FakeStore(place);
     this.state.limits = { valueBytes: state.value_kb * 1024, txnOps: state.txn_ops };
     this.cloud = new FakeCloud(place);
     this.cloud.lagMs = cloud.list_lag_s * 1000;
@@ -77,12 +78,12 @@
   }
 
   readonly serveState: Serve = (method, path, body, answer) => {
-    const call = decodeStateCall(method, path, body);
+    const call = decodeStoreRequest(method, path, body);
     if (call === null) return answer(error(404, 'no such path'));
     const { op, page } = call;
     const { place } = this;
     const now = place.now as Instant;
-    const changes = op.kind === 'commit' ? op.puts.length + op.drops.length : 0;
+    const changes = op.kind === 'compare-and-swap' ? op.puts.length + op.deletes.length : 0;
     this.counts.stateRequests++;
     if (!this.state.down && (!this.requests.take(now) || (changes > 0 && !this.writes.take(now, changes)))) {
       this.counts.stateRefused++;
@@ -92,16 +93,16 @@
     if (place.now < this.lateUntil && op.kind !== 'watch')
       return place.after(this.lateUntil - place.now, () => this.state.serve('', op, () => {}));
     const silent = place.now < this.silentUntil && this.random.below(2) === 0;
-    this.state.serve('', op, (r: StateReply) => {
+    this.state.serve('', op, (r: StoreReply) => {
       if (silent) return;
-      const said = encodeStateReply(op, r, page, this.state.revision);
+      const said = encodeStoreReply(op, r, page, this.state.revision);
       this.whenKept(() => place.after(this.options.state.latency_ms, () => answer(said)));
     });
     this.state.served.length = 0;
   };
 
   readonly serveCloud: Serve = (method, path, body, answer) => {
-    const call = decodeCloudCall(method, path, body);
+    const call = decodeCloudRequest(method, path, body);
     if (call === null) return answer(error(404, 'no such path'));
     this.counts.cloudCalls++;
     if (!this.calls.take(this.place.now as Instant)) {
--- a/packages/lab/src/guard.ts
+++ b/packages/local-cluster/src/process-guard.ts
@@ -17,7 +17,7 @@
 for (const s of ['SIGINT', 'SIGTERM', 'SIGHUP']) process.on(s, () => {});
 `;
 
-export class Guard {
+export class ProcessGuard {
   private readonly watch: ChildProcess;
 
   constructor() {
--- a/packages/lab/src/settings-file.ts
+++ b/packages/local-cluster/src/settings-file.ts
@@ -1,5 +1,5 @@
 // The settings file of one controller of a lab, as the platform would write it.
-import type { LabOptions } from './options.ts';
+import type { LocalClusterOptions } from './options.ts';
 
 export interface NodeAddress {
   name: string;
@@ -12,7 +12,7 @@
 
 /** `outside`: addresses of the state service and the cloud. */
 export function settingsFile(
-  options: LabOptions,
+  options: LocalClusterOptions,
   node: NodeAddress,
   all: readonly NodeAddress[],
   outside: { state: string; cloud: string },
--- a/packages/lab/src/tasks.ts
+++ b/packages/local-cluster/src/task-runner.ts
@@ -4,10 +4,10 @@
 import { closeSync, mkdirSync, openSync, statSync } from 'node:fs';
 import { join } from 'node:path';
 import type { ExitReason } from '../../../src/core/base/model.ts';
-import { splitTask, type TaskId } from '../../../src/types/index.ts';
-import { endGroup, type Guard } from './guard.ts';
-import type { Clock } from './place.ts';
-import type { Work } from './worker.ts';
+import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
+import type { SimulationClock } from './clock.ts';
+import type { RunningTask } from './fake-worker.ts';
+import { endGroup, type ProcessGuard } from './process-guard.ts';
 
 /** What users tell the machines of a job. */
 export interface Description {
@@ -67,9 +67,9 @@
   private readonly images = new Map<string, { names: Map<string, number>; gb: number }>();
 
   constructor(
-    private readonly clock: Clock,
+    private readonly clock: SimulationClock,
     private readonly dir: string,
-    private readonly guard: Guard,
+    private readonly guard: ProcessGuard,
     private readonly settings: { speed: number; gangWaitS: number; gangPeerS: number },
   ) {}
 
@@ -95,7 +95,7 @@
   }
 
   private dirOf(task: TaskId, attempt: number): string {
-    const { job, index } = splitTask(task);
+    const { job, index } = parseTaskId(task);
     return join(this.dir, job, `${index}.${attempt}`);
   }
 
@@ -105,8 +105,8 @@
     attempt: number,
     end: (why: ExitReason) => void,
     is: (state: 'fetching' | 'waiting' | 'running') => void,
-  ): Work {
-    const d = this.described.get(splitTask(task).job) ?? UNKNOWN;
+  ): RunningTask {
+    const d = this.described.get(parseTaskId(task).job) ?? UNKNOWN;
     const run: Run = { task, attempt, machine: machine.id, from: this.clock.now, to: null, why: null };
     this.runs.push(run);
     if (this.runs.length > MAX_RUNS) this.runs.splice(0, MAX_RUNS / 2);
@@ -172,7 +172,7 @@
   private stopped(live: Live, then: (saved: boolean) => void, kill: boolean): void {
     if (live.over) return;
     // Progress is what the command has written to its checkpoint since it began.
-    const saved = changedSince(join(this.dir, splitTask(live.run.task).job, 'checkpoint'), live.run.from);
+    const saved = changedSince(join(this.dir, parseTaskId(live.run.task).job, 'checkpoint'), live.run.from);
     if (kill) live.kill();
     else this.close(live, 'stopped');
     then(saved);
@@ -250,7 +250,7 @@
     mkdirSync(join(dir, 'work'), { recursive: true });
     const out = openSync(join(dir, 'stdout'), 'w');
     const err = openSync(join(dir, 'stderr'), 'w');
-    const { job, index } = splitTask(task);
+    const { job, index } = parseTaskId(task);
     const [program, ...args] = d.command!;
     const child = spawn(program!, args, {
       cwd: join(dir, 'work'),
@@ -279,14 +279,14 @@
   /** The directories of a gang's tasks, in their order: they are on one disk. */
   private peers(task: TaskId, attempt: number): string {
     const gang = this.gangs.get(gangKey({ task, attempt }))!;
-    const tasks = [...gang.members.keys()].sort((a, b) => splitTask(a).index - splitTask(b).index);
+    const tasks = [...gang.members.keys()].sort((a, b) => parseTaskId(a).index - parseTaskId(b).index);
     return tasks.map((t) => join(this.dirOf(t, attempt), 'work')).join(':');
   }
 }
 
 /** Tasks of a gang find one another by their attempt. */
 const gangKey = ({ task, attempt }: Pick<Run, 'task' | 'attempt'>): string =>
-  `${splitTask(task).job}@${attempt}`;
+  `${parseTaskId(task).job}@${attempt}`;
 
 function changedSince(file: string, since: number): boolean {
   try {
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -16,7 +16,7 @@
   external: ['./hcl-parser.js'],
 });
 // What operators and users run beside the controllers, which do not load it.
-for (const name of ['client-commands', 'config-command', 'lab-command'])
+for (const name of ['client-commands', 'config-command', 'local-cluster-command'])
   await build({
     ...common,
     banner,
--- a/scripts/drill/fleet.ts
+++ b/scripts/experiments/fleet.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { promisify } from 'node:util';
 import { Command } from 'commander';
-import { defaults, dispatchSettings } from '../../src/cli/options.ts';
+import { defaults, schedulerOptions } from '../../src/cli/options.ts';
 import { bundle, bundleScript, checkout, WORK } from './bundle.ts';
 import { DAYS } from './fleet-days.ts';
 import { type Outcome, type Played, REPORT_MS, type Setup } from './fleet-world.ts';
@@ -47,8 +47,8 @@
 }
 
 async function main(o: Options): Promise<void> {
-  const usual: Setup['options'] = dispatchSettings(defaults(), REPORT_MS / 1000);
-  const runner = await bundleScript('scripts/drill/fleet-run.ts', 'fleet-run');
+  const usual: Setup['options'] = schedulerOptions(defaults(), REPORT_MS / 1000);
+  const runner = await bundleScript('scripts/experiments/fleet-run.ts', 'fleet-run');
   const now = await bundle('.', 'now-lib');
   const sides: Side[] = [{ name: 'now', lib: now, options: usual }];
   if (o.base !== undefined)
--- a/scripts/drill/hotpath.ts
+++ b/scripts/experiments/hotpath.ts
@@ -3,7 +3,7 @@
 import { execFileSync } from 'node:child_process';
 import { Command } from 'commander';
 import { bundle, bundleScript, checkout } from './bundle.ts';
-import type { Figures, Kind } from './load.ts';
+import type { Figures, Kind } from './hotpath-load.ts';
 
 /** The version before the work on ever larger fleets began. */
 const BASE = '3e5f11a2bffde42ff19366f20bac6b895f26f225';
@@ -20,7 +20,7 @@
 };
 
 async function main(o: { base: string; sizes: string[]; times: string; seconds: string }): Promise<void> {
-  const runner = await bundleScript('scripts/drill/hotpath-run.ts', 'run');
+  const runner = await bundleScript('scripts/experiments/hotpath-run.ts', 'run');
   const libs = { base: await bundle(checkout(o.base), 'base-lib'), now: await bundle('.', 'now-lib') };
   const at = new Map<string, Figures>();
   for (let i = 0; i < Number(o.times); i++)
--- a/scripts/drill/scale/cluster.ts
+++ b/scripts/experiments/scale/cluster.ts
@@ -11,8 +11,8 @@
   type ServiceCounts,
   settingsFile,
   spawnController,
-} from '../../../packages/lab/src/index.ts';
-import type { LabOptions } from '../../../packages/lab/src/options.ts';
+} from '../../../packages/local-cluster/src/index.ts';
+import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 import type { Settings } from '../../../src/core/base/model.ts';
 import { HttpClient } from '../../../src/http/client.ts';
 import { parseSettings } from '../../../src/protocol/settings.ts';
@@ -28,7 +28,7 @@
 } from './messages.ts';
 
 export interface ClusterSetup {
-  options: LabOptions;
+  options: LocalClusterOptions;
   /** The daemon: program and arguments before `serve`. */
   program: string[];
   dir: string;
--- a/scripts/drill/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -1,7 +1,7 @@
 // What each role of the scale drill costs: processor time, memory, messages, bytes and sockets of its processes, read from
 // the kernel's own accounts once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
-import type { ServiceCounts } from '../../../packages/lab/src/index.ts';
+import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { NodeStatus, ScaleCluster } from './cluster.ts';
 
 /** Clock ticks a second in /proc. */
--- a/scripts/drill/scale/placements.ts
+++ b/scripts/experiments/scale/placements.ts
@@ -1,8 +1,15 @@
 // What is on machines, told by the hosts of hollow workers in batches: put in the order of its times, kept in an index, and
 // judged by the users' rules.
-import type { JobSpec, UserAnswer, UserRequest } from '../../../src/core/base/model.ts';
-import { splitTask, type TaskId } from '../../../src/types/index.ts';
-import type { OnMachine, Place, Placements, Room, Rules, TeamAmounts } from '../../../test/support/rules.ts';
+import type { JobSpec, UserRequest, UserResponse } from '../../../src/core/base/model.ts';
+import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
+import type {
+  OnMachine,
+  Place,
+  Placements,
+  Room,
+  RuleChecker,
+  TeamAmounts,
+} from '../../../test/support/rule-checker.ts';
 import type { TaskEvent } from './messages.ts';
 
 /** Batches of different processes, and news of changes in force, come this much apart at the most. */
@@ -32,7 +39,7 @@
 
   add(task: string, machineId: string): void {
     const machine = this.machineOf(machineId) ?? { id: machineId, type: '?', zone: '?', spot: false };
-    const { job } = splitTask(task as TaskId);
+    const { job } = parseTaskId(task as TaskId);
     const e: Entry = { task, machine, job };
     this.size++;
     this.byTask.set(task, [...(this.byTask.get(task) ?? []), e]);
@@ -154,7 +161,7 @@
 type Seen =
   | TaskEvent
   | { at: number; kind: 'asked'; request: UserRequest }
-  | { at: number; kind: 'told'; sentAt: number; request: UserRequest; answer: UserAnswer }
+  | { at: number; kind: 'told'; sentAt: number; request: UserRequest; answer: UserResponse }
   | { at: number; kind: 'over' };
 
 /** Gives what users and workers saw to the rules, in the order in which it happened. */
@@ -167,7 +174,7 @@
   onDone: (task: string, at: number) => void = () => {};
 
   constructor(
-    private readonly rules: Rules,
+    private readonly rules: RuleChecker,
     private readonly placements: TrackedPlacements,
     private readonly machineOf: (id: string) => Place | undefined,
   ) {}
--- a/scripts/drill/submit-load.ts
+++ b/scripts/experiments/submission-load.ts
@@ -10,9 +10,9 @@
 import { build } from 'hdr-histogram-js';
 import { bodyOf, newId } from '../../packages/client/src/request.ts';
 import { Session } from '../../packages/client/src/session.ts';
-import { Lab, readLabOptions } from '../../packages/lab/src/index.ts';
+import { Lab, readLabOptions } from '../../packages/local-cluster/src/index.ts';
 import { HttpClient } from '../../src/http/client.ts';
-import { seeded } from '../../src/runtime/random.ts';
+import { seededRandom } from '../../src/runtime/random.ts';
 
 const { values } = parseArgs({
   options: { rate: { type: 'string', default: '20' }, seconds: { type: 'string', default: '20' } },
@@ -36,7 +36,7 @@
 function memory(open: number): number {
   gc();
   const before = process.memoryUsage().heapUsed;
-  const random = seeded(1);
+  const random = seededRandom(1);
   const s = new Session({ nodes: ['a:1'], perNode: 8, chance: () => random.below(1000) / 1000 });
   let now = 0;
   const accepted = '{"nameId":"x","status":"pending"}';
--- a/scripts/served.ts
+++ b/scripts/least-served.ts
@@ -1,7 +1,7 @@
 // Who was served least on a day: classes by the bench's report, teams by the service's own account in its log. Pure, so that
 // it is tested without the bench.
 
-import type { Refused } from './refused.ts';
+import type { Refused } from './refused-leader.ts';
 
 /** `up`: of services, the part of their replicas' time in which they were up. */
 interface ClassReport {
--- a/scripts/regress.ts
+++ b/scripts/regress.ts
@@ -12,8 +12,8 @@
   NOISE,
   type PlayedDay,
   type PlayedSite,
-} from './levels.ts';
-import { entries, judgeRow, playAll } from './plays.ts';
+} from './regression-levels.ts';
+import { entries, judgeRow, playAll } from './scenarios.ts';
 
 const LEVELS = 'scripts/levels.json';
 const BENCH = 'more/hunt/bin/fleetbench';
--- a/scripts/levels.ts
+++ b/scripts/regression-levels.ts
@@ -1,6 +1,6 @@
 // Compares what the bench played with the levels that the repository keeps. Pure, so that it is tested without the bench.
 
-import { HALF } from './served.ts';
+import { HALF } from './least-served.ts';
 
 /** One day as the bench's journal tells it. */
 export interface PlayedDay {
--- a/scripts/copies.ts
+++ b/scripts/scaled-sites.ts
@@ -218,8 +218,8 @@
   return { name, by: Number(by) };
 };
 
-if (basename(process.argv[1] ?? '') === 'copies.ts') {
-  const program = new Command('copies')
+if (basename(process.argv[1] ?? '') === 'scaled-sites.ts') {
+  const program = new Command('scaled-sites')
     .description("a copy of one of the kit's sites with other numbers, for the users' bench")
     .argument('<site>', 'site file')
     .argument('<out>', 'file to write, outside the repository and not below /tmp')
--- a/src/cli/client-commands.ts
+++ b/src/cli/client-commands.ts
@@ -8,10 +8,10 @@
   type JobState,
   type Outcome,
 } from '../../packages/client/src/index.ts';
-import { BadSettings } from '../protocol/settings.ts';
+import { InvalidSettingsError } from '../protocol/settings.ts';
 import { jobIdOf, parseHcl, readText } from './files.ts';
 import { type FileJob, fromHcl, fromJson, type JobFile } from './job-file.ts';
-import { askLab } from './lab-client.ts';
+import { askLocalCluster } from './local-cluster-client.ts';
 
 /** Documented in docs/client.md; of several jobs the highest counts. */
 export const EXIT = { done: 0, trouble: 1, usage: 2, cancelled: 3, refused: 4, gaveUp: 5 } as const;
@@ -38,7 +38,7 @@
 function seconds(name: string, value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   const n = Number(value);
-  if (!(n > 0)) throw new BadSettings(`--${name}: a number of seconds above 0`);
+  if (!(n > 0)) throw new InvalidSettingsError(`--${name}: a number of seconds above 0`);
   return n;
 }
 
@@ -61,8 +61,10 @@
 /** The nodes that are named, or those of the lab. */
 async function nodesOf(f: ClientFlags): Promise<string[]> {
   if (f.node !== undefined) return f.node;
-  if (f.lab === undefined) throw new BadSettings('name the nodes with --node, or use --lab');
-  const { controllers } = (await askLab(f.lab, 'GET', '/lab')) as { controllers: { addr: string }[] };
+  if (f.lab === undefined) throw new InvalidSettingsError('name the nodes with --node, or use --lab');
+  const { controllers } = (await askLocalCluster(f.lab, 'GET', '/lab')) as {
+    controllers: { addr: string }[];
+  };
   return controllers.map((c) => c.addr);
 }
 
@@ -71,12 +73,13 @@
   const { lab } = f;
   if (lab === undefined) {
     const with_ = jobs.find((j) => j.command !== null);
-    if (with_ !== undefined) throw new BadSettings(`${with_.name}: a command is run by a lab only (--lab)`);
+    if (with_ !== undefined)
+      throw new InvalidSettingsError(`${with_.name}: a command is run by a lab only (--lab)`);
     return null;
   }
   const commands = new Map(jobs.map((j) => [pipeline ? `${all}/${j.name}` : j.key, j.command]));
   return async (id, r, key) => {
-    await askLab(lab, 'PUT', `/jobs/${id}`, {
+    await askLocalCluster(lab, 'PUT', `/jobs/${id}`, {
       kind: r.kind ?? 'array',
       tasks: r.tasks ?? 1,
       image: r.image,
@@ -122,7 +125,8 @@
       await run(...args);
     } catch (e) {
       process.stderr.write(`swiftford: ${(e as Error).message}\n`);
-      process.exitCode = e instanceof BadRequest || e instanceof BadSettings ? EXIT.usage : EXIT.trouble;
+      process.exitCode =
+        e instanceof BadRequest || e instanceof InvalidSettingsError ? EXIT.usage : EXIT.trouble;
     }
   };
 
--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -1,6 +1,6 @@
 // The configuration as an operator's command reads and changes it, through the state service's own protocol. A change has an
 // id: repeated after a lost answer, it is found to have been made.
-import type { Item, JobSpec, Settings, StateOp, StateReply } from '../core/base/model.ts';
+import type { JobSpec, Settings, StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
 import {
   changesBackTo,
   changesTo,
@@ -8,15 +8,21 @@
   type HistoryEntry,
   preparation,
   readHistory,
-  type Transaction,
+  type StoreTransaction,
   transactionOf,
 } from '../core/configuration/change.ts';
 import { type ConfigDocument, type ConfigSnapshot, readSnapshot } from '../core/configuration/documents.ts';
 import type { InForceRecord } from '../core/configuration/rollout.ts';
-import { CONFIG, CONFIG_HISTORY, CONFIG_IN_FORCE, OPEN, OWNER_KEY } from '../core/record/keys.ts';
-import { decodeJobRecord } from '../core/record/record.ts';
+import { decodeJobRecord } from '../core/storage/job-record.ts';
+import {
+  CONFIG_HISTORY_PREFIX,
+  CONFIG_IN_FORCE_KEY,
+  CONFIG_PREFIX,
+  LEADER_KEY,
+  OPEN_JOB_PREFIX,
+} from '../core/storage/keys.ts';
 import { HttpClient } from '../http/client.ts';
-import { decodeStateReply, encodeStateOp } from '../protocol/state.ts';
+import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
 import type { Revision } from '../types/index.ts';
 
 const CALL_MS = 3000;
@@ -28,15 +34,15 @@
 const MOVE_MS = 20_000;
 
 /** The state service, by the calls of its protocol. */
-export type AskState = (op: StateOp) => Promise<StateReply>;
+export type AskState = (op: StoreRequest) => Promise<StoreReply>;
 
 export const askOverHttp = (client: HttpClient): AskState => {
   return (op) =>
     new Promise((resolve) =>
-      client.call({ ...encodeStateOp(op), timeoutMs: CALL_MS }, (r) => {
+      client.call({ ...encodeStoreRequest(op), timeoutMs: CALL_MS }, (r) => {
         try {
           const json = r === null || r.body.length === 0 ? {} : JSON.parse(r.body.toString('utf8'));
-          resolve(r === null ? { kind: 'no-answer' } : decodeStateReply(op, r.status, json));
+          resolve(r === null ? { kind: 'no-answer' } : decodeStoreReply(op, r.status, json));
         } catch {
           resolve({ kind: 'no-answer' });
         }
@@ -45,7 +51,7 @@
 };
 
 export const stateClient = (settings: Settings): HttpClient =>
-  new HttpClient(settings.stateAddr, 2, ANSWER_MAX);
+  new HttpClient(settings.storeAddr, 2, ANSWER_MAX);
 
 /** The state service can't be asked, or says something unexpected. */
 export class StateUnavailable extends Error {
@@ -73,17 +79,17 @@
   ) {}
 
   /** Asked again while the state service refuses or does not answer. Throws StateUnavailable. */
-  private async read(op: StateOp): Promise<StateReply> {
+  private async read(op: StoreRequest): Promise<StoreReply> {
     for (let i = 0; i < TRIES; i++) {
       if (i > 0) await this.sleep(RETRY_MS);
       const r = await this.ask(op);
       if (r.kind !== 'refused' && r.kind !== 'no-answer') return r;
     }
-    throw new StateUnavailable(`the state service at ${this.settings.stateAddr} does not answer`);
+    throw new StateUnavailable(`the state service at ${this.settings.storeAddr} does not answer`);
   }
 
-  private async list(prefix: string): Promise<Item[]> {
-    const out: Item[] = [];
+  private async list(prefix: string): Promise<StoreItem[]> {
+    const out: StoreItem[] = [];
     for (let after: string | null = null; ; ) {
       const r = await this.read({ kind: 'list', prefix, after });
       if (r.kind !== 'items') throw new StateUnavailable(`the state service lists nothing under ${prefix}`);
@@ -95,21 +101,21 @@
 
   /** Throws UnreadableDocument for records of another version. */
   async snapshot(): Promise<ConfigSnapshot> {
-    return readSnapshot(await this.list(CONFIG));
+    return readSnapshot(await this.list(CONFIG_PREFIX));
   }
 
   async history(): Promise<HistoryEntry[]> {
-    const items = await this.list(CONFIG_HISTORY);
+    const items = await this.list(CONFIG_HISTORY_PREFIX);
     return items.map(readHistory).filter((h) => h !== null);
   }
 
   async inForce(): Promise<InForceRecord | null> {
-    const r = await this.read({ kind: 'get', key: CONFIG_IN_FORCE });
+    const r = await this.read({ kind: 'get', key: CONFIG_IN_FORCE_KEY });
     return r.kind === 'item' ? (r.item.value as InForceRecord) : null;
   }
 
   async openJobs(): Promise<JobSpec[]> {
-    return (await this.list(OPEN)).map((i) => decodeJobRecord(i).spec);
+    return (await this.list(OPEN_JOB_PREFIX)).map((i) => decodeJobRecord(i).spec);
   }
 
   plan(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
@@ -127,7 +133,7 @@
     const { head, revision } = snapshot;
     if (head !== null && head.number > 0 && head.id === id)
       return { revision, number: head.number, repeated: true };
-    const items = await this.list(CONFIG_HISTORY);
+    const items = await this.list(CONFIG_HISTORY_PREFIX);
     const item = items.find((i) => readHistory(i)?.id === id);
     return item === undefined
       ? null
@@ -136,7 +142,7 @@
 
   /** The revision of the record that says that the share has moved; null while it has not. */
   private async movedAt(): Promise<Revision | null> {
-    const r = await this.read({ kind: 'get', key: OWNER_KEY });
+    const r = await this.read({ kind: 'get', key: LEADER_KEY });
     if (r.kind !== 'item') return null;
     return (r.item.value as { moved?: string }).moved === undefined ? null : r.item.revision;
   }
@@ -145,7 +151,7 @@
   private async prepare(id: string): Promise<Revision> {
     const moved = await this.movedAt();
     if (moved !== null) return moved;
-    await this.read({ kind: 'commit', ...preparation(id, this.now()) });
+    await this.read({ kind: 'compare-and-swap', ...preparation(id, this.now()) });
     const until = this.now() + MOVE_MS;
     while (this.now() < until) {
       await this.sleep(LOOK_MS);
@@ -165,14 +171,14 @@
     const against = first ? await this.snapshot() : snapshot;
     if (first && against.head !== null && against.head.number > 0 && against.head.id !== id)
       throw this.conflict(against);
-    const transaction = transactionOf(against, changes, id, this.now(), moved, this.settings.state);
+    const transaction = transactionOf(against, changes, id, this.now(), moved, this.settings.store);
     return this.commit(transaction, (against.head?.number ?? 0) + 1, id);
   }
 
-  private async commit(t: Transaction, number: number, id: string): Promise<Applied> {
+  private async commit(t: StoreTransaction, number: number, id: string): Promise<Applied> {
     for (let i = 0; i < TRIES; i++) {
       if (i > 0) await this.sleep(RETRY_MS);
-      const r = await this.ask({ kind: 'commit', ...t });
+      const r = await this.ask({ kind: 'compare-and-swap', ...t });
       if (r.kind === 'committed') return { revision: r.revision, number, repeated: false };
       if (r.kind === 'rejected')
         throw new StateUnavailable(`the state service does not take it: ${r.reason}`);
@@ -196,7 +202,7 @@
   async waitInForce(revision: Revision, withinMs: number): Promise<number | null> {
     const began = this.now();
     while (this.now() - began < withinMs) {
-      const r = await this.ask({ kind: 'get', key: CONFIG_IN_FORCE });
+      const r = await this.ask({ kind: 'get', key: CONFIG_IN_FORCE_KEY });
       if (r.kind === 'item' && (r.item.value as InForceRecord).revision >= revision)
         return this.now() - began;
       await this.sleep(LOOK_MS);
--- a/src/cli/config-command.ts
+++ b/src/cli/config-command.ts
@@ -1,18 +1,18 @@
 // `swiftford config`: what operators see of the configuration documents and do to them.
 import { randomUUID } from 'node:crypto';
 import type { Settings, Team } from '../core/base/model.ts';
-import { ChangeTooLarge, type DocumentChange } from '../core/configuration/change.ts';
+import { ChangeTooLargeError, type DocumentChange } from '../core/configuration/change.ts';
 import {
   type ConfigDocument,
   type ConfigSnapshot,
+  documentKey,
   documentValue,
-  keyOf,
   overlay,
-  UnreadableDocument,
+  UnreadableDocumentError,
 } from '../core/configuration/documents.ts';
-import { beyondLimit } from '../core/teams/quota.ts';
+import { quotaViolation } from '../core/teams/quota.ts';
 import { HttpClient } from '../http/client.ts';
-import { BadSettings, parseSettings } from '../protocol/settings.ts';
+import { InvalidSettingsError, parseSettings } from '../protocol/settings.ts';
 import { askOverHttp, ConfigClient, ConfigConflict, StateUnavailable, stateClient } from './config-client.ts';
 import { readConfigFile } from './config-file.ts';
 import { parseHcl, readText } from './files.ts';
@@ -54,8 +54,8 @@
 }
 
 function exitOf(e: unknown): number {
-  if (e instanceof BadSettings || e instanceof ChangeTooLarge) return EXIT.usage;
-  if (e instanceof ConfigConflict || e instanceof StateUnavailable || e instanceof UnreadableDocument)
+  if (e instanceof InvalidSettingsError || e instanceof ChangeTooLargeError) return EXIT.usage;
+  if (e instanceof ConfigConflict || e instanceof StateUnavailable || e instanceof UnreadableDocumentError)
     return EXIT.failed;
   throw e;
 }
@@ -101,7 +101,7 @@
   for (const spec of await client.openJobs()) {
     if (!touched.has(spec.team)) continue;
     const limit = (team: Team | undefined): string | null =>
-      team === undefined ? 'its team is not known' : beyondLimit(spec, team);
+      team === undefined ? 'its team is not known' : quotaViolation(spec, team);
     const why = limit(then.get(spec.team));
     if (why !== null && limit(now.get(spec.team)) === null) out.push({ id: spec.id, why });
   }
@@ -110,7 +110,7 @@
 
 function documentsAfter(snapshot: ConfigSnapshot, changes: readonly DocumentChange[]): ConfigDocument[] {
   const keys = new Set(changes.map((c) => c.key));
-  const kept = snapshot.documents.filter((d) => !keys.has(keyOf(d)));
+  const kept = snapshot.documents.filter((d) => !keys.has(documentKey(d)));
   return [...kept, ...changes.flatMap((c) => (c.after === null ? [] : [c.after]))];
 }
 
@@ -147,11 +147,12 @@
   withClient(flags, async (client, settings) => {
     const to = Number(number);
     if (!Number.isInteger(to) || to < 0)
-      throw new BadSettings(`${number}: the number of a change is expected`);
+      throw new InvalidSettingsError(`${number}: the number of a change is expected`);
     return makeChange(client, settings, flags, async (snapshot) => {
-      if (to > (snapshot.head?.number ?? 0)) throw new BadSettings(`${to}: there is no such change yet`);
+      if (to > (snapshot.head?.number ?? 0))
+        throw new InvalidSettingsError(`${to}: there is no such change yet`);
       const changes = await client.planBackTo(snapshot, to);
-      if (changes === null) throw new BadSettings(`${to}: the history does not reach back so far`);
+      if (changes === null) throw new InvalidSettingsError(`${to}: the history does not reach back so far`);
       return changes;
     });
   });
@@ -164,7 +165,7 @@
 ): Promise<number> {
   const id = flags.id ?? randomUUID();
   const withinS = Number(flags.within ?? WAIT_DEFAULT_S);
-  if (!(withinS > 0)) throw new BadSettings('--within: a number of seconds above 0 is expected');
+  if (!(withinS > 0)) throw new InvalidSettingsError('--within: a number of seconds above 0 is expected');
   const before = flags.id === undefined ? null : await client.made(id);
   if (before !== null) {
     print(`change ${before.number} (${id}) was made before, at revision ${before.revision}`);
--- a/src/cli/config-file.ts
+++ b/src/cli/config-file.ts
@@ -3,7 +3,7 @@
 import * as v from 'valibot';
 import type { Objective } from '../core/base/model.ts';
 import type { ConfigDocument, DispatchDocument, TeamDocument } from '../core/configuration/documents.ts';
-import { BadSettings } from '../protocol/settings.ts';
+import { InvalidSettingsError } from '../protocol/settings.ts';
 import type { TeamName } from '../types/index.ts';
 import { KEYS } from './options.ts';
 
@@ -52,7 +52,7 @@
 /** The documents that a parsed file asks for; throws BadSettings naming file and key. */
 export function readConfigFile(name: string, parsed: unknown): ConfigDocument[] {
   const checked = v.safeParse(file, parsed);
-  if (!checked.success) throw new BadSettings(issueLine(name, checked.issues[0]));
+  if (!checked.success) throw new InvalidSettingsError(issueLine(name, checked.issues[0]));
   const { team, aim, dispatch } = checked.output;
   const documents: ConfigDocument[] = Object.entries(team).map(([of, blocks]) => ({
     kind: 'team',
@@ -61,7 +61,8 @@
   }));
   if (aim !== undefined) documents.push({ kind: 'objectives', objectives: aim.map(objectiveOf) });
   if (dispatch !== undefined) documents.push({ kind: 'dispatch', dispatch: dispatchDocument(dispatch[0]!) });
-  if (documents.length === 0) throw new BadSettings(`${name}: it has no team, aim or dispatch block`);
+  if (documents.length === 0)
+    throw new InvalidSettingsError(`${name}: it has no team, aim or dispatch block`);
   return documents;
 }
 
@@ -73,7 +74,7 @@
 
 function teamDocument(name: string, team: string, b: v.InferOutput<typeof teamBlock>): TeamDocument {
   const fail = (key: string, what: string): never => {
-    throw new BadSettings(`${name}: team.${team}.${key}: ${what}`);
+    throw new InvalidSettingsError(`${name}: team.${team}.${key}: ${what}`);
   };
   if (b.cpus_max > 0 && b.cpus > b.cpus_max) fail('cpus', 'more is guaranteed than cpus_max allows');
   if (b.gpus_max > 0 && b.gpus > b.gpus_max) fail('gpus', 'more is guaranteed than gpus_max allows');
--- a/src/cli/job-file.ts
+++ b/src/cli/job-file.ts
@@ -1,7 +1,7 @@
 // Jobs from a file: JSON (one job or a list), JSON lines, or HCL (`job "name" { ... }`).
 import { createHash } from 'node:crypto';
 import type { JobRequest } from '../../packages/client/src/index.ts';
-import { BadSettings } from '../protocol/settings.ts';
+import { InvalidSettingsError } from '../protocol/settings.ts';
 
 export interface FileJob {
   /** Its name in the file, or its place there. */
@@ -27,11 +27,11 @@
   createHash('sha256').update(JSON.stringify(what)).digest('hex').slice(0, 16);
 
 function jobsOf(file: string, named: Named[]): JobFile {
-  if (named.length === 0) throw new BadSettings(`${file}: there is no job in it`);
+  if (named.length === 0) throw new InvalidSettingsError(`${file}: there is no job in it`);
   const seen = new Map<string, number>();
   const jobs = named.map(({ name, fields }) => {
     if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
-      throw new BadSettings(`${file}: ${name}: a job is an object`);
+      throw new InvalidSettingsError(`${file}: ${name}: a job is an object`);
     // A named job keeps its name, so that others can await it by it.
     const { name: _, command: given, ...request } = fields as Fields;
     const command = commandOf(file, name, given);
@@ -46,7 +46,7 @@
     };
   });
   const names = new Set(jobs.map((j) => j.name));
-  if (names.size < jobs.length) throw new BadSettings(`${file}: two jobs have the same name`);
+  if (names.size < jobs.length) throw new InvalidSettingsError(`${file}: two jobs have the same name`);
   return {
     jobs,
     key: hashOf(jobs.map((j) => j.key)),
@@ -58,7 +58,7 @@
   if (given === undefined || given === null) return null;
   if (typeof given === 'string') return ['/bin/sh', '-c', given];
   if (Array.isArray(given) && given.length > 0 && given.every((x) => typeof x === 'string')) return given;
-  throw new BadSettings(
+  throw new InvalidSettingsError(
     `${file}: ${name}: command is a line for the shell, or a list of program and arguments`,
   );
 }
@@ -77,7 +77,7 @@
   if (whole !== undefined) return (Array.isArray(whole) ? whole : [whole]).map(named('job'));
   return lines.map((l, i) => {
     const value = tryJson(l);
-    if (value === undefined) throw new BadSettings(`${file}: line ${i + 1} is not JSON`);
+    if (value === undefined) throw new InvalidSettingsError(`${file}: line ${i + 1} is not JSON`);
     return named('line')(value, i);
   });
 }
@@ -101,7 +101,8 @@
 export function fromHcl(file: string, parsed: unknown): JobFile {
   const { job, ...rest } = (parsed ?? {}) as Fields;
   const other = Object.keys(rest)[0];
-  if (other !== undefined) throw new BadSettings(`${file}: ${other}: only job "name" { ... } blocks`);
+  if (other !== undefined)
+    throw new InvalidSettingsError(`${file}: ${other}: only job "name" { ... } blocks`);
   const named = Object.entries((job ?? {}) as Record<string, unknown[]>).flatMap(([name, blocks]) =>
     blocks.map((fields) => ({ name, fields })),
   );
--- a/src/cli/lab-command.ts
+++ b/src/cli/local-cluster-command.ts
@@ -3,28 +3,29 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { defaults, Lab, type LabOptions, readLabOptions } from '../../packages/lab/src/index.ts';
-import { BadSettings } from '../protocol/settings.ts';
+import { defaults, Lab, type LabOptions, readLabOptions } from '../../packages/local-cluster/src/index.ts';
+import { InvalidSettingsError } from '../protocol/settings.ts';
 import { parseHcl, readText } from './files.ts';
-import { askLab } from './lab-client.ts';
+import { askLocalCluster } from './local-cluster-client.ts';
 
 const print = (line: string): void => void process.stdout.write(`${line}\n`);
 
-export interface LabFlags {
+export interface LocalClusterFlags {
   options?: string;
   port?: string;
   dir?: string;
   data?: string;
 }
 
-async function optionsOf(f: LabFlags): Promise<LabOptions> {
+async function optionsOf(f: LocalClusterFlags): Promise<LabOptions> {
   let o = defaults();
   if (f.options !== undefined) {
     o = readLabOptions(f.options, await parseHcl(f.options, readText(f.options)));
   }
   if (f.port === undefined) return o;
   const port = Number(f.port);
-  if (!Number.isInteger(port) || port < 0 || port > 65_535) throw new BadSettings('--port: 0 to 65535');
+  if (!Number.isInteger(port) || port < 0 || port > 65_535)
+    throw new InvalidSettingsError('--port: 0 to 65535');
   return { ...o, lab: { ...o.lab, port } };
 }
 
@@ -38,7 +39,7 @@
 ];
 
 /** Runs until Ctrl-C, and takes all that it started with it. */
-export async function lab(f: LabFlags): Promise<void> {
+export async function localCluster(f: LocalClusterFlags): Promise<void> {
   const options = await optionsOf(f);
   const dir = f.dir ?? mkdtempSync(join(tmpdir(), 'swiftford-lab-'));
   const log = (line: string): void => print(`${new Date().toISOString().slice(11, 19)}  ${line}`);
@@ -79,7 +80,8 @@
 export async function fault(kind: string, f: FaultFlags): Promise<void> {
   const seconds = Number(f.seconds ?? 10);
   const count = Number(f.count ?? 1);
-  if (!(seconds > 0) || !(count > 0)) throw new BadSettings('--seconds and --count are numbers above 0');
+  if (!(seconds > 0) || !(count > 0))
+    throw new InvalidSettingsError('--seconds and --count are numbers above 0');
   const body = {
     kind,
     seconds,
@@ -87,7 +89,7 @@
     ...(f.zone === undefined ? {} : { zone: f.zone }),
     ...(f.name === undefined ? {} : { name: f.name }),
   };
-  const { done } = (await askLab(f.lab ?? true, 'POST', '/faults', body)) as { done: string };
+  const { done } = (await askLocalCluster(f.lab ?? true, 'POST', '/faults', body)) as { done: string };
   print(done);
 }
 
@@ -96,6 +98,6 @@
   f: { lab?: string | true; task: string; stderr?: boolean },
 ): Promise<void> {
   const path = `/logs/${id}/${f.task}${f.stderr ? '?stderr' : ''}`;
-  const { text } = (await askLab(f.lab ?? true, 'GET', path)) as { text: string };
+  const { text } = (await askLocalCluster(f.lab ?? true, 'GET', path)) as { text: string };
   process.stdout.write(text);
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -3,17 +3,17 @@
 import { Command } from 'commander';
 import type { Settings } from '../core/base/model.ts';
 import { HttpClient } from '../http/client.ts';
-import { BadSettings, parseSettings } from '../protocol/settings.ts';
+import { InvalidSettingsError, parseSettings } from '../protocol/settings.ts';
+import { ControllerProcess } from '../runtime/controller-process.ts';
 import { openLog } from '../runtime/log.ts';
-import { Node } from '../runtime/node.ts';
-import { freshSeed } from '../runtime/random.ts';
+import { randomSeed } from '../runtime/random.ts';
 import { addrOf, jobIdOf, parseHcl, readText } from './files.ts';
-import { defaults, dispatchSettings, KEYS, type Options, readOptions } from './options.ts';
+import { defaults, KEYS, type OperatorOptions, readOptions, schedulerOptions } from './options.ts';
 
 const VERSION = '0.9.0';
 const ASK_MS = 3000;
 
-async function readHcl(file: string | undefined): Promise<Options> {
+async function readHcl(file: string | undefined): Promise<OperatorOptions> {
   if (file === undefined) return defaults();
   return readOptions(file, await parseHcl(file, readText(file)));
 }
@@ -21,16 +21,16 @@
 async function load(o: {
   config: string;
   options?: string;
-}): Promise<{ settings: Settings; options: Options }> {
+}): Promise<{ settings: Settings; options: OperatorOptions }> {
   return { settings: parseSettings(o.config, readText(o.config)), options: await readHcl(o.options) };
 }
 
 async function serve(o: { config: string; options?: string }): Promise<void> {
   const { settings, options } = await load(o);
   const log = openLog(settings.node, process.env.LOG_LEVEL);
-  new Node(settings, {
-    dispatch: dispatchSettings(options, settings.workers.reportS),
-    seed: freshSeed(),
+  new ControllerProcess(settings, {
+    dispatch: schedulerOptions(options, settings.workers.heartbeatS),
+    seed: randomSeed(),
     log,
   });
 }
@@ -59,7 +59,7 @@
     try {
       await run(...args);
     } catch (e) {
-      if (!(e instanceof BadSettings)) throw e;
+      if (!(e instanceof InvalidSettingsError)) throw e;
       fail(e);
     }
   };
@@ -132,8 +132,8 @@
 asClient(program.command('watch <id>').description('show the states of a job until it ends'), 'watch');
 asClient(program.command('cancel <id>').description('cancel a job and tell how it ended'), 'cancel');
 
-const LAB = './lab-command.js';
-type LabCommands = typeof import('./lab-command.ts');
+const LAB = './local-cluster-command.js';
+type LabCommands = typeof import('./local-cluster-command.ts');
 const inLab =
   <A extends unknown[]>(run: (c: LabCommands, ...args: A) => Promise<void>) =>
   async (...args: A): Promise<void> => {
@@ -150,7 +150,7 @@
   .option('--port <port>', 'port of the lab itself; 0 for a free one (7070)')
   .option('--dir <dir>', 'keep settings, logs and output there')
   .option('--data <dir>', 'keep the records there, and go on with them')
-  .action(inLab((c, f: Parameters<LabCommands['lab']>[0]) => c.lab(f)));
+  .action(inLab((c, f: Parameters<LabCommands['localCluster']>[0]) => c.localCluster(f)));
 program
   .command('fault <kind>')
   .description('let something go wrong in a lab; docs/lab.md lists the kinds')
--- a/src/cli/options.ts
+++ b/src/cli/options.ts
@@ -1,9 +1,9 @@
 // Operators' own settings, in HCL. Every key, its default and its bounds stand here once.
 import * as v from 'valibot';
-import type { DispatchSettings } from '../core/placement/dispatch.ts';
-import { BadSettings } from '../protocol/settings.ts';
+import type { SchedulerOptions } from '../core/scheduling/scheduler.ts';
+import { InvalidSettingsError } from '../protocol/settings.ts';
 
-export interface Options {
+export interface OperatorOptions {
   threshold: number;
   takeBackReports: number;
   teamFloor: number;
@@ -11,7 +11,7 @@
 }
 
 interface Key {
-  name: keyof Options;
+  name: keyof OperatorOptions;
   hcl: string;
   default: number;
   min: number;
@@ -60,15 +60,15 @@
 ];
 
 /** What the core is told; `reportS`: the workers' report period, which some options are counted in. */
-export const dispatchSettings = (o: Options, reportS: number): DispatchSettings => ({
+export const schedulerOptions = (o: OperatorOptions, reportS: number): SchedulerOptions => ({
   threshold: o.threshold,
-  takeBackMs: o.takeBackReports * reportS * 1000,
+  dequeueAfterMs: o.takeBackReports * reportS * 1000,
   teamFloor: o.teamFloor,
   classFloor: o.classFloor,
 });
 
-export const defaults = (): Options =>
-  Object.fromEntries(KEYS.map((k) => [k.name, k.default])) as unknown as Options;
+export const defaults = (): OperatorOptions =>
+  Object.fromEntries(KEYS.map((k) => [k.name, k.default])) as unknown as OperatorOptions;
 
 const number = (k: Key) => {
   const base = v.pipe(v.number(), v.minValue(k.min), v.maxValue(k.max));
@@ -81,7 +81,7 @@
 });
 
 /** Reads the parsed form of an HCL file: one `dispatch` block at most, unknown names refused. */
-export function readOptions(file: string, parsed: unknown): Options {
+export function readOptions(file: string, parsed: unknown): OperatorOptions {
   const checked = v.safeParse(schema, parsed);
   if (!checked.success) {
     const issue = checked.issues[0];
@@ -91,8 +91,10 @@
         .filter((p) => p !== '0')
         .join('.') ?? '(whole file)';
     const what = issue.expected === 'never' ? 'unknown name' : issue.message;
-    throw new BadSettings(`${file}: ${path}: ${what}`);
+    throw new InvalidSettingsError(`${file}: ${path}: ${what}`);
   }
   const block = (checked.output.dispatch?.[0] ?? {}) as Record<string, number>;
-  return Object.fromEntries(KEYS.map((k) => [k.name, block[k.hcl] ?? k.default])) as unknown as Options;
+  return Object.fromEntries(
+    KEYS.map((k) => [k.name, block[k.hcl] ?? k.default]),
+  ) as unknown as OperatorOptions;
 }
--- a/src/core/intake/overload.ts
+++ b/src/core/admission/load-shedder.ts
@@ -2,23 +2,23 @@
 // timer fires, or how long the oldest report has been waiting to be read, whichever is more. Reports, cancellations and results are never turned away; passes
 // and plans are made less often, then questions and at last submissions are sent back at once, by the other nodes too,
 // from what the owner tells them.
-import { type Instant, later, type NodeId, since } from '../../types/index.ts';
-import { retry } from '../base/answers.ts';
-import type { Outbox } from '../base/io.ts';
-import type { UserAnswer, UserRequest } from '../base/model.ts';
+import { addMs, elapsedMs, type Instant, type NodeId } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
+import type { UserRequest, UserResponse } from '../base/model.ts';
+import { retryLater } from '../base/responses.ts';
 
 /** 0: all is well. 1: questions give way. 2: submissions too. */
-export type Level = 0 | 1 | 2;
+export type LoadLevel = 0 | 1 | 2;
 
 /** What a node tells of its load. */
-export interface Told {
-  level: Level;
+export interface PeerLoad {
+  level: LoadLevel;
   /** Seconds after which callers who are sent back should come again. */
   afterS: number;
   /** Seconds that it takes to write what waits to be written. */
   backlogS: number;
   /** Its memory is short. */
-  short: boolean;
+  memoryShort: boolean;
 }
 
 const TICK_MS = 100;
@@ -43,57 +43,61 @@
 /** Memory is given back by jobs that end, which takes longer than a queue. */
 const SHORT_AFTER_S = 5;
 
-export class Overload {
+export class LoadShedder {
   /** How late the timer fires or reports are read, smoothed, in milliseconds. */
   delayMs = 0;
-  level: Level = 0;
+  level: LoadLevel = 0;
   /**
    * Little memory is left. Every accepted job is kept until its end, so no more are taken; nothing that is on record is
    * ever dropped for it, and questions, reports and cancellations, which leave nothing behind, are served.
    */
-  short = false;
+  isMemoryShort = false;
   private lastTick: Instant | null = null;
   private nextTell = 0 as Instant;
-  private readonly told = new Map<NodeId, Told & { until: Instant }>();
+  private readonly told = new Map<NodeId, PeerLoad & { until: Instant }>();
   /** Requests sent back, for operators. */
-  shed = 0;
+  requestsShed = 0;
 
-  constructor(private readonly io: Outbox) {}
+  constructor(private readonly io: ControllerIo) {}
 
   /** Called with every tick; returns what the other nodes should be told, if anything. */
   tick(
     queuedMs: number,
     backlogS: number,
     memory = 0,
-  ): { level: Level; afterS: number; short: boolean } | null {
+  ): { level: LoadLevel; afterS: number; memoryShort: boolean } | null {
     const { now } = this.io;
     const before = this.level;
-    const shortBefore = this.short;
+    const shortBefore = this.isMemoryShort;
     this.measure(now, queuedMs);
-    this.io.pace = Math.min(PACE_MAX, 1 + this.delayMs * PACE_PER_MS);
+    this.io.intervalFactor = Math.min(PACE_MAX, 1 + this.delayMs * PACE_PER_MS);
     if (this.level !== before)
       this.io.log('info', 'load has changed', { level: this.level, delayMs: Math.round(this.delayMs) });
-    this.short = memory >= (this.short ? ENOUGH : SHORT);
-    if (this.short !== shortBefore)
-      this.io.log(this.short ? 'error' : 'info', this.short ? 'memory is short' : 'memory is enough again', {
-        used: Math.round(memory * 100) / 100,
-      });
-    if (this.level === before && this.short === shortBefore && now < this.nextTell) return null;
-    this.nextTell = later(now, TELL_MS);
-    return { level: this.level, afterS: this.afterS(backlogS), short: this.short };
+    this.isMemoryShort = memory >= (this.isMemoryShort ? ENOUGH : SHORT);
+    if (this.isMemoryShort !== shortBefore)
+      this.io.log(
+        this.isMemoryShort ? 'error' : 'info',
+        this.isMemoryShort ? 'memory is short' : 'memory is enough again',
+        {
+          used: Math.round(memory * 100) / 100,
+        },
+      );
+    if (this.level === before && this.isMemoryShort === shortBefore && now < this.nextTell) return null;
+    this.nextTell = addMs(now, TELL_MS);
+    return { level: this.level, afterS: this.afterS(backlogS), memoryShort: this.isMemoryShort };
   }
 
   private measure(now: Instant, queuedMs: number): void {
     const last = this.lastTick;
     this.lastTick = now;
     if (last === null) return;
-    const elapsed = Math.max(0, since(now, last));
+    const elapsed = Math.max(0, elapsedMs(now, last));
     const late = Math.max(0, elapsed - TICK_MS, queuedMs);
     const weight = 1 - Math.exp(-Math.min(elapsed, ONE_MS) / OVER_MS);
     this.delayMs += (late - this.delayMs) * weight;
     while (this.level < 2 && this.delayMs >= ENTER_MS[this.level + 1]!)
-      this.level = (this.level + 1) as Level;
-    while (this.level > 0 && this.delayMs < LEAVE_MS[this.level]!) this.level = (this.level - 1) as Level;
+      this.level = (this.level + 1) as LoadLevel;
+    while (this.level > 0 && this.delayMs < LEAVE_MS[this.level]!) this.level = (this.level - 1) as LoadLevel;
   }
 
   /** Seconds after which a caller who is sent back should come again: more, the more waits. */
@@ -101,11 +105,11 @@
     return Math.min(AFTER_MAX_S, 1 + this.delayMs / 250 + backlogS);
   }
 
-  heard(node: NodeId, { level, afterS, backlogS, short }: Told): void {
-    this.told.set(node, { level, afterS, backlogS, short, until: later(this.io.now, TOLD_MS) });
+  onPeerLoad(node: NodeId, { level, afterS, backlogS, memoryShort }: PeerLoad): void {
+    this.told.set(node, { level, afterS, backlogS, memoryShort, until: addMs(this.io.now, TOLD_MS) });
   }
 
-  private toldBy(node: NodeId | null): Told | null {
+  private toldBy(node: NodeId | null): PeerLoad | null {
     const told = node === null ? undefined : this.told.get(node);
     return told !== undefined && this.io.now < told.until ? told : null;
   }
@@ -117,29 +121,33 @@
   }
 
   /** What a new job is told when there is no memory for it, also by way of a node that does not know of that. */
-  noMemory(): UserAnswer {
-    this.shed++;
-    return retry('too little memory for more work at the moment', spread(this.io, SHORT_AFTER_S), true);
+  outOfMemoryResponse(): UserResponse {
+    this.requestsShed++;
+    return retryLater(
+      'too little memory for more work at the moment',
+      jitteredRetryS(this.io, SHORT_AFTER_S),
+      true,
+    );
   }
 
   /** What to tell a user at once instead of serving the request; null if it is to be served. */
-  refusal(op: UserRequest['op'], owner: NodeId | null, backlogS: number): UserAnswer | null {
+  rejection(op: UserRequest['op'], owner: NodeId | null, backlogS: number): UserResponse | null {
     if (op === 'cancel') return null;
     const theirs = this.toldBy(owner);
-    if (op === 'submit' && (this.short || theirs?.short)) return this.noMemory();
+    if (op === 'submit' && (this.isMemoryShort || theirs?.memoryShort)) return this.outOfMemoryResponse();
     const level = Math.max(this.level, theirs?.level ?? 0);
     if (level === 0) return null;
     if (op === 'status' ? this.io.random.below(10) >= QUESTIONS_SHED[level]! : level < 2) return null;
-    this.shed++;
-    return retry(
+    this.requestsShed++;
+    return retryLater(
       'too much work at the moment',
-      spread(this.io, Math.max(theirs?.afterS ?? 1, this.afterS(backlogS))),
+      jitteredRetryS(this.io, Math.max(theirs?.afterS ?? 1, this.afterS(backlogS))),
       true,
     );
   }
 }
 
 /** Callers who are sent back together do not come back together. */
-export function spread(io: Outbox, afterS: number): number {
+export function jitteredRetryS(io: ControllerIo, afterS: number): number {
   return Math.max(1, Math.round(afterS + (io.random.below(1001) / 1000) * afterS));
 }
--- a/src/core/fleet/fleet.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,8 +1,8 @@
 // Renting and returning machines: what waits is packed onto what is there or coming; what does not fit is rented.
 import {
+  addMs,
   type Instant,
   LONG_AGO,
-  later,
   type MachineId,
   NEVER,
   type Revision,
@@ -10,20 +10,20 @@
   type TypeName,
   type ZoneName,
 } from '../../types/index.ts';
-import { Budget } from '../base/budget.ts';
-import type { Outbox } from '../base/io.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply, MachineType, Settings } from '../base/model.ts';
+import { TokenBucket } from '../base/token-bucket.ts';
 import type { Job } from '../jobs/job.ts';
-import type { Jobs } from '../jobs/jobs.ts';
-import type { Estimates, Ordering } from '../jobs/order.ts';
-import { isGang, mayRunOnType, perMachine } from '../jobs/shape.ts';
+import type { JobOrdering, RuntimeEstimates } from '../jobs/job-ordering.ts';
+import type { JobTable } from '../jobs/job-table.ts';
+import { isGang, mayRunOnType, tasksPerMachine } from '../jobs/placement-constraints.ts';
+import type { PendingCapacity } from '../machines/capacity-index.ts';
 import type { Machine } from '../machines/machine.ts';
-import type { Machines } from '../machines/machines.ts';
-import type { Coming } from '../machines/rooms.ts';
-import type { Quota, TeamUse } from '../teams/quota.ts';
-import { MachineList } from './machine-list.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
+import type { Quota, TeamUsage } from '../teams/quota.ts';
+import { CapacitySupply, emptyMachine, freeCapacityOf, offerKey, placeOn } from './capacity-supply.ts';
+import { CloudInventory } from './cloud-inventory.ts';
 import { readyTimeS, SpareCapacity } from './spare-capacity.ts';
-import { freeOn, offerKey, Supply, takeFrom, whole } from './supply.ts';
 
 interface Request {
   name: string;
@@ -71,15 +71,15 @@
 /** Part of the cloud's call budget used for renting and returning; the rest is for lists. */
 const CLOUD_SHARE = 0.7;
 
-export class Fleet {
+export class Autoscaler {
   readonly types: Map<TypeName, MachineType>;
   private readonly requests: Request[] = [];
   /** Machines that waiting work or spare room is counted on. */
   private readonly wanted = new Set<MachineId>();
   readonly spareCapacity: SpareCapacity;
-  private readonly machineList: MachineList;
+  private readonly machineList: CloudInventory;
   /** Machines on their way, as of the last plan. */
-  coming: Coming = new Map();
+  pendingCapacity: PendingCapacity = new Map();
   /** Offers of which the cloud had fewer than asked for: until when they are left out, and how often in a row. */
   private readonly refused = new Map<string, { until: Instant; times: number }>();
   /** Zones that seem to be cut off, and for how long they are taken to be. */
@@ -89,23 +89,23 @@
   private releasingNow = false;
   private releaseAt: Instant = LONG_AGO;
   private requestsMade = 0;
-  private readonly budget: Budget;
-  private readonly io: Outbox;
-  private readonly jobs: Jobs;
-  private readonly machines: Machines;
+  private readonly budget: TokenBucket;
+  private readonly io: ControllerIo;
+  private readonly jobs: JobTable;
+  private readonly machines: MachineTable;
   private readonly quota: Quota;
-  private readonly estimates: Estimates;
-  private readonly ordering: Ordering;
+  private readonly estimates: RuntimeEstimates;
+  private readonly ordering: JobOrdering;
   private readonly term: Revision;
 
   constructor(
-    io: Outbox,
+    io: ControllerIo,
     settings: Settings,
-    jobs: Jobs,
-    machines: Machines,
+    jobs: JobTable,
+    machines: MachineTable,
     quota: Quota,
-    estimates: Estimates,
-    ordering: Ordering,
+    estimates: RuntimeEstimates,
+    ordering: JobOrdering,
     term: Revision,
     types: Map<TypeName, MachineType>,
   ) {
@@ -118,9 +118,9 @@
     this.ordering = ordering;
     this.term = term;
     this.spareCapacity = new SpareCapacity(io);
-    this.machineList = new MachineList(io, machines, types, () => this.requests.some((r) => r.inFlight));
-    const rate = settings.cloud.rps * CLOUD_SHARE;
-    this.budget = new Budget(rate, Math.max(1, rate));
+    this.machineList = new CloudInventory(io, machines, types, () => this.requests.some((r) => r.inFlight));
+    const rate = settings.cloud.requestsPerS * CLOUD_SHARE;
+    this.budget = new TokenBucket(rate, Math.max(1, rate));
   }
 
   /** `current`: no other owner can exist; one that is cut off returns no machine that may be at work for the next. */
@@ -131,31 +131,31 @@
     this.returnMachines(recovered, current);
     this.sendRequests();
     if (this.io.now >= this.nextPlan && recovered) {
-      const gap = Math.max(PLAN_MS, this.machines.all.size * PLAN_MS_PER_MACHINE);
-      this.nextPlan = later(this.io.now, gap * this.io.pace);
+      const gap = Math.max(PLAN_MS, this.machines.byId.size * PLAN_MS_PER_MACHINE);
+      this.nextPlan = addMs(this.io.now, gap * this.io.intervalFactor);
       this.rentForDemand();
     }
     this.report();
   }
 
   /** Whether a call that returns machines is under way. */
-  get returning(): boolean {
+  get isScalingIn(): boolean {
     return this.releasingNow;
   }
 
   /** For operators who look into how well the fleet fits the work. */
   private report(): void {
     if (this.io.now < this.nextReport) return;
-    this.nextReport = later(this.io.now, REPORT_MS);
+    this.nextReport = addMs(this.io.now, REPORT_MS);
     const fleet: Record<string, string> = {};
     const kinds = new Map<string, { n: number; booting: number; idle: number; cpus: number; gpus: number }>();
-    for (const m of this.machines.all.values()) {
+    for (const m of this.machines.byId.values()) {
       const key = `${m.type.name}/${m.spot ? 'spot' : 'ordinary'}`;
       const k = kinds.get(key) ?? { n: 0, booting: 0, idle: 0, cpus: 0, gpus: 0 };
       kinds.set(key, k);
       k.n++;
-      if (!m.up) k.booting++;
-      else if (m.empty) k.idle++;
+      if (!m.isUp) k.booting++;
+      else if (m.isEmpty) k.idle++;
       k.cpus += m.usedCpus / m.type.cpus;
       k.gpus += m.type.gpus > 0 ? m.usedGpus / m.type.gpus : 0;
     }
@@ -163,14 +163,15 @@
       fleet[key] =
         `${k.n} (${k.booting} booting, ${k.idle} idle), busy ${k.cpus.toFixed(1)} by CPU, ${k.gpus.toFixed(1)} by GPU`;
     const work: Record<string, string> = {};
-    for (const j of this.jobs.open.values()) {
+    for (const j of this.jobs.openJobs.values()) {
       const [jobs, waiting, queued, live] = (work[j.spec.class] ?? '0 0 0 0').split(' ').map(Number) as [
         number,
         number,
         number,
         number,
       ];
-      work[j.spec.class] = `${jobs + 1} ${waiting + j.waiting} ${queued + j.queued} ${live + j.live}`;
+      work[j.spec.class] =
+        `${jobs + 1} ${waiting + j.waitingTasks} ${queued + j.queuedTasks} ${live + j.assignedTasks}`;
     }
     this.io.log('debug', 'fleet and work (jobs, tasks waiting, queued, on machines)', { fleet, work });
   }
@@ -182,9 +183,9 @@
     this.wanted.clear();
     const need = new Map<string, Request[]>();
     // Of a team near its limit each job might still be allowed, and all together not.
-    const planned = new Map<TeamName, TeamUse>();
+    const planned = new Map<TeamName, TeamUsage>();
     for (const job of this.demand()) {
-      const n = Math.min(job.waiting + job.queued, this.teamRoom(job, planned));
+      const n = Math.min(job.waitingTasks + job.queuedTasks, this.teamRoom(job, planned));
       if (isGang(job.spec)) this.provideGang(job, n, free, need);
       else if (job.spec.spread && job.spec.tasks > 1) this.provideSpread(job, n, free, need);
       // Room in another zone than that of its other tasks is none for it.
@@ -192,7 +193,7 @@
         this.provideInOneZone(job, n, this.zonesFor(job), free, need);
       else this.provide(job, n, null, free, need);
     }
-    for (const spare of this.spareCapacity.spares((job) => readyTimeS(this.types.values(), job.spec)))
+    for (const spare of this.spareCapacity.requirements((job) => readyTimeS(this.types.values(), job.spec)))
       this.provideSpare(spare, free, need);
     for (const r of [...need.values()].flat()) {
       this.requests.push(r);
@@ -211,7 +212,7 @@
     job: Job,
     n: number,
     zone: ZoneName | null,
-    free: Supply,
+    free: CapacitySupply,
     need: Map<string, Request[]>,
   ): void {
     const left = n - free.use(job, n, zone, this.wanted);
@@ -222,9 +223,9 @@
    * Half of the tasks at most, rounded up, may be in one zone: room in a zone that has its part already is none, and taken
    * for some it kept machines from being rented where they could be used.
    */
-  private provideSpread(job: Job, n: number, free: Supply, need: Map<string, Request[]>): void {
-    this.provide(job, Math.min(n, job.queued), null, free, need);
-    let left = n - job.queued;
+  private provideSpread(job: Job, n: number, free: CapacitySupply, need: Map<string, Request[]>): void {
+    this.provide(job, Math.min(n, job.queuedTasks), null, free, need);
+    let left = n - job.queuedTasks;
     const most = Math.ceil(job.spec.tasks / 2);
     const offers = this.offers(job);
     const zones = job.spec.zone !== null ? [job.spec.zone] : this.allZones();
@@ -247,7 +248,7 @@
   /** Room for gangs is kept in pieces that hold the largest of them, each in one zone. */
   private provideSpare(
     s: { job: Job; tasks: number; most: number },
-    free: Supply,
+    free: CapacitySupply,
     need: Map<string, Request[]>,
   ): void {
     if (s.job.spec.kind !== 'gang' || !s.job.spec.oneZone)
@@ -257,8 +258,8 @@
   }
 
   /** A gang bound to one zone needs all its room there: where it is already, or where least is missing. */
-  private provideGang(job: Job, n: number, free: Supply, need: Map<string, Request[]>): void {
-    if (n < job.waiting + job.queued) return;
+  private provideGang(job: Job, n: number, free: CapacitySupply, need: Map<string, Request[]>): void {
+    if (n < job.waitingTasks + job.queuedTasks) return;
     if (!job.spec.oneZone) return this.provide(job, n, null, free, need);
     this.provideInOneZone(job, n, this.zonesFor(job), free, need);
   }
@@ -267,7 +268,7 @@
     job: Job,
     n: number,
     zones: ZoneName[],
-    free: Supply,
+    free: CapacitySupply,
     need: Map<string, Request[]>,
   ): void {
     let best: { zone: ZoneName; missing: number; cost: number } | null = null;
@@ -293,18 +294,18 @@
   }
 
   /** How many of the job's tasks its team's limit allows beside those that were planned for before it. */
-  private teamRoom(job: Job, planned: Map<TeamName, TeamUse>): number {
+  private teamRoom(job: Job, planned: Map<TeamName, TeamUsage>): number {
     const { team, cpus, gpus } = job.spec;
     const before = planned.get(team) ?? { cpus: 0, gpus: 0 };
-    const more = Math.min(job.waiting, this.quota.allows(job, before));
+    const more = Math.min(job.waitingTasks, this.quota.allowedTasks(job, before));
     planned.set(team, { cpus: before.cpus + cpus * more, gpus: before.gpus + gpus * more });
-    return more + job.queued;
+    return more + job.queuedTasks;
   }
 
   /** What is hard to place goes first: accelerators, then gangs and other large tasks. */
   private demand(): Job[] {
-    const out = [...this.jobs.open.values()].filter(
-      (j) => !j.unwanted && j.wanting > 0 && j.failedOn.size < 3,
+    const out = [...this.jobs.openJobs.values()].filter(
+      (j) => !j.isCancelling && j.unplacedTasks > 0 && j.failedOn.size < 3,
     );
     return out.sort(
       (a, b) =>
@@ -321,33 +322,33 @@
    */
   private noteDark(): void {
     const zones = new Map<ZoneName, { heard: number; quiet: number }>();
-    for (const m of this.machines.all.values()) {
-      if (!m.up || m.releasing) continue;
+    for (const m of this.machines.byId.values()) {
+      if (!m.isUp || m.isReleasing) continue;
       const z = zones.get(m.zone) ?? { heard: 0, quiet: 0 };
       zones.set(m.zone, z);
-      if (m.quiet || m.drain === 'silent') z.quiet++;
+      if (m.isOverdue || m.drainReason === 'silent') z.quiet++;
       else z.heard++;
     }
     const isDark = ({ heard, quiet }: { heard: number; quiet: number }): boolean =>
       quiet >= DARK_LEAST && quiet > (heard + quiet) * DARK_PART;
     if ([...zones.values()].every(isDark)) return this.dark.clear();
     for (const [zone, z] of zones)
-      if (isDark(z)) this.dark.set(zone, later(this.io.now, DARK_MS));
+      if (isDark(z)) this.dark.set(zone, addMs(this.io.now, DARK_MS));
       else if (z.heard > 0) this.dark.delete(zone);
     for (const [zone, until] of this.dark) if (this.io.now >= until) this.dark.delete(zone);
   }
 
   /** Room on machines that are up, that is about to come free, or that is on its way. */
-  private supply(): Supply {
-    const out = new Supply();
+  private supply(): CapacitySupply {
+    const out = new CapacitySupply();
     const coming = new Map<MachineType, number>();
     this.noteDark();
-    for (const m of this.machines.all.values()) {
-      if (m.releasing || m.drain !== null || this.dark.has(m.zone)) continue;
+    for (const m of this.machines.byId.values()) {
+      if (m.isReleasing || m.drainReason !== null || this.dark.has(m.zone)) continue;
       // Requests are not counted: the cloud may have nothing.
-      if (!m.up) coming.set(m.type, (coming.get(m.type) ?? 0) + 1);
-      const f = freeOn(m);
-      for (const e of m.entries.values()) {
+      if (!m.isUp) coming.set(m.type, (coming.get(m.type) ?? 0) + 1);
+      const f = freeCapacityOf(m);
+      for (const e of m.assignments.values()) {
         if (!this.endsSoon(e, m)) continue;
         f.cpus += e.job.spec.cpus;
         f.gpus += e.job.spec.gpus;
@@ -355,15 +356,16 @@
       }
       out.add(f);
     }
-    for (const r of this.requests) for (let i = 0; i < r.count; i++) out.add(whole(r.type, r.zone, r.spot));
-    this.coming = coming;
+    for (const r of this.requests)
+      for (let i = 0; i < r.count; i++) out.add(emptyMachine(r.type, r.zone, r.spot));
+    this.pendingCapacity = coming;
     return out;
   }
 
   /** Renting would not help sooner than the machine's own task ends. */
   private endsSoon(e: { job: Job; runningAt: Instant | null }, m: Machine): boolean {
     if (e.runningAt === null || e.job.spec.kind === 'service') return false;
-    const left = this.estimates.leftS(e.job, (this.io.now - e.runningAt) / 1000);
+    const left = this.estimates.remainingS(e.job, (this.io.now - e.runningAt) / 1000);
     return left < m.type.bootS * 0.7;
   }
 
@@ -371,7 +373,7 @@
     job: Job,
     tasks: number,
     zone: ZoneName | null,
-    free: Supply,
+    free: CapacitySupply,
     need: Map<string, Request[]>,
   ): void {
     let left = tasks;
@@ -382,7 +384,7 @@
       need.set(key, asked);
       const requests = this.refused.has(key) ? 1 : REQUESTS_AN_OFFER;
       const room = requests * RENT_MAX - asked.reduce((n, r) => n + r.count, 0);
-      const n = Math.min(room, Math.ceil(left / perMachine(o.type, job.spec)));
+      const n = Math.min(room, Math.ceil(left / tasksPerMachine(o.type, job.spec)));
       for (let i = 0; i < n; i++) {
         let r = asked.at(-1);
         if (r === undefined || r.count >= RENT_MAX) {
@@ -390,8 +392,8 @@
           asked.push(r);
         }
         r.count++;
-        const f = whole(o.type, o.zone, o.spot);
-        left -= takeFrom(f, job, left);
+        const f = emptyMachine(o.type, o.zone, o.spot);
+        left -= placeOn(f, job, left);
         free.add(f);
       }
       if (left <= 0) return;
@@ -408,7 +410,7 @@
     const out: Offer[] = [];
     let cheapest = Number.POSITIVE_INFINITY;
     for (const type of this.types.values()) {
-      const per = perMachine(type, job.spec);
+      const per = tasksPerMachine(type, job.spec);
       if (per < 1 || !mayRunOnType(type, job.spec)) continue;
       cheapest = Math.min(
         cheapest,
@@ -440,7 +442,7 @@
   private pressing(job: Job): boolean {
     if (job.spec.priority >= URGENT) return true;
     const ageS = (this.io.now - job.readyAt) / 1000;
-    return ageS >= this.ordering.slackS(job, this.io.now, this.io.wall);
+    return ageS >= this.ordering.slackS(job, this.io.now, this.io.wallTime);
   }
 
   private sendRequests(): void {
@@ -463,7 +465,7 @@
     r.inFlight = false;
     // An unanswered request may have rented: it is repeated under its own name until it is answered.
     if (reply.kind !== 'rented' && reply.kind !== 'no-capacity') {
-      r.retryAt = later(this.io.now, 1000);
+      r.retryAt = addMs(this.io.now, 1000);
       return;
     }
     this.requests.splice(this.requests.indexOf(r), 1);
@@ -480,8 +482,8 @@
       });
     }
     for (const id of got) {
-      if (this.machines.all.has(id) || this.machines.buried.has(id)) continue;
-      this.machines.newMachine(id, r.type, r.zone, r.spot, NEVER);
+      if (this.machines.byId.has(id) || this.machines.tombstones.has(id)) continue;
+      this.machines.addMachine(id, r.type, r.zone, r.spot, NEVER);
     }
   }
 
@@ -492,7 +494,7 @@
     if (known !== undefined && this.io.now < known.until) return;
     const times = (known?.times ?? 0) + 1;
     const ms = Math.min(REFUSED_MAX_MS, REFUSED_MS * 2 ** (times - 1));
-    this.refused.set(key, { until: later(this.io.now, ms), times });
+    this.refused.set(key, { until: addMs(this.io.now, ms), times });
   }
 
   // ---- returning
@@ -505,16 +507,16 @@
     if (this.releasingNow || this.io.now < this.releaseAt) return;
     const batch: Machine[] = [];
     const reasons = new Map<string, number>();
-    for (const m of this.machines.all.values()) {
+    for (const m of this.machines.byId.values()) {
       if (batch.length >= RELEASE_MAX) break;
-      if (!current && (!m.up || m.quiet)) continue;
-      const why = m.releasing ? 'settled' : mayReturnIdle ? this.reasonToReturn(m) : null;
+      if (!current && (!m.isUp || m.isOverdue)) continue;
+      const why = m.isReleasing ? 'settled' : mayReturnIdle ? this.reasonToReturn(m) : null;
       if (why === null) continue;
       batch.push(m);
       reasons.set(why, (reasons.get(why) ?? 0) + 1);
     }
     if (batch.length === 0 || !this.budget.take(this.io.now)) return;
-    for (const m of batch) this.machines.giveBack(m);
+    for (const m of batch) this.machines.beginRelease(m);
     this.io.log('info', 'returning machines', {
       why: Object.fromEntries(reasons),
       machines: batch.map((m) => m.id),
@@ -522,10 +524,10 @@
     this.releasingNow = true;
     this.io.cloud({ kind: 'release', machines: batch.map((m) => m.id) }, (r) => {
       this.releasingNow = false;
-      this.releaseAt = later(this.io.now, r.kind === 'released' ? RELEASE_EVERY_MS : 1000);
+      this.releaseAt = addMs(this.io.now, r.kind === 'released' ? RELEASE_EVERY_MS : 1000);
       if (r.kind !== 'released') return;
       for (const m of batch) {
-        this.machines.bury(m, 'returned');
+        this.machines.remove(m, 'returned');
         // There is at least this one to be had again.
         this.refused.delete(offerKey(m.type.name, m.zone, m.spot));
       }
@@ -535,11 +537,11 @@
   private reasonToReturn(m: Machine): string | null {
     const { now } = this.io;
     const age = now - m.requestedAt;
-    if (!m.up) return age > m.type.bootS * 4000 + 5000 ? 'never came up' : null;
+    if (!m.isUp) return age > m.type.bootS * 4000 + 5000 ? 'never came up' : null;
     // Results not yet recorded would be lost with the machine.
-    if (!m.empty || [...m.exited.values()].some((x) => x.why === 'done')) return null;
-    if (m.drain !== null) return m.drain;
-    if (!m.synced || age < MIN_AGE_MS || this.wanted.has(m.id)) return null;
+    if (!m.isEmpty || [...m.exitedTasks.values()].some((x) => x.exitReason === 'done')) return null;
+    if (m.drainReason !== null) return m.drainReason;
+    if (!m.isReconciled || age < MIN_AGE_MS || this.wanted.has(m.id)) return null;
     // Holding an idle machine for as long as a new one would take to get ready costs at most twice the best choice.
     const patience = m.type.bootS * 400;
     return now - m.idleSince > patience ? 'idle' : null;
--- a/src/core/fleet/supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -2,11 +2,11 @@
 import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import { placesOf, takesAsMuch } from '../jobs/shape.ts';
+import { needsAtLeast, placementKey } from '../jobs/placement-constraints.ts';
 import type { Machine } from '../machines/machine.ts';
 
 /** Room on one machine. */
-export interface Free {
+export interface FreeCapacity {
   type: MachineType;
   zone: ZoneName;
   spot: boolean;
@@ -22,7 +22,7 @@
   `${type}/${zone}/${spot ? 's' : 'o'}`;
 
 /** What a machine has free now. */
-export const freeOn = (m: Machine): Free => ({
+export const freeCapacityOf = (m: Machine): FreeCapacity => ({
   type: m.type,
   zone: m.zone,
   spot: m.spot,
@@ -33,7 +33,7 @@
 });
 
 /** A machine that is on its way, with nothing on it. */
-export const whole = (type: MachineType, zone: ZoneName, spot: boolean): Free => ({
+export const emptyMachine = (type: MachineType, zone: ZoneName, spot: boolean): FreeCapacity => ({
   type,
   zone,
   spot,
@@ -44,7 +44,7 @@
 });
 
 /** Takes room for up to n tasks; returns for how many there was. */
-export function takeFrom(f: Free, job: Job, n: number): number {
+export function placeOn(f: FreeCapacity, job: Job, n: number): number {
   const { cpus, gpus, memoryGb } = job.spec;
   const k = Math.min(n, slotsOf(f, job));
   if (k <= 0) return 0;
@@ -54,7 +54,7 @@
   return k;
 }
 
-function slotsOf(f: Free, job: Job): number {
+function slotsOf(f: FreeCapacity, job: Job): number {
   const { cpus, gpus, memoryGb } = job.spec;
   const per = (free: number, each: number) =>
     each <= 0 ? Number.POSITIVE_INFINITY : Math.floor((free + 1e-9) / each);
@@ -64,10 +64,10 @@
 /** Free room of one pool by whole accelerators and CPUs, so that a job looks only at what may have room for it. */
 class Shelf {
   /** First by accelerators, then by CPUs. */
-  private readonly byGpus: Free[][][] = [];
-  constructor(readonly first: Free) {}
+  private readonly byGpus: FreeCapacity[][][] = [];
+  constructor(readonly first: FreeCapacity) {}
 
-  put(f: Free): void {
+  put(f: FreeCapacity): void {
     if (f.cpus < LEAST) return;
     const [gpus, cpus] = [Math.floor(f.gpus + EPS), Math.floor(f.cpus + EPS)];
     const byCpus = this.byGpus[gpus] ?? [];
@@ -78,7 +78,7 @@
   }
 
   /** Lists that may have room for the job: fewest accelerators first, then fullest first. */
-  *fitting(job: Job): Iterable<Free[]> {
+  *fitting(job: Job): Iterable<FreeCapacity[]> {
     const { cpus, gpus } = job.spec;
     for (let g = Math.floor(gpus); g < this.byGpus.length; g++) {
       const byCpus = this.byGpus[g];
@@ -96,16 +96,16 @@
 const LEAST = 1e-3;
 
 /** Free room by pool. */
-export class Supply {
+export class CapacitySupply {
   private readonly pools = new Map<string, Shelf>();
   /** What found no room: a job that asks for as much or more of the same pools finds none either. */
   private none: { where: string; spec: JobSpec }[] = [];
 
   private hopeless(job: Job, where: string): boolean {
-    return this.none.some((n) => n.where === where && takesAsMuch(job.spec, n.spec));
+    return this.none.some((n) => n.where === where && needsAtLeast(job.spec, n.spec));
   }
 
-  add(f: Free): void {
+  add(f: FreeCapacity): void {
     if (f.cpus < LEAST) return;
     this.none = [];
     const key = offerKey(f.type.name, f.zone, f.spot);
@@ -122,7 +122,7 @@
       const f = shelf.first;
       if ((f.spot && !job.spec.spot) || (zone !== null && f.zone !== zone)) continue;
       if (job.spec.zone !== null && job.spec.zone !== f.zone) continue;
-      if (job.spec.types === null || job.spec.types.includes(f.type.name)) yield shelf;
+      if (job.spec.machineTypes === null || job.spec.machineTypes.includes(f.type.name)) yield shelf;
     }
   }
 
@@ -148,7 +148,7 @@
       for (const list of shelf.fitting(job)) {
         for (let i = list.length - 1; i >= 0 && left > 0; i--) {
           const f = list[i]!;
-          const k = takeFrom(f, job, left);
+          const k = placeOn(f, job, left);
           if (k === 0) continue;
           left -= k;
           if (f.machine !== null) wanted.add(f.machine.id);
@@ -164,4 +164,4 @@
   }
 }
 
-const whereOf = (job: Job, zone: ZoneName | null): string => `${zone ?? ''}|${placesOf(job.spec)}`;
+const whereOf = (job: Job, zone: ZoneName | null): string => `${zone ?? ''}|${placementKey(job.spec)}`;
--- a/src/core/fleet/machine-list.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,19 +1,19 @@
 // The cloud's list of machines, read every few seconds: what it says has failed is given up, and machines that nobody here has
 // rented, or whose rental was never answered, are taken up.
-import { type Instant, LONG_AGO, later, type MachineId, NEVER, type TypeName } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
+import { addMs, type Instant, LONG_AGO, type MachineId, NEVER, type TypeName } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { ListedMachine, MachineType } from '../base/model.ts';
-import type { Machines } from '../machines/machines.ts';
+import type { MachineTable } from '../machines/machine-table.ts';
 
 const LIST_MS = 5000;
 
-export class MachineList {
+export class CloudInventory {
   private nextList: Instant = LONG_AGO;
   private listing = false;
 
   constructor(
-    private readonly io: Outbox,
-    private readonly machines: Machines,
+    private readonly io: ControllerIo,
+    private readonly machines: MachineTable,
     private readonly types: ReadonlyMap<TypeName, MachineType>,
     /** Whether a rental is under way, whose machines may be listed before it is answered. */
     private readonly renting: () => boolean,
@@ -23,7 +23,7 @@
   tick(recovered: boolean): void {
     if (this.listing || this.io.now < this.nextList) return;
     this.listing = true;
-    this.nextList = later(this.io.now, LIST_MS);
+    this.nextList = addMs(this.io.now, LIST_MS);
     this.listPage(null, recovered);
   }
 
@@ -41,25 +41,25 @@
   }
 
   private onListed(l: ListedMachine, recovered: boolean): void {
-    const m = this.machines.all.get(l.id);
+    const m = this.machines.byId.get(l.id);
     if (m !== undefined) {
       m.addr ??= l.addr;
       if (l.status === 'failed') {
-        this.machines.clear(m);
-        m.drain ??= 'failed';
-        m.synced = true;
-        m.up = true;
-        this.machines.giveBack(m);
+        this.machines.removeAllTasks(m);
+        m.drainReason ??= 'failed';
+        m.isReconciled = true;
+        m.isUp = true;
+        this.machines.beginRelease(m);
       }
       return;
     }
     // Unanswered requests may have rented it, or it is from an earlier term: it is used or returned.
-    if (!recovered || this.machines.buried.has(l.id) || this.renting()) return;
+    if (!recovered || this.machines.tombstones.has(l.id) || this.renting()) return;
     const type = this.types.get(l.type);
     if (type === undefined) return;
     this.io.log('info', 'machine adopted from the list', { machine: l.id, status: l.status });
-    const found = this.machines.newMachine(l.id, type, l.zone, l.spot, NEVER);
+    const found = this.machines.addMachine(l.id, type, l.zone, l.spot, NEVER);
     found.addr = l.addr;
-    if (l.status === 'failed') found.releasing = true;
+    if (l.status === 'failed') found.isReleasing = true;
   }
 }
--- a/src/core/fleet/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -1,10 +1,10 @@
 // Spare room for classes whose aims allow a shorter wait than a machine takes to boot: what arrives
 // during a boot must find its place ready. Everything comes from the aims and the arrivals seen.
-import { type Instant, type Millis, since, type TeamName } from '../../types/index.ts';
-import type { Outbox } from '../base/io.ts';
+import { elapsedMs, type Instant, type Millis, type TeamName } from '../../types/index.ts';
+import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, MachineType, Objective, Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
-import { typeFits } from '../jobs/shape.ts';
+import { typeFits } from '../jobs/placement-constraints.ts';
 
 const WINDOW_MS = 150_000;
 /** Before this much of a window has been seen, a rate is not trusted. */
@@ -25,12 +25,12 @@
 
 export class SpareCapacity {
   private readonly classes = new Map<string, Seen>();
-  private readonly io: Outbox;
+  private readonly io: ControllerIo;
   private objectives: readonly Objective[] = [];
   private guaranteed = new Set<TeamName>();
   private readonly beganAt: Instant;
 
-  constructor(io: Outbox) {
+  constructor(io: ControllerIo) {
     this.io = io;
     this.beganAt = io.now;
   }
@@ -41,7 +41,7 @@
     this.guaranteed = new Set([...teams].filter((t) => t.cpus > 0).map((t) => t.name));
   }
 
-  arrived(job: Job): void {
+  onJobReady(job: Job): void {
     const seen = this.classes.get(job.spec.class) ?? { sample: job, arrivals: [] };
     seen.sample = job;
     seen.arrivals.push({ at: this.io.now, tasks: job.spec.tasks });
@@ -49,18 +49,18 @@
   }
 
   /** For each class, a job like its own, the number of its tasks to keep room for, and the most that came in one job. */
-  spares(readyS: (job: Job) => number): Spare[] {
+  requirements(readyS: (job: Job) => number): Spare[] {
     const out: Spare[] = [];
-    const span = Math.min(WINDOW_MS, since(this.io.now, this.beganAt));
+    const span = Math.min(WINDOW_MS, elapsedMs(this.io.now, this.beganAt));
     if (span < FIRST_MS) return out;
     for (const [cls, seen] of this.classes) {
-      seen.arrivals = seen.arrivals.filter((a) => since(this.io.now, a.at) < WINDOW_MS);
+      seen.arrivals = seen.arrivals.filter((a) => elapsedMs(this.io.now, a.at) < WINDOW_MS);
       const aim = this.shortestWait(cls, seen.sample);
       const boot = readyS(seen.sample);
       if (aim === null || aim.withinS >= boot * BOOT_SPREAD || seen.arrivals.length === 0) continue;
       const gapMs = span / seen.arrivals.length;
       // A silence this long says that the class has stopped coming.
-      if (since(this.io.now, seen.arrivals.at(-1)!.at) > 3 * gapMs) continue;
+      if (elapsedMs(this.io.now, seen.arrivals.at(-1)!.at) > 3 * gapMs) continue;
       const expected = (boot * 1000) / gapMs;
       const perJob = seen.arrivals.reduce((n, a) => n + a.tasks, 0) / seen.arrivals.length;
       out.push({
@@ -73,12 +73,12 @@
   }
 
   /** Tasks of the class that are expected to come within a time, at the rate seen lately. */
-  expected(cls: string, withinMs: Millis): number {
+  expectedArrivals(cls: string, withinMs: Millis): number {
     const seen = this.classes.get(cls);
-    const span = Math.min(WINDOW_MS, since(this.io.now, this.beganAt));
+    const span = Math.min(WINDOW_MS, elapsedMs(this.io.now, this.beganAt));
     if (seen === undefined || span < FIRST_MS) return Number.POSITIVE_INFINITY;
     let tasks = 0;
-    for (const a of seen.arrivals) if (since(this.io.now, a.at) < WINDOW_MS) tasks += a.tasks;
+    for (const a of seen.arrivals) if (elapsedMs(this.io.now, a.at) < WINDOW_MS) tasks += a.tasks;
     return (tasks * withinMs) / span;
   }
 
--- a/src/core/base/reach.ts
+++ b/src/core/base/dependency-health.ts
@@ -1,6 +1,6 @@
 // Tells operators when the state service or the cloud cannot be reached: at once, then at growing intervals, and when
 // it is back for good. Without this a controller that can do nothing for its users says nothing at all.
-import { type Instant, LONG_AGO, later, since } from '../../types/index.ts';
+import { addMs, elapsedMs, type Instant, LONG_AGO } from '../../types/index.ts';
 
 type Log = (level: 'error' | 'info', message: string, fields: Record<string, unknown>) => void;
 
@@ -11,7 +11,7 @@
 
 const AWAY_MS = 3000;
 
-export class Reach {
+export class DependencyHealth {
   /** Since when requests fail; null while they are served. */
   private downSince: Instant | null = null;
   private lastFailure: Instant = LONG_AGO;
@@ -27,28 +27,28 @@
   ) {}
 
   /** `silent`: no answer in time, or no connection. `refused`: an answer that it is not serving. */
-  failed(now: Instant, why: 'silent' | 'refused'): void {
+  recordFailure(now: Instant, why: 'silent' | 'refused'): void {
     this.failures++;
     this.lastFailure = now;
     this.downSince ??= now;
     if (now < this.tellAt) return;
-    this.tellAt = later(now, this.gapMs);
+    this.tellAt = addMs(now, this.gapMs);
     this.gapMs = Math.min(MAX_MS, this.gapMs * 2);
     const reason = why === 'silent' ? 'does not answer' : 'refuses requests';
-    const forS = Math.round(since(now, this.downSince) / 100) / 10;
+    const forS = Math.round(elapsedMs(now, this.downSince) / 100) / 10;
     this.log('error', `the ${this.what} ${reason}`, { addr: this.addr, forS, failures: this.failures });
   }
 
   /** Nothing has been served for a while, and requests fail. */
-  away(now: Instant): boolean {
+  isUnavailable(now: Instant): boolean {
     if (this.downSince === null || this.lastServed >= this.lastFailure) return false;
-    return since(now, Math.max(this.downSince, this.lastServed) as Instant) > AWAY_MS;
+    return elapsedMs(now, Math.max(this.downSince, this.lastServed) as Instant) > AWAY_MS;
   }
 
-  served(now: Instant): void {
+  recordSuccess(now: Instant): void {
     this.lastServed = now;
-    if (this.downSince === null || since(now, this.lastFailure) < GOOD_MS) return;
-    const forS = Math.round(since(this.lastFailure, this.downSince) / 100) / 10;
+    if (this.downSince === null || elapsedMs(now, this.lastFailure) < GOOD_MS) return;
+    const forS = Math.round(elapsedMs(this.lastFailure, this.downSince) / 100) / 10;
     this.log('info', `the ${this.what} answers again`, { addr: this.addr, forS, failures: this.failures });
     this.downSince = null;
     this.failures = 0;
