--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -1,7 +1,8 @@
 // A caller's job, with what was left out, in the form that the service takes; refused here if it can't be right.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
-import { InvalidMessageError, isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
+import { isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
+import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
 import { encodeJob, withOurFieldName } from '../../../src/protocol/user.ts';
 import type { JobId, TeamName, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { InvalidRequestError, type JobRequest } from './types.ts';
--- a/packages/client/src/session.ts
+++ b/packages/client/src/session.ts
@@ -3,7 +3,7 @@
 // - A job is sent only after its id and body are kept, and always under the same id.
 // - It has one request under way at a time of which the answer counts, so none replaces a newer one.
 // - It ends with one outcome, which is what the service settled on, or the statement that the caller's time was over.
-import { InvalidMessageError } from '../../../src/protocol/job.ts';
+import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
 import {
   cancelCall,
   decodeJobStatus,
--- a/packages/client/test/support.ts
+++ b/packages/client/test/support.ts
@@ -1,5 +1,6 @@
 // A service as its users see it, a disk that forgets what was not synced, and a script on them, on a clock of the test's.
-import { encodeUserResponse, parseJob } from '../../../src/protocol/job.ts';
+import { parseJob } from '../../../src/protocol/job.ts';
+import { encodeUserResponse } from '../../../src/protocol/user-response.ts';
 import type { JobId } from '../../../src/types/index.ts';
 import { bodyOf, newId } from '../src/request.ts';
 import { type Disk, RequestJournal } from '../src/request-journal.ts';
--- a/packages/local-cluster/src/json-server.ts
+++ b/packages/local-cluster/src/json-server.ts
@@ -1,6 +1,6 @@
 // HTTP for the stand-ins: JSON in and out, bad requests answered, a delay before the answer if the system has one.
 import { serveHttp } from '../../../src/http/server.ts';
-import { InvalidMessageError } from '../../../src/protocol/job.ts';
+import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
 
 export interface Answer {
   status: number;
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -9,7 +9,7 @@
   decodeCommands,
   decodeHeartbeatResponse,
   encodeHeartbeat,
-} from '../../../src/protocol/server-side.ts';
+} from '../../../src/protocol/worker-agent.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
 import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { ClusterStorage } from './cluster-storage.ts';
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -3,12 +3,8 @@
 import type { Random } from '../../../src/core/base/io.ts';
 import type { CloudReply, MachineType, StoreReply } from '../../../src/core/base/model.ts';
 import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
-import {
-  decodeCloudRequest,
-  decodeStoreRequest,
-  encodeCloudReply,
-  encodeStoreReply,
-} from '../../../src/protocol/server-side.ts';
+import { decodeCloudRequest, encodeCloudReply } from '../../../src/protocol/cloud-service.ts';
+import { decodeStoreRequest, encodeStoreReply } from '../../../src/protocol/store-service.ts';
 import type { Instant, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { type CloudEnvironment, FakeCloud } from './fake-cloud.ts';
 import { FakeStore } from './fake-store.ts';
--- a/scripts/experiments/bundle.ts
+++ b/scripts/experiments/bundle.ts
@@ -6,7 +6,18 @@
 
 export const WORK = 'target/drill';
 /** Modules that drills need; their folders may differ from version to version. */
-const PARTS = ['controller', 'dispatch', 'fleet', 'parser', 'job', 'worker', 'peer', 'listing', 'random'];
+const PARTS = [
+  'controller',
+  'dispatch',
+  'fleet',
+  'parser',
+  'job',
+  'user-response',
+  'worker',
+  'peer',
+  'listing',
+  'random',
+];
 const PLACES = ['src/core', 'src/http', 'src/protocol', 'src/runtime'];
 
 export async function bundle(root: string, name: string): Promise<string> {
--- a/scripts/experiments/hotpath-load.ts
+++ b/scripts/experiments/hotpath-load.ts
@@ -19,6 +19,7 @@
 import type * as parser from '../../src/http/parser.ts';
 import type * as jobCodec from '../../src/protocol/job.ts';
 import type * as peerCodec from '../../src/protocol/peer.ts';
+import type * as userCodec from '../../src/protocol/user-response.ts';
 import type * as workerCodec from '../../src/protocol/worker.ts';
 import type { seededRandom } from '../../src/runtime/random.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
@@ -32,7 +33,7 @@
   parseReport: typeof workerCodec.parseHeartbeat;
   encodeWorkerAnswer: typeof workerCodec.encodeHeartbeatResponse;
   parseJob: typeof jobCodec.parseJob;
-  encodeUserAnswer: typeof jobCodec.encodeUserResponse;
+  encodeUserAnswer: typeof userCodec.encodeUserResponse;
   seeded: typeof seededRandom;
   /** Absent in versions in which the owner alone speaks to workers. */
   encodePeer?: typeof peerCodec.encodePeerMessage;
--- a/scripts/experiments/scale/hollow-process.ts
+++ b/scripts/experiments/scale/hollow-process.ts
@@ -13,7 +13,7 @@
   decodeCommands,
   decodeHeartbeatResponse,
   encodeHeartbeat,
-} from '../../../src/protocol/server-side.ts';
+} from '../../../src/protocol/worker-agent.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
 import {
   type MachineId,
--- /dev/null
+++ b/src/protocol/cloud-service.ts
@@ -0,0 +1,111 @@
+// The cloud's side of its protocol: reads requests of controllers, writes replies. cloud.ts is the controller's side.
+import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
+import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
+import { asObject, readBoolean, readCount, readString } from './json-fields.ts';
+import {
+  type DecodedRequest,
+  type EncodedReply,
+  failureReply,
+  jsonReply,
+  parseTarget,
+  type RequestTarget,
+  readPageSize,
+  refusedReply,
+} from './service-side.ts';
+
+const MAX_PAGE_SIZE = 500;
+const MAX_MACHINES_PER_REQUEST = 50;
+
+/** Reads a controller's request; null if there is no such path. Throws `InvalidMessageError`. */
+export function decodeCloudRequest(
+  method: string,
+  path: string,
+  body: unknown,
+): DecodedRequest<CloudRequest> | null {
+  const target = parseTarget(path);
+  const page = readPageSize(target.query, MAX_PAGE_SIZE);
+  const op = decodeOperation(method, target, body);
+  return op === null ? null : { op, page };
+}
+
+function decodeOperation(
+  method: string,
+  { segments, query }: RequestTarget,
+  body: unknown,
+): CloudRequest | null {
+  switch (`${method} ${segments.join('/')}`) {
+    case 'GET flavors':
+      return { kind: 'types' };
+    case 'GET rentals':
+      return { kind: 'list', after: query.get('from') as MachineId | null };
+    case 'POST rentals/release': {
+      const { berths } = asObject(body, 'the request');
+      return { kind: 'release', machines: (berths ?? []) as MachineId[] };
+    }
+    case 'POST rentals':
+      return decodeRent(body);
+  }
+  return null;
+}
+
+function decodeRent(body: unknown): CloudRequest {
+  const fields = asObject(body, 'the request');
+  return {
+    kind: 'rent',
+    request: readString(fields, 'hire'),
+    type: readString(fields, 'berthkind') as TypeName,
+    zone: readString(fields, 'yard') as ZoneName,
+    spot: readBoolean(fields, 'loaners'),
+    count: readCount(fields, 'number', 1, MAX_MACHINES_PER_REQUEST),
+  };
+}
+
+/** The cloud's response with at most `page` machines; null if it is not to respond. */
+export function encodeCloudReply(op: CloudRequest, reply: CloudReply, page: number): EncodedReply | null {
+  switch (reply.kind) {
+    case 'types':
+      return jsonReply(200, { berthkinds: reply.types.map(encodeMachineType) });
+    case 'rented':
+      return jsonReply(200, { berths: reply.machines });
+    case 'no-capacity':
+      return failureReply(503, 'no capacity');
+    case 'released':
+      return jsonReply(200, {});
+    case 'listed':
+      return encodeListing(reply.machines, op.kind === 'list' ? op.after : null, page);
+    case 'refused':
+      return refusedReply(reply.busy);
+    case 'no-answer':
+      return null;
+  }
+}
+
+const encodeMachineType = (type: MachineType): unknown => ({
+  label: type.name,
+  cores: type.cpus,
+  accelerators: type.gpus,
+  memoryGb: type.memoryGb,
+  cacheGb: type.cacheGb,
+  pullGbPerS: type.fetchGbPerS,
+  rate: type.price,
+  lowPrice: type.spotPrice,
+  bootS: type.bootS,
+  yards: type.zones,
+});
+
+const encodeListedMachine = (machine: ListedMachine): unknown => ({
+  nameId: machine.id,
+  endpoint: machine.addr,
+  berthkind: machine.type,
+  yard: machine.zone,
+  loaners: machine.spot,
+  status: machine.status,
+  heldS: machine.ageS,
+});
+
+/** The first `page` machines whose ids come after `after`; `machines` are in the order of their ids. */
+function encodeListing(machines: ListedMachine[], after: MachineId | null, page: number): EncodedReply {
+  const rest = machines.filter((machine) => after === null || machine.id > after);
+  const listed = rest.slice(0, page);
+  return jsonReply(200, { berths: listed.map(encodeListedMachine), more: listed.length < rest.length });
+}
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,91 +1,86 @@
-// Requests to the cloud and its replies.
+// The controller's side of the cloud's protocol: writes requests, reads replies.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
-import { amount, asObject, flag, InvalidMessageError, text } from './job.ts';
+import type { HttpCall } from './http-call.ts';
+import { asObject, readAmount, readBoolean, readList, readString } from './json-fields.ts';
 
-const LIST_PAGE = 500;
+const LIST_PAGE_SIZE = 500;
 
-export interface HttpCall {
-  method: string;
-  path: string;
-  body: string | null;
-}
-
-export function encodeCloudRequest(op: CloudRequest): HttpCall {
-  switch (op.kind) {
+/** The HTTP request for a request to the cloud. */
+export function encodeCloudRequest(request: CloudRequest): HttpCall {
+  switch (request.kind) {
     case 'types':
       return { method: 'GET', path: '/flavors', body: null };
     case 'list': {
-      const from = op.after === null ? '' : `from=${op.after}&`;
-      return { method: 'GET', path: `/rentals?${from}page=${LIST_PAGE}`, body: null };
+      const from = request.after === null ? '' : `from=${request.after}&`;
+      return { method: 'GET', path: `/rentals?${from}page=${LIST_PAGE_SIZE}`, body: null };
     }
     case 'release':
-      return { method: 'POST', path: '/rentals/release', body: JSON.stringify({ berths: op.machines }) };
+      return { method: 'POST', path: '/rentals/release', body: JSON.stringify({ berths: request.machines }) };
     case 'rent': {
       const body = {
-        hire: op.request,
-        berthkind: op.type,
-        yard: op.zone,
-        loaners: op.spot,
-        number: op.count,
+        hire: request.request,
+        berthkind: request.type,
+        yard: request.zone,
+        loaners: request.spot,
+        number: request.count,
       };
       return { method: 'POST', path: '/rentals', body: JSON.stringify(body) };
     }
   }
 }
 
-function list(json: unknown, name: string): unknown[] {
-  const v = asObject(json, 'the reply')[name];
-  if (!Array.isArray(v)) throw new InvalidMessageError(`${name} must be a list`);
-  return v;
-}
+const readReplyList = (json: unknown, name: string): unknown[] => readList(asObject(json, 'the reply'), name);
 
-function machineType(json: unknown): MachineType {
-  const f = asObject(json, 'a machine type');
+function decodeMachineType(json: unknown): MachineType {
+  const fields = asObject(json, 'a machine type');
   return {
-    name: text(f, 'label') as TypeName,
-    cpus: amount(f, 'cores'),
-    gpus: amount(f, 'accelerators'),
-    memoryGb: amount(f, 'memoryGb'),
-    cacheGb: amount(f, 'cacheGb'),
-    fetchGbPerS: amount(f, 'pullGbPerS'),
-    price: amount(f, 'rate'),
-    spotPrice: amount(f, 'lowPrice'),
-    bootS: amount(f, 'bootS'),
-    zones: list(f, 'yards') as ZoneName[],
+    name: readString(fields, 'label') as TypeName,
+    cpus: readAmount(fields, 'cores'),
+    gpus: readAmount(fields, 'accelerators'),
+    memoryGb: readAmount(fields, 'memoryGb'),
+    cacheGb: readAmount(fields, 'cacheGb'),
+    fetchGbPerS: readAmount(fields, 'pullGbPerS'),
+    price: readAmount(fields, 'rate'),
+    spotPrice: readAmount(fields, 'lowPrice'),
+    bootS: readAmount(fields, 'bootS'),
+    zones: readList(fields, 'yards') as ZoneName[],
   };
 }
 
-function listed(json: unknown): ListedMachine {
-  const f = asObject(json, 'a machine');
+function decodeListedMachine(json: unknown): ListedMachine {
+  const fields = asObject(json, 'a machine');
   return {
-    id: text(f, 'nameId') as MachineId,
-    addr: text(f, 'endpoint'),
-    type: text(f, 'berthkind') as TypeName,
-    zone: text(f, 'yard') as ZoneName,
-    spot: flag(f, 'loaners'),
-    status: text(f, 'status') as ListedMachine['status'],
-    ageS: amount(f, 'heldS'),
+    id: readString(fields, 'nameId') as MachineId,
+    addr: readString(fields, 'endpoint'),
+    type: readString(fields, 'berthkind') as TypeName,
+    zone: readString(fields, 'yard') as ZoneName,
+    spot: readBoolean(fields, 'loaners'),
+    status: readString(fields, 'status') as ListedMachine['status'],
+    ageS: readAmount(fields, 'heldS'),
   };
 }
 
-export function decodeCloudReply(op: CloudRequest, status: number, json: unknown): CloudReply {
-  if (status !== 200) {
-    const reason =
-      status === 503 && typeof json === 'object' && json !== null ? (json as { error?: unknown }).error : '';
-    return reason === 'no capacity' ? { kind: 'no-capacity' } : { kind: 'refused', busy: status === 429 };
-  }
-  switch (op.kind) {
+function decodeRefusal(status: number, json: unknown): CloudReply {
+  const hasReason = status === 503 && typeof json === 'object' && json !== null;
+  const reason = hasReason ? (json as { error?: unknown }).error : '';
+  return reason === 'no capacity' ? { kind: 'no-capacity' } : { kind: 'refused', busy: status === 429 };
+}
+
+/** Reads the cloud's reply to `request`; throws `InvalidMessageError`. */
+export function decodeCloudReply(request: CloudRequest, status: number, json: unknown): CloudReply {
+  if (status !== 200) return decodeRefusal(status, json);
+  switch (request.kind) {
     case 'types':
-      return { kind: 'types', types: list(json, 'berthkinds').map(machineType) };
+      return { kind: 'types', types: readReplyList(json, 'berthkinds').map(decodeMachineType) };
     case 'rent':
-      return { kind: 'rented', machines: list(json, 'berths') as MachineId[] };
+      return { kind: 'rented', machines: readReplyList(json, 'berths') as MachineId[] };
     case 'release':
       return { kind: 'released' };
     case 'list':
       return {
         kind: 'listed',
-        machines: list(json, 'berths').map(listed),
+        machines: readReplyList(json, 'berths').map(decodeListedMachine),
         more: (json as { more?: unknown }).more === true,
       };
   }
--- /dev/null
+++ b/src/protocol/store-service.ts
@@ -0,0 +1,140 @@
+// The store's side of its protocol: reads requests of controllers, writes replies. store.ts is the controller's side.
+import type { StoreItem, StorePut, StoreReply, StoreRequest } from '../core/base/model.ts';
+import type { Revision, StoreLeaseId } from '../types/index.ts';
+import { asObject, readAmount, readCount, readString } from './json-fields.ts';
+import {
+  type DecodedRequest,
+  type EncodedReply,
+  failureReply,
+  jsonReply,
+  parseTarget,
+  type RequestTarget,
+  readObjectList,
+  readPageSize,
+  readQueryNumber,
+  refusedReply,
+} from './service-side.ts';
+
+const MAX_PAGE_SIZE = 1000;
+const MIN_LEASE_MS = 100;
+const MAX_LEASE_MS = 600_000;
+const MAX_WATCH_MS = 60_000;
+
+/** Reads a controller's request; null if there is no such path. Throws `InvalidMessageError`. */
+export function decodeStoreRequest(
+  method: string,
+  path: string,
+  body: unknown,
+): DecodedRequest<StoreRequest> | null {
+  const target = parseTarget(path);
+  const page = readPageSize(target.query, MAX_PAGE_SIZE);
+  const op = decodeOperation(method, target, body);
+  return op === null ? null : { op, page };
+}
+
+function decodeOperation(
+  method: string,
+  { segments, query }: RequestTarget,
+  body: unknown,
+): StoreRequest | null {
+  const route = `${method} ${segments[0]}${segments.length > 1 ? '/' : ''}`;
+  switch (route) {
+    case 'GET store/':
+      return { kind: 'get', key: segments.slice(1).join('/') };
+    case 'GET store':
+      return { kind: 'list', prefix: query.get('prefix') ?? '', after: query.get('from') };
+    case 'POST holds': {
+      const ttlMs = readAmount(asObject(body, 'the hold'), 'lifeMs', MIN_LEASE_MS, MAX_LEASE_MS);
+      return { kind: 'grant-lease', ttlMs };
+    }
+    case 'POST holds/':
+      if (segments[2] !== 'extend') return null;
+      return { kind: 'renew-lease', lease: Number(segments[1]) as StoreLeaseId };
+    case 'DELETE holds/':
+      return { kind: 'revoke-lease', lease: Number(segments[1]) as StoreLeaseId };
+    case 'GET changes':
+      return {
+        kind: 'watch',
+        prefix: query.get('prefix') ?? '',
+        after: readQueryNumber(query, 'from') as Revision,
+        waitMs: Math.min(MAX_WATCH_MS, readQueryNumber(query, 'blockMs')),
+      };
+    case 'POST commit':
+      return decodeCompareAndSwap(body);
+  }
+  return null;
+}
+
+function decodeCompareAndSwap(body: unknown): StoreRequest {
+  const fields = asObject(body, 'the transaction');
+  const puts: StorePut[] = [];
+  const deletes: string[] = [];
+  for (const change of readObjectList(fields, 'apply')) {
+    if (change.drop !== undefined) {
+      deletes.push(readString(change, 'drop'));
+      continue;
+    }
+    puts.push({
+      key: readString(change, 'set'),
+      value: change.v,
+      ...(change.tenancy === undefined ? {} : { lease: readCount(change, 'tenancy') as StoreLeaseId }),
+    });
+  }
+  const conditions = readObjectList(fields, 'if').map((condition) => ({
+    key: readString(condition, 'key'),
+    revision: readCount(condition, 'stamp') as Revision,
+  }));
+  return { kind: 'compare-and-swap', conditions, puts, deletes };
+}
+
+const encodeItem = (item: StoreItem): unknown => ({ key: item.key, v: item.value, stamp: item.revision });
+
+/** The store's response with at most `page` items at its `revision`; null if it is not to respond. */
+export function encodeStoreReply(
+  op: StoreRequest,
+  reply: StoreReply,
+  page: number,
+  revision: number,
+): EncodedReply | null {
+  switch (reply.kind) {
+    case 'item':
+      return jsonReply(200, encodeItem(reply.item));
+    case 'missing':
+      return jsonReply(404, { ledger: revision });
+    case 'items':
+      return encodeItems(reply, page);
+    case 'lease-granted':
+      return jsonReply(200, { tenancy: reply.lease });
+    case 'ok':
+      return jsonReply(200, op.kind === 'renew-lease' ? { tenancy: op.lease } : {});
+    case 'committed':
+      return jsonReply(200, { ledger: reply.revision });
+    case 'conflict':
+      return jsonReply(409, { failed: reply.failed, ledger: revision });
+    case 'changes':
+      return encodeChanges(reply);
+    case 'too-old':
+      return jsonReply(410, { ledger: revision });
+    case 'rejected':
+      return failureReply(400, reply.reason);
+    case 'refused':
+      return refusedReply(reply.busy);
+    case 'no-answer':
+      return null;
+  }
+}
+
+function encodeItems(reply: Extract<StoreReply, { kind: 'items' }>, page: number): EncodedReply {
+  const items = reply.items.slice(0, page);
+  return jsonReply(200, {
+    items: items.map(encodeItem),
+    more: reply.more || items.length < reply.items.length,
+    ledger: reply.revision,
+  });
+}
+
+function encodeChanges(reply: Extract<StoreReply, { kind: 'changes' }>): EncodedReply {
+  const puts = reply.puts.map((item) => ({ set: item.key, v: item.value, stamp: item.revision }));
+  const deletes = reply.deletes.map((key) => ({ drop: key, stamp: reply.revision }));
+  return jsonReply(200, { ledger: reply.revision, events: [...puts, ...deletes] });
+}
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,102 +1,113 @@
-// Requests to the state service and its replies.
+// The controller's side of the protocol of the key-value store: writes requests, reads replies.
 import type { StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
 import type { Revision, StoreLeaseId } from '../types/index.ts';
-import type { HttpCall } from './cloud.ts';
-import { asObject, count, InvalidMessageError } from './job.ts';
+import type { HttpCall } from './http-call.ts';
+import { asObject, readCount, readList } from './json-fields.ts';
 
-const LIST_PAGE = 500;
+const LIST_PAGE_SIZE = 500;
 
-export function encodeStoreRequest(op: StoreRequest): HttpCall {
-  switch (op.kind) {
+type CompareAndSwap = Extract<StoreRequest, { kind: 'compare-and-swap' }>;
+
+/** The HTTP request for a request to the store. */
+export function encodeStoreRequest(request: StoreRequest): HttpCall {
+  switch (request.kind) {
     case 'get':
-      return { method: 'GET', path: `/store/${op.key}`, body: null };
+      return { method: 'GET', path: `/store/${request.key}`, body: null };
     case 'list': {
-      const from = op.after === null ? '' : `&from=${op.after}`;
-      return { method: 'GET', path: `/store?prefix=${op.prefix}${from}&page=${LIST_PAGE}`, body: null };
+      const from = request.after === null ? '' : `&from=${request.after}`;
+      const path = `/store?prefix=${request.prefix}${from}&page=${LIST_PAGE_SIZE}`;
+      return { method: 'GET', path, body: null };
     }
     case 'grant-lease':
-      return { method: 'POST', path: '/holds', body: JSON.stringify({ lifeMs: op.ttlMs }) };
+      return { method: 'POST', path: '/holds', body: JSON.stringify({ lifeMs: request.ttlMs }) };
     case 'renew-lease':
-      return { method: 'POST', path: `/holds/${op.lease}/extend`, body: '{}' };
+      return { method: 'POST', path: `/holds/${request.lease}/extend`, body: '{}' };
     case 'revoke-lease':
-      return { method: 'DELETE', path: `/holds/${op.lease}`, body: null };
-    case 'watch':
-      return {
-        method: 'GET',
-        path: `/changes?prefix=${op.prefix}&from=${op.after}&blockMs=${op.waitMs}`,
-        body: null,
-      };
+      return { method: 'DELETE', path: `/holds/${request.lease}`, body: null };
+    case 'watch': {
+      const { prefix, after, waitMs } = request;
+      return { method: 'GET', path: `/changes?prefix=${prefix}&from=${after}&blockMs=${waitMs}`, body: null };
+    }
     case 'compare-and-swap':
-      return { method: 'POST', path: '/commit', body: encodeCommit(op) };
+      return { method: 'POST', path: '/commit', body: encodeCompareAndSwap(request) };
   }
 }
 
-function encodeCommit(op: Extract<StoreRequest, { kind: 'compare-and-swap' }>): string {
-  const changes: unknown[] = op.puts.map((p) => ({
-    set: p.key,
-    v: p.value,
-    ...(p.lease === undefined ? {} : { tenancy: p.lease }),
+function encodeCompareAndSwap(request: CompareAndSwap): string {
+  const changes: unknown[] = request.puts.map((put) => ({
+    set: put.key,
+    v: put.value,
+    ...(put.lease === undefined ? {} : { tenancy: put.lease }),
   }));
-  for (const key of op.deletes) changes.push({ drop: key });
+  for (const key of request.deletes) changes.push({ drop: key });
   return JSON.stringify({
-    if: op.conditions.map((c) => ({ key: c.key, stamp: c.revision })),
+    if: request.conditions.map((condition) => ({ key: condition.key, stamp: condition.revision })),
     ...(changes.length === 0 ? {} : { apply: changes }),
   });
 }
 
-function item(json: unknown): StoreItem {
-  const f = asObject(json, 'an item');
-  return { key: String(f.key ?? f.set), value: f.v, revision: count(f, 'stamp') as Revision };
+function decodeItem(json: unknown): StoreItem {
+  const fields = asObject(json, 'an item');
+  return {
+    key: String(fields.key ?? fields.set),
+    value: fields.v,
+    revision: readCount(fields, 'stamp') as Revision,
+  };
 }
 
-function items(json: unknown, name: string): unknown[] {
-  const v = asObject(json, 'the reply')[name];
-  if (!Array.isArray(v)) throw new InvalidMessageError(`${name} must be a list`);
-  return v;
-}
+const readReplyList = (json: unknown, name: string): unknown[] => readList(asObject(json, 'the reply'), name);
 
-const ledger = (json: unknown): Revision => count(asObject(json, 'the reply'), 'ledger') as Revision;
+/** The store's revision at the time of the reply. */
+const readRevision = (json: unknown): Revision =>
+  readCount(asObject(json, 'the reply'), 'ledger') as Revision;
 
 function decodeChanges(json: unknown): StoreReply {
   const puts: StoreItem[] = [];
   const deletes: string[] = [];
-  for (const e of items(json, 'events')) {
-    const f = asObject(e, 'an event');
-    if (f.drop !== undefined) deletes.push(String(f.drop));
-    else puts.push(item(e));
+  for (const event of readReplyList(json, 'events')) {
+    const fields = asObject(event, 'an event');
+    if (fields.drop !== undefined) deletes.push(String(fields.drop));
+    else puts.push(decodeItem(event));
   }
-  return { kind: 'changes', revision: ledger(json), puts, deletes };
+  return { kind: 'changes', revision: readRevision(json), puts, deletes };
 }
 
-function decodeOk(op: StoreRequest, json: unknown): StoreReply {
-  switch (op.kind) {
+function decodeItems(json: unknown): StoreReply {
+  const more = asObject(json, 'the reply').more === true;
+  const items = readReplyList(json, 'items').map(decodeItem);
+  return { kind: 'items', items, more, revision: readRevision(json) };
+}
+
+function decodeSuccess(request: StoreRequest, json: unknown): StoreReply {
+  switch (request.kind) {
     case 'get':
-      return { kind: 'item', item: item(json) };
-    case 'list': {
-      const more = asObject(json, 'the reply').more === true;
-      return { kind: 'items', items: items(json, 'items').map(item), more, revision: ledger(json) };
+      return { kind: 'item', item: decodeItem(json) };
+    case 'list':
+      return decodeItems(json);
+    case 'grant-lease': {
+      const lease = readCount(asObject(json, 'the reply'), 'tenancy') as StoreLeaseId;
+      return { kind: 'lease-granted', lease };
     }
-    case 'grant-lease':
-      return { kind: 'lease-granted', lease: count(asObject(json, 'the reply'), 'tenancy') as StoreLeaseId };
     case 'watch':
       return decodeChanges(json);
     case 'compare-and-swap':
-      return { kind: 'committed', revision: ledger(json) };
+      return { kind: 'committed', revision: readRevision(json) };
     case 'renew-lease':
     case 'revoke-lease':
       return { kind: 'ok' };
   }
 }
 
-export function decodeStoreReply(op: StoreRequest, status: number, json: unknown): StoreReply {
+/** Reads the store's reply to `request`; throws `InvalidMessageError`. */
+export function decodeStoreReply(request: StoreRequest, status: number, json: unknown): StoreReply {
   switch (status) {
     case 200:
     case 204:
-      return decodeOk(op, json);
+      return decodeSuccess(request, json);
     case 404:
       return { kind: 'missing' };
     case 409:
-      return { kind: 'conflict', failed: items(json, 'failed').map(String) };
+      return { kind: 'conflict', failed: readReplyList(json, 'failed').map(String) };
     case 410:
       return { kind: 'too-old' };
     case 429:
--- a/src/protocol/user.ts
+++ b/src/protocol/user.ts
@@ -1,28 +1,35 @@
-// The users' interface seen from the user's side; job.ts is the other end of it.
+// The users' interface seen from the user's side; job.ts and user-response.ts are the service's side.
 import type { JobSpec, JobStatus } from '../core/base/model.ts';
 import type { JobId } from '../types/index.ts';
-import { asObject, InvalidMessageError, KINDS, nameOf, PRIORITIES, STATUS } from './job.ts';
+import { KINDS, PRIORITIES } from './job.ts';
+import { asObject, InvalidMessageError, wireNameOf } from './json-fields.ts';
+import { STATUS_NAMES } from './user-response.ts';
 
+/** A request of a user to the service. */
 export interface UserCall {
   method: 'GET' | 'POST';
   path: string;
+  /** JSON, or null without a body. */
   body: string | null;
 }
 
 /** What the service says of a job. */
 export interface JobStatusView {
   status: JobStatus;
+  /** Number of tasks that are done. */
   done: number;
+  /** Number of tasks that run. */
   running: number;
 }
 
+/** The body of a submission; `parseJob` reads it. */
 export function encodeJob(spec: JobSpec): string {
   return JSON.stringify({
     nameId: spec.id,
     jobclass: spec.class,
     owner: spec.team,
-    shape: nameOf(KINDS, spec.kind),
-    urgency: nameOf(PRIORITIES, spec.priority),
+    shape: wireNameOf(KINDS, spec.kind),
+    urgency: wireNameOf(PRIORITIES, spec.priority),
     pieces: spec.tasks,
     cores: spec.cpus,
     accelerators: spec.gpus,
@@ -42,42 +49,53 @@
   });
 }
 
+/** Submits a job, encoded by `encodeJob`. */
 export const submitCall = (body: string): UserCall => ({ method: 'POST', path: '/work', body });
+
+/** Asks for the state of a job. */
 export const statusCall = (id: JobId): UserCall => ({ method: 'GET', path: `/work/${id}`, body: null });
+
+/** Cancels a job. */
 export const cancelCall = (id: JobId): UserCall => ({
   method: 'POST',
   path: `/work/${id}/abort`,
   body: null,
 });
 
-/** The body of an answer with status 200 or 201; throws InvalidMessage on any other. */
+const JOB_STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
+
+/** Reads the body of a response with status 200 or 201; throws `InvalidMessageError` on any other. */
 export function decodeJobStatus(body: string): JobStatusView {
-  const f = asObject(parse(body), 'the answer');
-  const status = (Object.keys(STATUS) as JobStatus[]).find((s) => STATUS[s] === f.status);
+  const fields = asObject(parseBody(body), 'the answer');
+  const status = JOB_STATUSES.find((name) => STATUS_NAMES[name] === fields.status);
   if (status === undefined) throw new InvalidMessageError('the answer names no known status');
-  const amount = (v: unknown): number => (typeof v === 'number' && v >= 0 ? v : 0);
-  return { status, done: amount(f.done), running: amount(f.running) };
+  return { status, done: taskCount(fields.done), running: taskCount(fields.running) };
 }
 
-/** The reason of a refusal, as it can be read to a caller. */
+/** Responses without a number of tasks stand for none. */
+function taskCount(value: unknown): number {
+  return typeof value === 'number' && value >= 0 ? value : 0;
+}
+
+/** The reason of a refusal, in words for the caller. */
 export function decodeReason(status: number, body: string): string {
   try {
-    const { error } = asObject(parse(body), 'the answer');
+    const { error } = asObject(parseBody(body), 'the answer');
     if (typeof error === 'string' && error !== '') return error;
   } catch {}
   return `the service answered ${status} and gave no reason`;
 }
 
-function parse(body: string): unknown {
+function parseBody(body: string): unknown {
   try {
     return JSON.parse(body);
-  } catch {
-    throw new InvalidMessageError('the answer is not JSON');
+  } catch (cause) {
+    throw new InvalidMessageError('the answer is not JSON', { cause });
   }
 }
 
-/** Fields of a job: what the wire calls them, and what we do where that differs. */
-const WORDS: Record<string, string> = {
+/** Names of a job's fields on the wire, and those of the client library where they differ. */
+const CLIENT_FIELD_NAMES: Record<string, string> = {
   jobclass: 'class',
   owner: 'team',
   shape: 'kind',
@@ -96,5 +114,7 @@
   flushS: 'saveS',
   dueS: 'deadlineS',
 };
-/** A message that begins with the wire's name of a field, with ours in its place. */
-export const withOurFieldName = (message: string): string => message.replace(/^\w+/, (w) => WORDS[w] ?? w);
+
+/** A message that begins with a field's name on the wire, with the client library's name in its place. */
+export const withOurFieldName = (message: string): string =>
+  message.replace(/^\w+/, (wireName) => CLIENT_FIELD_NAMES[wireName] ?? wireName);
--- /dev/null
+++ b/src/protocol/worker-agent.ts
@@ -0,0 +1,82 @@
+// The worker's side of its protocol: writes heartbeats, reads commands. worker.ts is the controller's side.
+import type { Command, Heartbeat, HeartbeatResponse, TaskStatus } from '../core/base/model.ts';
+import type { Attempt, FencingToken, NodeId, TaskId } from '../types/index.ts';
+import {
+  asObject,
+  InvalidMessageError,
+  type JsonObject,
+  readAmount,
+  readCount,
+  readString,
+  wireNameOf,
+} from './json-fields.ts';
+import { readObjectList } from './service-side.ts';
+import { REASONS, STATES } from './worker.ts';
+
+const encodeTask = (task: TaskStatus): unknown => ({
+  piece: task.task,
+  try: task.attempt,
+  status: wireNameOf(STATES, task.state),
+  ...(task.exitReason === null ? {} : { cause: wireNameOf(REASONS, task.exitReason) }),
+  ...(task.checkpointed ? { stored: true } : {}),
+});
+
+/** The body of a heartbeat. */
+export function encodeHeartbeat(heartbeat: Heartbeat): string {
+  return JSON.stringify({
+    berth: heartbeat.machine,
+    endpoint: heartbeat.addr,
+    berthkind: heartbeat.type,
+    yard: heartbeat.zone,
+    loaners: heartbeat.spot,
+    shift: heartbeat.agentEpoch,
+    tally: heartbeat.seq,
+    baton: heartbeat.fencingToken,
+    recallS: heartbeat.preemptionNoticeS,
+    pieces: heartbeat.tasks.map(encodeTask),
+  });
+}
+
+function decodeCommand(fields: JsonObject): Command {
+  const task = readString(fields, 'piece') as TaskId;
+  const attempt = readCount(fields, 'try') as Attempt;
+  switch (fields.verb) {
+    case 'launch':
+      return { op: 'start', task, attempt };
+    case 'kill':
+      return { op: 'stop', task, attempt, graceS: readAmount(fields, 'windownS') };
+    case 'reap':
+      return { op: 'forget', task, attempt };
+  }
+  throw new InvalidMessageError('verb is unknown');
+}
+
+/** Commands as a worker reads them. */
+export interface DecodedCommands {
+  /** The fencing token under which they were given. */
+  token: FencingToken;
+  /** The agent epoch that they are for, or null if they do not say. */
+  session: number | null;
+  commands: Command[];
+}
+
+/** Reads a controller's commands; throws `InvalidMessageError`. */
+export function decodeCommands(json: unknown): DecodedCommands {
+  const fields = asObject(json, 'the orders');
+  return {
+    token: readCount(fields, 'baton') as FencingToken,
+    session: fields.shift === undefined ? null : readCount(fields, 'shift', 1),
+    commands: readObjectList(fields, 'orders').map(decodeCommand),
+  };
+}
+
+/** Reads the response to a heartbeat; null if it has no meaning. Throws `InvalidMessageError`. */
+export function decodeHeartbeatResponse(status: number, json: unknown): HeartbeatResponse | null {
+  if (status === 421) {
+    const { foreman } = asObject(json, 'the answer');
+    return { kind: 'redirect', node: typeof foreman === 'string' ? (foreman as NodeId) : null };
+  }
+  if (status !== 200) return null;
+  const { token, commands } = decodeCommands(json);
+  return { kind: 'commands', fencingToken: token, commands };
+}
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -1,4 +1,4 @@
-// Workers' reports and the commands they are given.
+// The controller's side of the worker protocol: reads heartbeats, writes the commands in response.
 import type {
   Command,
   ExitReason,
@@ -8,8 +8,17 @@
   TaskStatus,
 } from '../core/base/model.ts';
 import type { Attempt, FencingToken, MachineId, TaskId, TypeName, ZoneName } from '../types/index.ts';
-import { amount, asObject, count, flag, InvalidMessageError, optional, text } from './job.ts';
+import {
+  asObject,
+  InvalidMessageError,
+  readAmount,
+  readBoolean,
+  readCount,
+  readOptional,
+  readString,
+} from './json-fields.ts';
 
+/** States of a task by their names on the wire. */
 export const STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   waiting: 'waiting',
@@ -17,6 +26,8 @@
   flushing: 'saving',
   ended: 'exited',
 };
+
+/** Reasons for which a task exited, by their names on the wire. */
 export const REASONS: Record<string, ExitReason> = {
   done: 'done',
   halted: 'stopped',
@@ -29,53 +40,59 @@
 };
 
 function parseTask(json: unknown): TaskStatus {
-  const f = asObject(json, 'a piece');
-  const state = STATES[text(f, 'status')];
+  const fields = asObject(json, 'a piece');
+  const state = STATES[readString(fields, 'status')];
   if (state === undefined) throw new InvalidMessageError('status is unknown');
-  const why = optional(f, 'cause', text);
+  const reason = readOptional(fields, 'cause', readString);
   return {
-    task: text(f, 'piece') as TaskId,
-    attempt: count(f, 'try') as Attempt,
+    task: readString(fields, 'piece') as TaskId,
+    attempt: readCount(fields, 'try') as Attempt,
     state,
-    // A reason this version does not know is treated as a failure of the task.
-    exitReason: state === 'exited' ? (REASONS[why ?? 'error'] ?? 'error') : null,
-    checkpointed: f.stored === true,
+    // A reason that this version does not know counts as a failure of the task.
+    exitReason: state === 'exited' ? (REASONS[reason ?? 'error'] ?? 'error') : null,
+    checkpointed: fields.stored === true,
   };
 }
 
+/** Reads a worker's heartbeat; throws `InvalidMessageError`. */
 export function parseHeartbeat(json: unknown): Heartbeat {
-  const f = asObject(json, 'the report');
-  const tasks = f.pieces ?? [];
+  const fields = asObject(json, 'the report');
+  const tasks = fields.pieces ?? [];
   if (!Array.isArray(tasks)) throw new InvalidMessageError('pieces must be a list');
   return {
-    machine: text(f, 'berth') as MachineId,
-    addr: text(f, 'endpoint'),
-    type: text(f, 'berthkind') as TypeName,
-    zone: text(f, 'yard') as ZoneName,
-    spot: flag(f, 'loaners'),
-    agentEpoch: count(f, 'shift', 1),
-    seq: count(f, 'tally'),
-    fencingToken: count(f, 'baton') as FencingToken,
-    preemptionNoticeS: optional(f, 'recallS', amount),
+    machine: readString(fields, 'berth') as MachineId,
+    addr: readString(fields, 'endpoint'),
+    type: readString(fields, 'berthkind') as TypeName,
+    zone: readString(fields, 'yard') as ZoneName,
+    spot: readBoolean(fields, 'loaners'),
+    agentEpoch: readCount(fields, 'shift', 1),
+    seq: readCount(fields, 'tally'),
+    fencingToken: readCount(fields, 'baton') as FencingToken,
+    preemptionNoticeS: readOptional(fields, 'recallS', readAmount),
     tasks: tasks.map(parseTask),
   };
 }
 
-function encodeCommand(c: Command): unknown {
-  if (c.op === 'start') return { verb: 'launch', piece: c.task, try: c.attempt };
-  if (c.op === 'stop') return { verb: 'kill', piece: c.task, try: c.attempt, windownS: c.graceS };
-  return { verb: 'reap', piece: c.task, try: c.attempt };
+function encodeCommand(command: Command): unknown {
+  const { task, attempt } = command;
+  if (command.op === 'start') return { verb: 'launch', piece: task, try: attempt };
+  if (command.op === 'stop') return { verb: 'kill', piece: task, try: attempt, windownS: command.graceS };
+  return { verb: 'reap', piece: task, try: attempt };
 }
 
-export function encodeCommands(token: FencingToken, commands: Command[], session?: number): string {
+/** Commands under a fencing token; with `agentEpoch` they are only for the agent that has this epoch. */
+export function encodeCommands(fencingToken: FencingToken, commands: Command[], agentEpoch?: number): string {
   return JSON.stringify({
-    baton: token,
-    ...(session === undefined ? {} : { shift: session }),
+    baton: fencingToken,
+    ...(agentEpoch === undefined ? {} : { shift: agentEpoch }),
     orders: commands.map(encodeCommand),
   });
 }
 
-export function encodeHeartbeatResponse(a: HeartbeatResponse): { status: number; body: string } {
-  if (a.kind === 'commands') return { status: 200, body: encodeCommands(a.fencingToken, a.commands) };
-  return { status: 421, body: JSON.stringify(a.node === null ? {} : { foreman: a.node }) };
+/** The HTTP response to a heartbeat: commands, or the controller to send heartbeats to. */
+export function encodeHeartbeatResponse(response: HeartbeatResponse): { status: number; body: string } {
+  if (response.kind === 'commands')
+    return { status: 200, body: encodeCommands(response.fencingToken, response.commands) };
+  const body = response.node === null ? {} : { foreman: response.node };
+  return { status: 421, body: JSON.stringify(body) };
 }
--- a/src/runtime/controller-process.ts
+++ b/src/runtime/controller-process.ts
@@ -17,14 +17,10 @@
 import { type Handler, type Reply, type RequestClass, serveHttp } from '../http/server.ts';
 import { WorkQueue } from '../http/work-queue.ts';
 import { decodeCloudReply, encodeCloudRequest } from '../protocol/cloud.ts';
-import {
-  encodeUserResponse,
-  errorResponse,
-  InvalidMessageError,
-  isJobId,
-  parseJob,
-} from '../protocol/job.ts';
+import { isJobId, parseJob } from '../protocol/job.ts';
+import { InvalidMessageError } from '../protocol/json-fields.ts';
 import { decodeStoreReply, encodeStoreRequest } from '../protocol/store.ts';
+import { encodeUserResponse, errorResponse } from '../protocol/user-response.ts';
 import { encodeCommands, encodeHeartbeatResponse, parseHeartbeat } from '../protocol/worker.ts';
 import type { Instant, JobId, NodeId, WallTime } from '../types/index.ts';
 import { splitAddress } from './address.ts';
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -5,10 +5,12 @@
 import type { Command, Heartbeat, PeerMessage, StoreRequest } from '../src/core/base/model.ts';
 import { formatReply } from '../src/http/server.ts';
 import { decodeCloudReply } from '../src/protocol/cloud.ts';
-import { encodeUserResponse, InvalidMessageError, parseJob } from '../src/protocol/job.ts';
+import { parseJob } from '../src/protocol/job.ts';
+import { InvalidMessageError } from '../src/protocol/json-fields.ts';
 import { encodePeerMessage, isForwardedHeartbeat, PeerDecoder } from '../src/protocol/peer.ts';
 import { parseSettings } from '../src/protocol/settings.ts';
 import { decodeStoreReply, encodeStoreRequest } from '../src/protocol/store.ts';
+import { encodeUserResponse } from '../src/protocol/user-response.ts';
 import { encodeHeartbeatResponse, parseHeartbeat } from '../src/protocol/worker.ts';
 import type {
   Attempt,
