--- a/scripts/least-served.ts
+++ b/scripts/least-served.ts
@@ -1,40 +1,9 @@
 // Who was served least on a day: classes by the bench's report, teams by the service's own account in its log. Pure, so that
 // it is tested without the bench.
+import type { BenchReport, ClassReport, StartedJobs } from './bench.ts';
 
-import type { Refused } from './refused-leader.ts';
-
-/** `up`: of services, the part of their replicas' time in which they were up. */
-interface ClassReport {
-  accepted: number;
-  cancelled: number;
-  started: number;
-  done: number;
-  tasks: number;
-  up?: number;
-  /** Seconds to the first start, of jobs that had one. */
-  wait_s?: { max: number | null } | null;
-}
-
-/** What is read of a report (`fleetbench run --report`). */
-export interface Report {
-  classes: Record<string, ClassReport>;
-  teams: Record<string, Started>;
-  /** Of each class its largest jobs, by the bench's own cut; benches before that of the -hunt sites do not tell. */
-  largest?: Record<string, Started>;
-  targets: { kind: string; class?: string | null; within_s?: number; times?: number; value: number | null }[];
-  rules_broken: { total: number };
-  node_stats: { memory_peak_mb: number; connections_peak: number; restarts: { why: string }[] }[];
-  /** Seconds of processor time: of the bench's world and of the processes, each in their own code and in the kernel. */
-  spent: { world: [number, number]; processes: [number, number] };
-  fleet: { tasks_killed_by_lease: number; tasks_lost: number; price: number };
-}
-
-interface Started {
-  jobs: number;
-  started: number;
-}
-
-export interface Least {
+/** Who was served least, and how far. */
+export interface LeastServed {
   name: string;
   /**
    * Jobs done, of those accepted and not cancelled, and jobs of which a task ever started: what was started and is not
@@ -45,159 +14,116 @@
   tasks: number | null;
 }
 
-export interface Play {
-  mark: number | null;
-  broken: number;
-  leastClass: Least | null;
-  leastTeam: Least | null;
-  /** Of any class's largest jobs; null if the report does not tell. */
-  leastLargest: Least | null;
-  /** Of any class: the longest time to a first start, in seconds; null if the report does not tell. */
-  longestStart: { name: string; s: number } | null;
-  killedByLease: number;
-  lost: number;
-  /** Processor time that the day took to play; processes that ended by themselves; the most memory and sockets of one. */
-  cpuS: number;
-  ended: number;
-  memoryMb: number;
-  sockets: number;
-  aims: Record<string, number>;
-  /** Of a play with a refused leader; see refused.ts. */
-  refused?: Refused & { cancelS: number };
+/** A job's first start, in seconds after it was accepted. */
+export interface FirstStart {
+  name: string;
+  s: number;
 }
 
-/** Below this a day fails. */
-export const HALF = 0.5;
-/** Every job that starts at all is to start within this. */
-export const START_MAX_S = 240;
-/** A day that takes longer to play has failed too. */
-export const CPU_MAX_S = 400;
-
-const part = (done: number, of: number): number => (of <= 0 ? 1 : done / of);
-
-export function least(all: Least[]): Least | null {
-  return all.reduce<Least | null>((a, b) => (a === null || b.jobs < a.jobs ? b : a), null);
+/** A line of the service's account in its log, for a team and a class; a team's line when summed up. */
+interface ServedCounts {
+  services: number;
+  replicas: number;
+  replicasUp: number;
+  jobs: number;
+  done: number;
+  tasks: number;
+  tasksDone: number;
 }
+type ServedLine = ServedCounts & { team: string };
 
-const classPart = (c: ClassReport): { jobs: number; started: number } => {
-  const started = part(c.started, c.accepted);
-  const jobs =
-    c.up !== undefined && c.up !== null ? Math.min(started, c.up) : part(c.done, c.accepted - c.cancelled);
-  return { jobs, started };
+const ACCOUNT = /\{.*"msg":"work served by team and class, least first".*\}/;
+const NOTHING_SERVED: ServedCounts = {
+  services: 0,
+  replicas: 0,
+  replicasUp: 0,
+  jobs: 0,
+  done: 0,
+  tasks: 0,
+  tasksDone: 0,
 };
+const COUNTS = Object.keys(NOTHING_SERVED) as (keyof ServedCounts)[];
 
-export const leastClass = (r: Report): Least | null =>
-  least(Object.entries(r.classes).map(([name, c]) => ({ name, ...classPart(c), tasks: null })));
+/** A part of a whole; all of it where there is nothing. */
+const partOf = (done: number, all: number): number => (all <= 0 ? 1 : done / all);
 
-/** By the report, which knows of starts only; what is done is told by the service itself (`leastTeam`). */
-const leastOf = (all: Record<string, Started>): Least | null =>
-  least(
-    Object.entries(all).map(([name, t]) => {
-      const started = part(t.started, t.jobs);
-      return { name, jobs: started, started, tasks: null };
-    }),
+/** Of several the one that is served least: the first, if some are equal; null if there is none. */
+export function leastServed(all: LeastServed[]): LeastServed | null {
+  return all.reduce<LeastServed | null>(
+    (least, next) => (least === null || next.jobs < least.jobs ? next : least),
+    null,
   );
-
-function longestStart(r: Report): Play['longestStart'] {
-  let longest: Play['longestStart'] = null;
-  for (const [name, c] of Object.entries(r.classes)) {
-    const s = c.wait_s?.max ?? null;
-    if (s !== null && (longest === null || s > longest.s)) longest = { name, s };
-  }
-  return longest;
 }
 
-const ACCOUNT = /\{.*"msg":"work served by team and class, least first".*\}/;
+/** Of several first starts the one that took longest: the first, if some are equal; null if there is none. */
+export function longestStart(starts: FirstStart[]): FirstStart | null {
+  return starts.reduce<FirstStart | null>(
+    (longest, next) => (longest === null || next.s > longest.s ? next : longest),
+    null,
+  );
+}
 
-interface Line {
-  team: string;
-  services: number;
-  replicas: number;
-  replicasUp: number;
-  jobs: number;
-  done: number;
-  tasks: number;
-  tasksDone: number;
+/** The first starts of a day that took longest, one for each class that tells. */
+export const longestStartsByClass = ({ classes }: BenchReport): FirstStart[] =>
+  Object.entries(classes).flatMap(([name, { wait_s }]) => {
+    const s = wait_s?.max ?? null;
+    return s === null ? [] : [{ name, s }];
+  });
+
+function classServed(name: string, counts: ClassReport): LeastServed {
+  const started = partOf(counts.started, counts.accepted);
+  const isService = counts.up !== undefined && counts.up !== null;
+  const jobs = isService
+    ? Math.min(started, counts.up!)
+    : partOf(counts.done, counts.accepted - counts.cancelled);
+  return { name, jobs, started, tasks: null };
 }
 
-/** By the last account in the log; null if there is none. */
-export function leastTeam(log: string): Least | null {
-  let last: Line[] | null = null;
-  for (const line of log.split('\n')) {
-    const m = ACCOUNT.exec(line);
-    if (m !== null) last = (JSON.parse(m[0]) as { served: Line[] }).served;
-  }
-  if (last === null) return null;
-  const teams = new Map<string, Omit<Line, 'team'>>();
-  for (const { team, ...l } of last) {
-    const t = teams.get(team) ?? {
-      services: 0,
-      replicas: 0,
-      replicasUp: 0,
-      jobs: 0,
-      done: 0,
-      tasks: 0,
-      tasksDone: 0,
-    };
-    for (const k of Object.keys(t) as (keyof typeof t)[]) t[k] += l[k] ?? 0;
-    teams.set(team, t);
-  }
-  return least(
-    [...teams].map(([name, t]) => {
-      const up = t.replicas === 0 ? 0 : (t.services * t.replicasUp) / t.replicas;
-      const jobs = part(t.done + up, t.jobs + t.services);
-      return { name, jobs, started: null, tasks: part(t.tasksDone, t.tasks) };
+/** The class that was served least, by the report. */
+export const leastServedClass = ({ classes }: BenchReport): LeastServed | null =>
+  leastServed(Object.entries(classes).map(([name, counts]) => classServed(name, counts)));
+
+/** By the report, which knows of starts only; what is done is told by the service itself (`leastServedTeam`). */
+export const leastStarted = (all: Record<string, StartedJobs>): LeastServed | null =>
+  leastServed(
+    Object.entries(all).map(([name, counts]) => {
+      const started = partOf(counts.started, counts.jobs);
+      return { name, jobs: started, started, tasks: null };
     }),
   );
-}
 
-export function readPlay(report: Report, log: string): Play {
-  const mark = /^\S+ +\d+ +([\d.]+) /m.exec(log);
-  const aims: Record<string, number> = {};
-  for (const t of report.targets) {
-    const name = [t.kind, t.class, t.within_s ?? t.times].filter((x) => x !== undefined && x !== null);
-    if (t.value !== null) aims[name.join(' ')] = t.value;
+/** The lines of the last account in the log; null if there is none. */
+function lastAccount(log: string): ServedLine[] | null {
+  let last: ServedLine[] | null = null;
+  for (const line of log.split('\n')) {
+    const match = ACCOUNT.exec(line);
+    if (match !== null) last = (JSON.parse(match[0]) as { served: ServedLine[] }).served;
   }
-  return {
-    mark: mark === null ? null : Number(mark[1]),
-    broken: report.rules_broken.total,
-    leastClass: leastClass(report),
-    leastTeam: least([leastTeam(log), leastOf(report.teams)].filter((l) => l !== null)),
-    leastLargest: leastOf(report.largest ?? {}),
-    longestStart: longestStart(report),
-    killedByLease: report.fleet.tasks_killed_by_lease,
-    lost: report.fleet.tasks_lost,
-    cpuS: [...report.spent.world, ...report.spent.processes].reduce((a, b) => a + b, 0),
-    ended: report.node_stats.reduce((n, s) => n + s.restarts.filter((r) => r.why !== 'fault').length, 0),
-    memoryMb: Math.max(...report.node_stats.map((s) => s.memory_peak_mb)),
-    sockets: Math.max(...report.node_stats.map((s) => s.connections_peak)),
-    aims,
-  };
+  return last;
 }
 
-/** What makes a play fail by itself. */
-export function faults(p: Play): string[] {
-  const out: string[] = [];
-  if (p.broken > 0) out.push(`${p.broken} broken rules`);
-  if (p.ended > 0) out.push(`${p.ended} processes ended by themselves`);
-  if (p.cpuS > CPU_MAX_S) out.push(`${Math.round(p.cpuS)} s of processor time`);
-  if (p.mark === null || p.mark <= 0) out.push('the day is worth nothing');
-  for (const [what, l] of [
-    ['class', p.leastClass],
-    ['team', p.leastTeam],
-    ['the largest of', p.leastLargest],
-  ] as const)
-    if (l !== null && l.jobs < HALF) out.push(`${what} ${l.name} served ${l.jobs.toFixed(2)}`);
-  const { longestStart: l } = p;
-  if (l !== null && l.s > START_MAX_S) out.push(`${l.name} waited ${Math.round(l.s)} s for a first start`);
-  const r = p.refused;
-  if (r?.met === 0) out.push('no job was cancelled past a refused leader: the play proves nothing');
-  if (r !== undefined && r.latestGoneS !== null && r.latestGoneS > r.cancelS)
-    out.push(`cancelled tasks may have lasted ${r.latestGoneS.toFixed(1)} s of ${r.cancelS}`);
-  return out;
+function teamServed(name: string, counts: ServedCounts): LeastServed {
+  const servicesUp = counts.replicas === 0 ? 0 : (counts.services * counts.replicasUp) / counts.replicas;
+  const jobs = partOf(counts.done + servicesUp, counts.jobs + counts.services);
+  return { name, jobs, started: null, tasks: partOf(counts.tasksDone, counts.tasks) };
 }
 
-export const show = (l: Least | null): string =>
-  l === null
-    ? 'unknown'
-    : `${l.name} ${l.jobs.toFixed(2)}${l.started === null ? '' : ` (started ${l.started.toFixed(2)})`}`;
+/** The team that was served least, by the last account in the log; null if there is none. */
+export function leastServedTeam(log: string): LeastServed | null {
+  const lines = lastAccount(log);
+  if (lines === null) return null;
+  const teams = new Map<string, ServedCounts>();
+  for (const line of lines) {
+    const counts = teams.get(line.team) ?? { ...NOTHING_SERVED };
+    for (const count of COUNTS) counts[count] += line[count] ?? 0;
+    teams.set(line.team, counts);
+  }
+  return leastServed([...teams].map(([name, counts]) => teamServed(name, counts)));
+}
+
+/** Who was served least, for people. */
+export function formatLeastServed(least: LeastServed | null): string {
+  if (least === null) return 'unknown';
+  const started = least.started === null ? '' : ` (started ${least.started.toFixed(2)})`;
+  return `${least.name} ${least.jobs.toFixed(2)}${started}`;
+}
--- a/scripts/regress.ts
+++ b/scripts/regress.ts
@@ -3,6 +3,7 @@
 import { existsSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 import { Command } from 'commander';
+import { BENCH } from './bench.ts';
 import {
   type Finding,
   fixedFall,
@@ -13,14 +14,16 @@
   type PlayedDay,
   type PlayedSite,
 } from './regression-levels.ts';
-import { entries, judgeRow, playAll } from './scenarios.ts';
+import { formatRow, rowFailures } from './scenario-row.ts';
+import { readScenarios, runScenarios } from './scenario-runner.ts';
 
 const LEVELS = 'scripts/levels.json';
-const BENCH = 'more/hunt/bin/fleetbench';
 const JOURNAL = 'journal';
+const SCENARIO_SEEDS = [31, 32, 33];
+const SCENARIOS_AT_ONCE = 4;
 
-interface Entry {
-  cmd: string;
+/** What is read of an entry of the bench's journal. */
+interface JournalEntry {
   site: string | null;
   score: number | null;
   error: string | null;
@@ -40,111 +43,141 @@
   served: boolean;
 }
 
+const print = (line: string): boolean => process.stdout.write(`${line}\n`);
+
 /** Runs the bench and returns the journal entries that it left; they are its only output that is read. */
-async function play(kit: string, args: string[], why: string): Promise<(PlayedSite & { cmd: string })[]> {
+async function play(kit: string, args: string[], why: string): Promise<PlayedSite[]> {
   const before = new Set(readdirSync(JOURNAL));
-  await new Promise<void>((done, failed) => {
+  await new Promise<void>((onDone, onError) => {
     const child = spawn(join(kit, BENCH), [...args, '--why', why], {
       stdio: ['ignore', 'ignore', 'inherit'],
     });
-    child.on('error', failed);
-    child.on('close', () => done());
+    child.on('error', onError);
+    child.on('close', () => onDone());
   });
-  const fresh = readdirSync(JOURNAL).filter((f) => f.endsWith('.json') && !before.has(f));
-  return fresh
-    .map((f) => JSON.parse(readFileSync(join(JOURNAL, f), 'utf8')) as Entry)
-    .filter((e) => e.why === why)
-    .map((e) => ({ cmd: e.cmd, site: e.site ?? '?', score: e.score, error: e.error, days: e.days ?? [] }));
+  return readdirSync(JOURNAL)
+    .filter((file) => file.endsWith('.json') && !before.has(file))
+    .map((file) => JSON.parse(readFileSync(join(JOURNAL, file), 'utf8')) as JournalEntry)
+    .filter((entry) => entry.why === why)
+    .map(({ site, score, error, days }) => ({ site: site ?? '?', score, error, days: days ?? [] }));
 }
 
-/** The fixed plays of a site, one after the other: each uses most of the machine by itself. */
-async function playFixed(kit: string, l: Level, why: string): Promise<PlayedDay[]> {
-  const out: PlayedDay[] = [];
-  for (const f of l.fixed) {
-    const args = ['run', join(kit, l.file), f.day, '--seed', String(f.seed), '--no-cpu'];
-    const played = await play(kit, args, `${why}: ${f.day} seed ${f.seed}, no processor time`);
-    const d = played[0]?.days[0];
-    if (d !== undefined) out.push({ ...d, name: f.day, seed: f.seed });
+/** The fixed days of a site, one after the other: each uses most of the machine by itself. */
+async function playFixed(kit: string, level: Level, why: string): Promise<PlayedDay[]> {
+  const days: PlayedDay[] = [];
+  for (const { day, seed } of level.fixed) {
+    const args = ['run', join(kit, level.file), day, '--seed', String(seed), '--no-cpu'];
+    const played = await play(kit, args, `${why}: ${day} seed ${seed}, no processor time`);
+    const result = played[0]?.days[0];
+    if (result !== undefined) days.push({ ...result, name: day, seed });
   }
-  return out;
+  return days;
 }
 
-function tell(p: PlayedSite, level: number | null): void {
-  const days = p.days.map((d) => `${d.name} ${d.score?.toFixed(3) ?? 'none'}`).join(', ');
+function printSite({ site, score, days }: PlayedSite, level: number | null): void {
+  const scores = days.map((day) => `${day.name} ${day.score?.toFixed(3) ?? 'none'}`).join(', ');
   const against = level === null ? '' : ` (level ${level.toFixed(3)})`;
-  process.stdout.write(`${p.site}: ${p.score?.toFixed(3) ?? 'no score'}${against}: ${days}\n`);
+  print(`${site}: ${score?.toFixed(3) ?? 'no score'}${against}: ${scores}`);
+}
+
+/** Plays the standard days of all sites, and with `--set` notes their scores as the new levels. */
+async function playStandardDays(
+  files: string[],
+  levels: Levels,
+  mode: 'full' | 'quick',
+  options: Options,
+): Promise<Finding[]> {
+  const findings: Finding[] = [];
+  const args = ['score', ...files, ...(mode === 'full' ? [] : ['--quick'])];
+  for (const played of await play(options.kit, args, options.why)) {
+    const level = levels[played.site]?.[mode] ?? null;
+    printSite(played, level);
+    findings.push(...judge(played, level));
+    if (options.set && levels[played.site] !== undefined) levels[played.site]![mode] = played.score;
+  }
+  return findings;
+}
+
+/** Plays so many days of each site in search of broken rules. */
+async function hunt(files: string[], days: string, { kit, why }: Options): Promise<Finding[]> {
+  const findings: Finding[] = [];
+  for (const file of files)
+    for (const played of await play(kit, ['hunt', file, '--days', days], `${why}: hunt`)) {
+      printSite(played, null);
+      findings.push(...judge(played, null));
+    }
+  return findings;
+}
+
+/** Plays the fixed days of all sites and writes the levels. */
+async function writeLevels(sites: string[], levels: Levels, { kit, why }: Options): Promise<void> {
+  for (const site of sites) {
+    const played = await playFixed(kit, levels[site]!, why);
+    for (const fixed of levels[site]!.fixed) {
+      const result = played.find((day) => day.name === fixed.day && day.seed === fixed.seed);
+      fixed.score = result?.score ?? null;
+    }
+  }
+  writeFileSync(LEVELS, `${JSON.stringify(levels, null, 2)}\n`);
+}
+
+/** What of the findings is a failure: broken rules, and falls that the fixed days confirm. */
+async function confirm(findings: Finding[], levels: Levels, options: Options): Promise<string[]> {
+  const failures: string[] = [];
+  for (const finding of findings) {
+    if (finding.kind === 'broken') failures.push(`${finding.site}: ${finding.text}`);
+    else if (!options.set) {
+      const level = levels[finding.site]!;
+      const fall = fixedFall(level, await playFixed(options.kit, level, options.why));
+      const fixed = fall === null ? 'no fixed plays on file' : `fixed plays lower by ${fall.toFixed(3)}`;
+      const line = `${finding.site}: ${finding.score.toFixed(3)} against ${finding.level.toFixed(3)}, ${fixed}`;
+      if (fall === null || fall > NOISE) failures.push(line);
+      else print(`${line}: noise`);
+    }
+  }
+  return failures;
 }
 
 /** The fleet's days over several seeds: who is served least, and with `--base` whether a mean has fallen. */
-async function served(o: Options, files: string[]): Promise<string[]> {
-  const chosen = entries().filter((e) => e.regress === true && files.includes(e.site));
-  const setting = {
-    kit: o.kit,
-    dir: resolve(o.dir),
-    seeds: [31, 32, 33],
-    jobs: 4,
-    base: o.base ?? null,
-    why: `${o.why}: served`,
+async function playScenarios(files: string[], options: Options): Promise<string[]> {
+  const chosen = readScenarios().filter(({ regress, site }) => regress === true && files.includes(site));
+  const runnerOptions = {
+    kit: options.kit,
+    dir: resolve(options.dir),
+    seeds: SCENARIO_SEEDS,
+    jobs: SCENARIOS_AT_ONCE,
+    base: options.base ?? null,
+    why: `${options.why}: served`,
   };
-  const rows = await playAll(chosen, setting, (l) => process.stdout.write(`${l}\n`));
-  return rows.flatMap(judgeRow);
+  const rows = await runScenarios(chosen, runnerOptions, (row) => print(formatRow(row)));
+  return rows.flatMap(rowFailures);
 }
 
-async function main(o: Options): Promise<void> {
-  if (!existsSync(join(o.kit, BENCH))) {
+async function main(options: Options): Promise<void> {
+  const { kit, site: only } = options;
+  if (!existsSync(join(kit, BENCH))) {
     process.stderr.write(
-      `regress: the users' kit is not at ${o.kit} (looked for ${BENCH} in it). It is not part of this repository; ` +
+      `regress: the users' kit is not at ${kit} (looked for ${BENCH} in it). It is not part of this repository; ` +
         'name its folder with --kit. Nothing was played.\n',
     );
     process.exitCode = 2;
     return;
   }
   const levels = JSON.parse(readFileSync(LEVELS, 'utf8')) as Levels;
-  const chosen = Object.keys(levels).filter((s) => o.site === undefined || o.site.includes(s));
-  const mode = o.full ? 'full' : 'quick';
-  const files = chosen.map((s) => join(o.kit, levels[s]!.file));
-  const findings: Finding[] = [];
-  for (const p of await play(o.kit, ['score', ...files, ...(o.full ? [] : ['--quick'])], o.why)) {
-    const level = levels[p.site]?.[mode] ?? null;
-    tell(p, level);
-    findings.push(...judge(p, level));
-    if (o.set && levels[p.site] !== undefined) levels[p.site]![mode] = p.score;
+  const sites = Object.keys(levels).filter((site) => only === undefined || only.includes(site));
+  const mode = options.full ? 'full' : 'quick';
+  const files = sites.map((site) => join(kit, levels[site]!.file));
+  const findings = await playStandardDays(files, levels, mode, options);
+  if (options.hunt !== undefined) findings.push(...(await hunt(files, options.hunt, options)));
+  if (options.set) await writeLevels(sites, levels, options);
+  const failures = await confirm(findings, levels, options);
+  if (options.served) {
+    const siteFiles = sites.map((site) => levels[site]!.file);
+    failures.push(...(await playScenarios(siteFiles, options)));
   }
-  if (o.hunt !== undefined)
-    for (const f of files)
-      for (const p of await play(o.kit, ['hunt', f, '--days', o.hunt], `${o.why}: hunt`)) {
-        tell(p, null);
-        findings.push(...judge(p, null));
-      }
-  if (o.set) {
-    for (const s of chosen) {
-      const played = await playFixed(o.kit, levels[s]!, o.why);
-      for (const f of levels[s]!.fixed)
-        f.score = played.find((d) => d.name === f.day && d.seed === f.seed)?.score ?? null;
-    }
-    writeFileSync(LEVELS, `${JSON.stringify(levels, null, 2)}\n`);
-  }
-  const bad: string[] = [];
-  for (const f of findings) {
-    if (f.kind === 'broken') bad.push(`${f.site}: ${f.text}`);
-    else if (!o.set) {
-      const fall = fixedFall(levels[f.site]!, await playFixed(o.kit, levels[f.site]!, o.why));
-      const on = fall === null ? 'no fixed plays on file' : `fixed plays lower by ${fall.toFixed(3)}`;
-      const line = `${f.site}: ${f.score.toFixed(3)} against ${f.level.toFixed(3)}, ${on}`;
-      if (fall === null || fall > NOISE) bad.push(line);
-      else process.stdout.write(`${line}: noise\n`);
-    }
-  }
-  if (o.served)
-    bad.push(
-      ...(await served(
-        o,
-        chosen.map((s) => levels[s]!.file),
-      )),
-    );
-  for (const b of bad) process.stdout.write(`FAILED ${b}\n`);
-  process.stdout.write(`regress: mode=${mode} sites=${chosen.length} failures=${bad.length}\n`);
-  if (bad.length > 0) process.exitCode = 1;
+  for (const failure of failures) print(`FAILED ${failure}`);
+  print(`regress: mode=${mode} sites=${sites.length} failures=${failures.length}`);
+  if (failures.length > 0) process.exitCode = 1;
 }
 
 const program = new Command('regress')
