--- a/scripts/behaviour-digest.ts
+++ b/scripts/behaviour-digest.ts
@@ -1,4 +1,5 @@
-// npm run behaviour: compares the digests of behaviour with those kept in test/fixtures/behaviour-digests.json.
+// npm run behaviour: compares the digests of behaviour with those kept in
+// test/fixtures/behaviour-digests.json.
 import { readFileSync, writeFileSync } from 'node:fs';
 import { Command } from 'commander';
 import { digestOfSeed } from '../test/support/behaviour-digest.ts';
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,4 +1,5 @@
-// The users' bench: where it is in their kit, and what is read of the reports that it writes (`fleetbench run --report`).
+// The users' bench: where it is in their kit, and what is read of the reports that it writes (`fleetbench run
+// --report`).
 
 /** The bench's program, from the kit's folder. */
 export const BENCH = 'more/hunt/bin/fleetbench';
@@ -42,12 +43,18 @@
 export interface BenchReport {
   classes: Record<string, ClassReport>;
   teams: Record<string, StartedJobs>;
-  /** Of each class its largest jobs, by the bench's own cut; benches before that of the -hunt sites do not say. */
+  /**
+   * Of each class its largest jobs, by the bench's own cut; benches before that of the -hunt sites do not
+   * say.
+   */
   largest?: Record<string, StartedJobs>;
   targets: TargetReport[];
   rules_broken: { total: number };
   node_stats: NodeReport[];
-  /** Seconds of processor time: of the bench's world and of the processes, each in their own code and in the kernel. */
+  /**
+   * Seconds of processor time: of the bench's world and of the processes, each in their own code and in the
+   * kernel.
+   */
   spent: { world: [number, number]; processes: [number, number] };
   fleet: { tasks_killed_by_lease: number; tasks_lost: number; price: number };
 }
--- a/scripts/experiments/bundle.ts
+++ b/scripts/experiments/bundle.ts
@@ -1,4 +1,5 @@
-// The library and the experiment runners of this revision, and of an earlier one, as modules to be loaded by a process.
+// The library and the experiment runners of this revision, and of an earlier one, as modules to be loaded by
+// a process.
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readdirSync } from 'node:fs';
 import { basename, dirname, join, resolve } from 'node:path';
@@ -39,7 +40,10 @@
   logLevel: 'error',
 } as const;
 
-/** A folder may bear a module's name, and so may a job of the core: what the protocol has goes by its own folder. */
+/**
+ * A folder may bear a module's name, and so may a job of the core: what the protocol has goes by its own
+ * folder.
+ */
 function isLibraryModule(file: string): boolean {
   if (!file.endsWith('.ts') || !LIBRARY_MODULES.includes(basename(file, '.ts'))) return false;
   return basename(file) !== 'job.ts' || dirname(file).endsWith('protocol');
@@ -83,8 +87,8 @@
 }
 
 /**
- * The script of a checkout that runs one measurement, in the folder where that revision has it. A library is measured
- * by the runner of its own revision, which knows the names of that revision's messages.
+ * The script of a checkout that runs one measurement, in the folder where that revision has it. A library is
+ * measured by the runner of its own revision, which knows the names of that revision's messages.
  *
  * @throws InvalidInputError if the revision has no such runner
  */
--- a/scripts/experiments/client-script.ts
+++ b/scripts/experiments/client-script.ts
@@ -1,5 +1,6 @@
-// The script that the experiment `client` kills and starts again: submits its jobs by key, cancels some, waits for all. Every
-// outcome is written down as it is told, to be compared with what later incarnations are told.
+// The script that the experiment `client` kills and starts again: submits its jobs by key, cancels some,
+// waits for all. Every outcome is written down as it is told, to be compared with what later incarnations are
+// told.
 import { appendFileSync } from 'node:fs';
 import { Client } from '../../packages/client/src/index.ts';
 import { hasUnknownTeam, tasksOf } from './client-jobs.ts';
--- a/scripts/experiments/concurrent-faults.ts
+++ b/scripts/experiments/concurrent-faults.ts
@@ -1,5 +1,6 @@
-// npm run experiment -- concurrent-faults: many histories of faults that coincide, in the simulated world, checked by the users'
-// rules. A history that breaks one is shrunk and printed, and can be played again from a file.
+// npm run experiment -- concurrent-faults: many histories of faults that coincide, in the simulated world,
+// checked by the users' rules. A history that breaks one is shrunk and printed, and can be played again from
+// a file.
 import { readFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
 import fc from 'fast-check';
--- a/scripts/experiments/fleet-outcome.ts
+++ b/scripts/experiments/fleet-outcome.ts
@@ -1,4 +1,5 @@
-// The figures of a day of the fleet experiment: who was served, how long work waited, what was fetched and lost.
+// The figures of a day of the fleet experiment: who was served, how long work waited, what was fetched and
+// lost.
 import { build as histogram } from 'hdr-histogram-js';
 import type { JobSpec } from '../../src/core/base/model.ts';
 import type { FleetJob, FleetJobs } from './fleet-jobs.ts';
--- a/scripts/experiments/fleet-run.ts
+++ b/scripts/experiments/fleet-run.ts
@@ -1,4 +1,5 @@
-// One day of the fleet experiment, in a process of its own: a version's library and a setup; a line of figures.
+// One day of the fleet experiment, in a process of its own: a version's library and a setup; a line of
+// figures.
 import { pathToFileURL } from 'node:url';
 import { DAYS } from './fleet-days.ts';
 import type { Lib, Setup } from './fleet-types.ts';
--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -1,5 +1,6 @@
-// The world of the fleet experiment: the core with fakes of its surroundings on a simulated clock, no processes and no sockets.
-// It checks the users' rules while it runs, and writes down what each job and each team got.
+// The world of the fleet experiment: the core with fakes of its surroundings on a simulated clock, no
+// processes and no sockets. It checks the users' rules while it runs, and writes down what each job and each
+// team got.
 import { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
 import { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
 import {
@@ -161,7 +162,7 @@
   private endLeader(): void {
     const leader = this.controllers.leader;
     if (leader === null) return this.after(RETRY_DELAY_MS, () => this.endLeader());
-    this.controllers.end(leader);
+    this.controllers.crash(leader);
     this.after(RESTART_MS, () => this.controllers.start(leader));
   }
 
--- a/scripts/experiments/fleet.ts
+++ b/scripts/experiments/fleet.ts
@@ -1,5 +1,6 @@
-// npm run experiment -- fleet: days of a whole fleet on a simulated clock, this revision beside an earlier one or one option beside
-// another, on the same seeds: who is served, how long work waits, how fairly teams share, what is fetched and lost.
+// npm run experiment -- fleet: days of a whole fleet on a simulated clock, this revision beside an earlier
+// one or one option beside another, on the same seeds: who is served, how long work waits, how fairly teams
+// share, what is fetched and lost.
 import { execFile } from 'node:child_process';
 import { writeFileSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
--- a/scripts/experiments/hotpath-lib.ts
+++ b/scripts/experiments/hotpath-lib.ts
@@ -21,8 +21,9 @@
   Pick<typeof random, 'seededRandom'>;
 
 /**
- * What processor time is counted for: heartbeats, submissions, status requests and replies of the key-value store and the
- * cloud; scheduling cycles and the autoscaler's plans, wherever they are run; and timer ticks without these.
+ * What processor time is counted for: heartbeats, submissions, status requests and replies of the key-value
+ * store and the cloud; scheduling cycles and the autoscaler's plans, wherever they are run; and timer ticks
+ * without these.
  */
 export type Kind = 'report' | 'submit' | 'poll' | 'write' | 'pass' | 'plan' | 'tick';
 
--- a/scripts/experiments/hotpath-load.ts
+++ b/scripts/experiments/hotpath-load.ts
@@ -1,5 +1,5 @@
-// The load that `hotpath` puts on a core: machines, a store and users on a simulated clock, as plain as can be, so that what
-// is measured is the core. Only time spent in it and in the codecs beside it is counted.
+// The load that `hotpath` puts on a core: machines, a store and users on a simulated clock, as plain as can
+// be, so that what is measured is the core. Only time spent in it and in the codecs beside it is counted.
 import { defaults, schedulerOptions } from '../../src/cli/options.ts';
 import type { Effect, Input, Random } from '../../src/core/base/io.ts';
 import type { Settings, StoreReply, Team } from '../../src/core/base/model.ts';
--- a/scripts/experiments/hotpath-machines.ts
+++ b/scripts/experiments/hotpath-machines.ts
@@ -1,5 +1,5 @@
-// The machines of the hotpath load, and the cloud that rents them: they speak the wire protocol, to the leader itself or by way
-// of another node that forwards their heartbeats.
+// The machines of the hotpath load, and the cloud that rents them: they speak the wire protocol, to the
+// leader itself or by way of another node that forwards their heartbeats.
 import type { Input, Random } from '../../src/core/base/io.ts';
 import type {
   CloudReply,
@@ -116,7 +116,10 @@
     }
   }
 
-  /** Carries out what the leader sends a node that forwards heartbeats; `onResponse` gets the response on the wire. */
+  /**
+   * Carries out what the leader sends a node that forwards heartbeats; `onResponse` gets the response on the
+   * wire.
+   */
   forwardResponse(
     message: PeerMessage,
     onResponse: (requestId: number, response: WireResponse) => void,
@@ -196,7 +199,9 @@
     environment.input({ kind: 'heartbeat', requestId, heartbeat }, 'report');
   }
 
-  /** As the node that the machine speaks to does; only what the leader has to do with the frame is counted. */
+  /**
+   * As the node that the machine speaks to does; only what the leader has to do with the frame is counted.
+   */
   private forward(machine: LoadMachine, id: number, body: unknown): void {
     const { lib, timer } = this.environment;
     const heartbeat = lib.parseHeartbeat(body);
--- a/scripts/experiments/hotpath-run.ts
+++ b/scripts/experiments/hotpath-run.ts
@@ -1,4 +1,5 @@
-// One measurement of `hotpath`, in a process of its own: a version's library, a number of machines, a line of figures.
+// One measurement of `hotpath`, in a process of its own: a version's library, a number of machines, a line of
+// figures.
 import { pathToFileURL } from 'node:url';
 import type { Lib } from './hotpath-lib.ts';
 import { Load } from './hotpath-load.ts';
--- a/scripts/experiments/hotpath.ts
+++ b/scripts/experiments/hotpath.ts
@@ -1,6 +1,7 @@
-// Processor time of the core's inputs at 1,000, 3,000 and 10,000 machines, as a ratio to an earlier version of this
-// repository measured in the same run. Processes take turns, and the least of several is taken for each figure. Each
-// version is measured by the runner of its own revision, which knows the names of that revision's messages.
+// Processor time of the core's inputs at 1,000, 3,000 and 10,000 machines, as a ratio to an earlier version
+// of this repository measured in the same run. Processes take turns, and the least of several is taken for
+// each figure. Each version is measured by the runner of its own revision, which knows the names of that
+// revision's messages.
 import { execFileSync } from 'node:child_process';
 import { Command } from 'commander';
 import { bundle, bundleScript, checkout, runnerOf } from './bundle.ts';
--- a/scripts/experiments/plot.ts
+++ b/scripts/experiments/plot.ts
@@ -1,5 +1,5 @@
-// The fleet experiment's outcome as an SVG: for each day, each class's wait at the 90th percentile and each team's part of its
-// fair share, side by side.
+// The fleet experiment's outcome as an SVG: for each day, each class's wait at the 90th percentile and each
+// team's part of its fair share, side by side.
 import { parse, type Spec, View } from 'vega';
 import type { Played } from './fleet-types.ts';
 
--- a/scripts/experiments/run.ts
+++ b/scripts/experiments/run.ts
@@ -1,4 +1,5 @@
-// npm run experiment -- NAME: long measurements, kept out of the tests. Each ends with one line of figures and an exit code.
+// npm run experiment -- NAME: long measurements, kept out of the tests. Each ends with one line of figures
+// and an exit code.
 /** What each experiment is about, by name. */
 const EXPERIMENTS: Record<string, string> = {
   client: 'one outcome a job, with script, controllers and machines killed in a local cluster',
--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -1,6 +1,6 @@
-// npm run experiment -- scale: the size that the operators expect, on one machine: real controllers on real sockets, simulated
-// workers, and the local cluster's store and cloud. `--slopes` varies one thing at a time; `--quick` is a short run with one
-// end of the leader.
+// npm run experiment -- scale: the size that the operators expect, on one machine: real controllers on real
+// sockets, simulated workers, and the local cluster's store and cloud. `--slopes` varies one thing at a time;
+// `--quick` is a short run with one end of the leader.
 import { writeFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
 import { lacking } from './scale/resources.ts';
--- a/scripts/experiments/scale/cluster.ts
+++ b/scripts/experiments/scale/cluster.ts
@@ -1,5 +1,5 @@
-// The processes of the scale experiment: real controllers, one process with key-value store and cloud, and hosts of simulated
-// workers. Everything that is started ends with this process, however it goes.
+// The processes of the scale experiment: real controllers, one process with key-value store and cloud, and
+// hosts of simulated workers. Everything that is started ends with this process, however it goes.
 import { type ChildProcess, fork } from 'node:child_process';
 import { join } from 'node:path';
 import { endGroup, Guard, type ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
--- a/scripts/experiments/scale/controller-group.ts
+++ b/scripts/experiments/scale/controller-group.ts
@@ -1,4 +1,5 @@
-// The controllers of the scale experiment: real processes, started again when they end, asked about themselves over HTTP.
+// The controllers of the scale experiment: real processes, started again when they end, asked about
+// themselves over HTTP.
 import type { ChildProcess } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
--- a/scripts/experiments/scale/host-tasks.ts
+++ b/scripts/experiments/scale/host-tasks.ts
@@ -1,5 +1,5 @@
-// The tasks on the simulated workers of one host: they run nothing, end when their time is over, and tell when they are on a
-// machine and when they are certainly gone from it.
+// The tasks on the simulated workers of one host: they run nothing, end when their time is over, and tell
+// when they are on a machine and when they are certainly gone from it.
 import type { SimulationClock } from '../../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker, RunningTask } from '../../../packages/local-cluster/src/fake-worker.ts';
 import type { ExitReason } from '../../../src/core/base/model.ts';
@@ -117,7 +117,9 @@
     return { leave, exit, onState };
   }
 
-  /** The members of a gang may be on several hosts: the parent says when it begins, and when it has lost one. */
+  /**
+   * The members of a gang may be on several hosts: the parent says when it begins, and when it has lost one.
+   */
   private joinGang(job: JobDescription, task: TaskId, attempt: number, hostTask: HostTask): RunningTask {
     const key = `${job.id}@${attempt}`;
     const members = this.gangs.get(key) ?? new Map<TaskId, GangMember>();
--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -1,5 +1,5 @@
-// What each role of the scale experiment costs: processor time, memory, messages, bytes and sockets of its processes, read from
-// the kernel's own accounts once a second.
+// What each role of the scale experiment costs: processor time, memory, messages, bytes and sockets of its
+// processes, read from the kernel's own accounts once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { ScaleCluster } from './cluster.ts';
--- a/scripts/experiments/scale/run.ts
+++ b/scripts/experiments/scale/run.ts
@@ -1,4 +1,5 @@
-// One run of the scale experiment: a cluster of a given size under a given load, with faults or without, measured and checked.
+// One run of the scale experiment: a cluster of a given size under a given load, with faults or without,
+// measured and checked.
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/scripts/experiments/scale/services-process.ts
+++ b/scripts/experiments/scale/services-process.ts
@@ -1,4 +1,5 @@
-// The process that plays the key-value store and the cloud of the scale experiment. Machines that it rents live in others.
+// The process that plays the key-value store and the cloud of the scale experiment. Machines that it rents
+// live in others.
 import {
   type CloudMachine,
   type CloudPlace,
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -1,5 +1,5 @@
-// The slopes of the scale experiment: one thing varied at a time, a straight line through what each role cost, and what the
-// smaller sizes predict for the larger beside what those gave.
+// The slopes of the scale experiment: one thing varied at a time, a straight line through what each role
+// cost, and what the smaller sizes predict for the larger beside what those gave.
 import { readFileSync, writeFileSync } from 'node:fs';
 import { fitLine } from './line-fit.ts';
 import type { Figures } from './measure.ts';
--- a/scripts/experiments/scale/worker-process.ts
+++ b/scripts/experiments/scale/worker-process.ts
@@ -1,4 +1,5 @@
-// A process that hosts simulated workers: each speaks the worker's protocol in full, over sockets of its own, and runs nothing.
+// A process that hosts simulated workers: each speaks the worker's protocol in full, over sockets of its own,
+// and runs nothing.
 
 import {
   FakeWorker,
--- a/scripts/least-served.ts
+++ b/scripts/least-served.ts
@@ -1,13 +1,14 @@
-// Who was served least on a day: classes by the bench's report, teams by the service's own account in its log. Pure, so that
-// it is tested without the bench.
+// Who was served least on a day: classes by the bench's report, teams by the service's own account in its
+// log. Pure, so that it is tested without the bench.
 import type { BenchReport, ClassReport, StartedJobs } from './bench.ts';
 
 /** Who was served least, and how far. */
 export interface LeastServed {
   name: string;
   /**
-   * Jobs done, of those accepted and not cancelled, and jobs of which a task ever started: what was started and is not
-   * done came too late in the day, or took too long. Services are never done: of them the replicas' time up counts.
+   * Jobs done, of those accepted and not cancelled, and jobs of which a task ever started: what was started
+   * and is not done came too late in the day, or took too long. Services are never done: of them the
+   * replicas' time up counts.
    */
   jobs: number;
   started: number | null;
@@ -83,7 +84,9 @@
 export const leastServedClass = ({ classes }: BenchReport): LeastServed | null =>
   leastServed(Object.entries(classes).map(([name, counts]) => classServed(name, counts)));
 
-/** By the report, which knows of starts only; what is done is told by the service itself (`leastServedTeam`). */
+/**
+ * By the report, which knows of starts only; what is done is told by the service itself (`leastServedTeam`).
+ */
 export const leastStarted = (all: Record<string, StartedJobs>): LeastServed | null =>
   leastServed(
     Object.entries(all).map(([name, counts]) => {
--- a/scripts/own-days.ts
+++ b/scripts/own-days.ts
@@ -33,8 +33,8 @@
 }
 
 /**
- * The text of a day of our own, made to fit a site: a zone called "@zone" is its last one, "@first" that of the first
- * controller, and a fault for the class "@each" strikes each class, a minute apart.
+ * The text of a day of our own, made to fit a site: a zone called "@zone" is its last one, "@first" that of
+ * the first controller, and a fault for the class "@each" strikes each class, a minute apart.
  */
 export function dayFor(dayText: string, siteText: string): string {
   const site = parseSite(siteText);
--- a/scripts/refused-leader.ts
+++ b/scripts/refused-leader.ts
@@ -1,6 +1,7 @@
-// Whether a scenario brought about what it is for, by the service's log (LOG_LEVEL=debug): cancellations confirmed by one
-// controller while tasks of those jobs ran on machines that another still answered, after its lease had ended; and the
-// latest that such a machine's lease may have lasted after the confirmation. Pure, so that it is tested without the bench.
+// Whether a scenario brought about what it is for, by the service's log (LOG_LEVEL=debug): cancellations
+// confirmed by one controller while tasks of those jobs ran on machines that another still answered, after
+// its lease had ended; and the latest that such a machine's lease may have lasted after the confirmation.
+// Pure, so that it is tested without the bench.
 
 /** Cancellations that coincided with a leader that the key-value store refused. */
 export interface RefusedLeader {
--- a/scripts/regression-levels.ts
+++ b/scripts/regression-levels.ts
@@ -1,7 +1,11 @@
-// Compares what the bench played with the levels that the repository keeps. Pure, so that it is tested without the bench.
+// Compares what the bench played with the levels that the repository keeps. Pure, so that it is tested
+// without the bench.
 import { LEAST_SERVED } from './scenario-result.ts';
 
-/** A class or a team: its name, its part of the day's jobs, and the part of its own jobs of which a task was started. */
+/**
+ * A class or a team: its name, its part of the day's jobs, and the part of its own jobs of which a task was
+ * started.
+ */
 export type ServedPart = [name: string, ofDay: number, started: number];
 
 /** One day, as it stands in the bench's journal. */
@@ -24,14 +28,20 @@
   days: PlayedDay[];
 }
 
-/** A named day on a fixed seed, with no processor time charged, and the score that it had; null if it was not played. */
+/**
+ * A named day on a fixed seed, with no processor time charged, and the score that it had; null if it was not
+ * played.
+ */
 export interface FixedDay {
   day: string;
   seed: number;
   score: number | null;
 }
 
-/** What a site is held to. Quick and full scores move with the machine's processor time; fixed days mostly repeat. */
+/**
+ * What a site is held to. Quick and full scores move with the machine's processor time; fixed days mostly
+ * repeat.
+ */
 export interface Level {
   /** Site file, from the kit's folder. */
   file: string;
--- a/scripts/scaled-sites.ts
+++ b/scripts/scaled-sites.ts
@@ -1,5 +1,6 @@
-// npm run scaled-sites: a copy of a deployment of the users' kit with other numbers of machines, zones, controllers, or other
-// shares of the teams, to be played by their bench: what they play is never quite the site as it is on file.
+// npm run scaled-sites: a copy of a deployment of the users' kit with other numbers of machines, zones,
+// controllers, or other shares of the teams, to be played by their bench: what they play is never quite the
+// site as it is on file.
 import { basename, dirname, resolve } from 'node:path';
 import { Command } from 'commander';
 import { InvalidInputError } from './errors.ts';
--- a/scripts/scenario-result.ts
+++ b/scripts/scenario-result.ts
@@ -1,5 +1,5 @@
-// What one run of a scenario came to, by the bench's report and the service's log, and what makes it fail by itself. Pure, so
-// that it is tested without the bench.
+// What one run of a scenario came to, by the bench's report and the service's log, and what makes it fail by
+// itself. Pure, so that it is tested without the bench.
 import type { BenchReport, TargetReport } from './bench.ts';
 import {
   type FirstStart,
--- a/scripts/scenario-row.ts
+++ b/scripts/scenario-row.ts
@@ -1,4 +1,5 @@
-// A day of a scenario over several seeds, on this revision and perhaps an earlier one: how it is printed, and what fails it.
+// A day of a scenario over several seeds, on this revision and perhaps an earlier one: how it is printed, and
+// what fails it.
 import {
   type FirstStart,
   formatLeastServed,
--- a/scripts/scenario-runner.ts
+++ b/scripts/scenario-runner.ts
@@ -1,4 +1,5 @@
-// Runs scenarios by the users' bench: each day on several seeds, this revision and perhaps an earlier one in turn.
+// Runs scenarios by the users' bench: each day on several seeds, this revision and perhaps an earlier one in
+// turn.
 import { execFileSync, spawn } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { basename, join, resolve } from 'node:path';
--- a/scripts/scenarios.ts
+++ b/scripts/scenarios.ts
@@ -1,5 +1,6 @@
-// npm run scenarios: days of the users' bench at copies of their sites (scenarios.json), over several seeds with no processor time
-// charged, paired with an earlier revision in the same run. The level of one seed says little.
+// npm run scenarios: days of the users' bench at copies of their sites (scenarios.json), over several seeds
+// with no processor time charged, paired with an earlier revision in the same run. The level of one seed says
+// little.
 import { resolve } from 'node:path';
 import { Command } from 'commander';
 import { formatAims, formatRow, rowFailures } from './scenario-row.ts';
--- a/scripts/site-changes.ts
+++ b/scripts/site-changes.ts
@@ -1,5 +1,6 @@
-// Changed copies of the sites of the users' kit: other numbers of machines, zones and controllers, or other teams. Pure but for
-// `writeChangedSite`, which writes outside the repository: nothing of the kit is kept in it.
+// Changed copies of the sites of the users' kit: other numbers of machines, zones and controllers, or other
+// teams. Pure but for `writeChangedSite`, which writes outside the repository: nothing of the kit is kept in
+// it.
 import { copyFileSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { parse, stringify } from 'smol-toml';
@@ -15,7 +16,10 @@
   images?: number;
   /** Factor on arrivals and on the jobs at the start. */
   load?: number;
-  /** Zones that machines are in: the first so many, or new ones, each with a copy of what the zones have in turn. */
+  /**
+   * Zones that machines are in: the first so many, or new ones, each with a copy of what the zones have in
+   * turn.
+   */
   zones?: number;
   /** Number of controllers. */
   controllers?: number;
@@ -92,7 +96,9 @@
 const LARGE_GANGS_WEIGHT = 0.02;
 /** Arrays with the most tasks that are asked for are rare: one in twenty has a third of that. */
 const P95_OF_MAX = 1 / 3;
-/** Part of its even share of all machines that a team is guaranteed, and how many times that share it may use. */
+/**
+ * Part of its even share of all machines that a team is guaranteed, and how many times that share it may use.
+ */
 const GUARANTEED = 0.5;
 const AT_MOST = 4;
 /** Teams ask for between this and four times as much. */
--- a/scripts/unit.ts
+++ b/scripts/unit.ts
@@ -1,4 +1,5 @@
-// Runs the tests and judges the outcome beside KNOWN-RED.txt. The runner's own output and counts are printed as they are.
+// Runs the tests and judges the outcome beside KNOWN-RED.txt. The runner's own output and counts are printed
+// as they are.
 import { existsSync, readFileSync } from 'node:fs';
 import type { Readable } from 'node:stream';
 import { run } from 'node:test';
--- a/test/behaviour.test.ts
+++ b/test/behaviour.test.ts
@@ -1,5 +1,5 @@
-// What proves that a change of the sources leaves behaviour alone: digests of drawn histories, and records and messages as
-// version 0.9.0 writes them.
+// What proves that a change of the sources leaves behaviour alone: digests of drawn histories, and records
+// and messages as version 0.9.0 writes them.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -1,4 +1,5 @@
-// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost or unserved.
+// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost
+// or unserved.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { arrivals, DAYS, HEARTBEAT_INTERVAL_MS } from '../scripts/experiments/fleet-days.ts';
--- a/test/least-served.test.ts
+++ b/test/least-served.test.ts
@@ -1,4 +1,5 @@
-// Who is served least, by the bench's report and the service's own account; and what a copy of a site changes.
+// Who is served least, by the bench's report and the service's own account; and what a copy of a site
+// changes.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { parse } from 'smol-toml';
--- a/test/scale-experiment.test.ts
+++ b/test/scale-experiment.test.ts
@@ -1,4 +1,5 @@
-// The scale experiment: its index of placements, its lines, what it refuses, and that it leaves nothing behind.
+// The scale experiment: its index of placements, its lines, what it refuses, and that it leaves nothing
+// behind.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { readdirSync, readFileSync } from 'node:fs';
--- a/test/support/behaviour-digest.ts
+++ b/test/support/behaviour-digest.ts
@@ -1,5 +1,6 @@
-// A digest of everything that controllers send while drawn histories of concurrent faults are played. Two versions of the
-// sources with equal digests behave alike: same bytes, same order, same simulated times, same random draws.
+// A digest of everything that controllers send while drawn histories of concurrent faults are played. Two
+// versions of the sources with equal digests behave alike: same bytes, same order, same simulated times, same
+// random draws.
 import { createHash, type Hash } from 'node:crypto';
 import fc from 'fast-check';
 import type { Effect } from '../../src/core/base/io.ts';
--- a/test/support/golden-records.ts
+++ b/test/support/golden-records.ts
@@ -1,4 +1,5 @@
-// A world whose key-value store comes to hold a record of every kind, to compare what versions write and read.
+// A world whose key-value store comes to hold a record of every kind, to compare what versions write and
+// read.
 
 import type { StoredEntry } from '../../packages/local-cluster/src/fake-store.ts';
 import type { ForwardedHeartbeat, Heartbeat, PeerMessage } from '../../src/core/base/model.ts';
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -24,7 +24,7 @@
   LEADER_KEY,
 } from '../../src/core/storage/keys.ts';
 import type { Revision, TeamName } from '../../src/types/index.ts';
-import { WALL_CLOCK_START_MS } from './simulated-controllers.ts';
+import { WALL_CLOCK_START_MS } from './in-memory-controllers.ts';
 import { settings } from './simulated-settings.ts';
 import type { SimulatedWorld } from './simulated-world.ts';
 
--- a/test/support/placement-rules.ts
+++ b/test/support/placement-rules.ts
@@ -1,4 +1,5 @@
-// Where the tasks of a job may run by its description, and what is on machines: what all checks of placements share.
+// Where the tasks of a job may run by its description, and what is on machines: what all checks of placements
+// share.
 import type { JobSpec } from '../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../src/types/index.ts';
 
@@ -75,7 +76,8 @@
 export const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
 
 /**
- * What is wrong about a task of the job on this machine, by the job's description and the places of its other tasks.
+ * What is wrong about a task of the job on this machine, by the job's description and the places of its other
+ * tasks.
  *
  * @returns a description of each rule that is broken
  */
--- a/test/support/simulated-heartbeats.ts
+++ b/test/support/simulated-heartbeats.ts
@@ -1,4 +1,5 @@
-// Heartbeats of a simulated world on their way to nodes, with copies that arrive late or once another leader begins.
+// Heartbeats of a simulated world on their way to nodes, with copies that arrive late or once another leader
+// begins.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
--- a/test/support/simulated-tasks.ts
+++ b/test/support/simulated-tasks.ts
@@ -1,4 +1,5 @@
-// Tasks as they run on the machines of a simulated world: for a fixed time, until they are stopped, or as a gang.
+// Tasks as they run on the machines of a simulated world: for a fixed time, until they are stopped, or as a
+// gang.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { RunningTask } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { ExitReason, JobSpec } from '../../src/core/base/model.ts';
--- a/test/support/simulated-world.ts
+++ b/test/support/simulated-world.ts
@@ -1,5 +1,5 @@
-// A small world in memory: key-value store, cloud, machines, users and controllers on one simulated clock, joined by a
-// network that can delay, hold, drop and cut. It checks rules of placement while it runs.
+// A small world in memory: key-value store, cloud, machines, users and controllers on one simulated clock,
+// joined by a network that can delay, hold, drop and cut. It checks rules of placement while it runs.
 
 import type { CloudEnvironment } from '../../packages/local-cluster/src/fake-cloud.ts';
 import { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
--- a/test/support/user-faults.ts
+++ b/test/support/user-faults.ts
@@ -1,4 +1,5 @@
-// What users and the operator do that coincides with faults: cancellations, odd requests, streams of jobs, changed quotas.
+// What users and the operator do that coincides with faults: cancellations, odd requests, streams of jobs,
+// changed quotas.
 import type { JobId } from '../../src/types/index.ts';
 import { type FaultInjectors, type FaultTargets, NO_RECOVERY } from './fault-injection.ts';
 import { sumOf } from './history-run.ts';
