--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -1,4 +1,5 @@
-// The core of one controller: a state machine that takes inputs and returns what to send and answer.
+// The core of one controller: a state machine that takes inputs and returns the messages and responses to
+// send.
 import type { Instant, WallTime } from '../types/index.ts';
 import { FallbackAdmission } from './admission/fallback-admission.ts';
 import { LoadShedder } from './admission/load-shedder.ts';
@@ -24,9 +25,9 @@
 import type { SchedulerOptions } from './scheduling/scheduler.ts';
 import { JobRecordReader } from './storage/job-record-reader.ts';
 
-/** One controller: composes its parts, and hands each input to the part that it concerns. */
+/** One controller: composes its components, and dispatches each input to the component that handles it. */
 export class Controller {
-  /** What this controller knows of jobs that are not its own. */
+  /** Reads the records of jobs that this controller does not hold in memory. */
   readonly jobRecords: JobRecordReader;
   /** The configuration that this controller applies. */
   readonly configuration: Configuration;
@@ -148,7 +149,7 @@
     });
   }
 
-  /** The term of this controller; null while it is not the leader. */
+  /** The current term of this controller; null while it is not the leader. */
   get leaderTerm(): LeaderTerm | null {
     return this.leadership.leaderTerm;
   }
@@ -162,19 +163,21 @@
     return this.status.isReady;
   }
 
-  /** What an operator asks a controller about itself. */
+  /** Describes the state of this controller for operators. */
   describe(): Record<string, unknown> {
     return this.status.describe();
   }
 
-  /** What to answer without looking at the request any further, in overload; null if it is to be served. */
+  /**
+   * The response to a request that is shed under overload without being parsed; null if it is to be served.
+   */
   rejection(op: UserRequest['op']): UserResponse | null {
     const leader = this.election.leader?.node ?? null;
     return this.loadShedder.rejection(op, leader, this.writeBacklogS);
   }
 
   /**
-   * Takes one input, at the given times of the monotonic and the wall clock; returns its effects in order.
+   * Processes one input at the given monotonic and wall-clock times; returns the resulting effects in order.
    */
   step(now: Instant, wall: WallTime, input: Input): Effect[] {
     this.io.beginStep(now, wall);
@@ -209,12 +212,12 @@
     }
   }
 
-  /** Seconds that it takes to write what waits to be written; 0 while this controller is not the leader. */
+  /** Seconds needed to carry out the pending writes; 0 while this controller is not the leader. */
   private get writeBacklogS(): number {
     return this.leaderTerm?.userRequests.backlogS ?? 0;
   }
 
-  /** `queuedMs`: how long the oldest request has waited to be read; `memory`: the part that is in use. */
+  /** `queuedMs`: how long the oldest unread request has waited; `memory`: the fraction of memory in use. */
   private tick(queuedMs: number, memory: number): void {
     this.tickLoad(queuedMs, memory);
     this.connectionBalancer.tick(
@@ -230,7 +233,7 @@
     this.userRequestRouter.tick();
   }
 
-  /** Measures the load, and tells the other controllers of it when it is time. */
+  /** Measures the load, and broadcasts it to the other controllers when a report is due. */
   private tickLoad(queuedMs: number, memory: number): void {
     const backlogS = this.writeBacklogS;
     const load = this.loadShedder.tick(queuedMs, backlogS, memory);
--- a/src/core/controller/command-authority.ts
+++ b/src/core/controller/command-authority.ts
@@ -1,5 +1,5 @@
-// What this controller may do to machines and jobs while its leader lease is held, or has just run out
-// (docs/safety.md).
+// Rules for when this controller may command machines, start tasks and adopt jobs: while it holds the leader
+// lease, and for a bounded time after the lease has expired (docs/safety.md).
 import type { Instant, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -7,17 +7,17 @@
 import type { TermAuthority } from '../leader/term-authority.ts';
 import { LEADER_LEASE_MS, type LeaderElection } from '../membership/leader-election.ts';
 
-/** Milliseconds for each second of a worker's lease, with the drift between two monotonic clocks. */
+/** Milliseconds per second of a worker's lease, including the drift between two monotonic clocks. */
 const LEASE_MS_PER_S = 1001;
-/** Time for what is in transit when the last command is sent. */
+/** Allowance for commands that are still in transit when the command deadline passes. */
 const COMMAND_MARGIN_MS = 1500;
 
-/** Tells whether another controller has said something lately. */
+/** Reports whether another controller has sent a message recently. */
 export interface PeerLiveness {
   isAlive(node: Settings['node']): boolean;
 }
 
-/** What {@link CommandAuthority} depends on. */
+/** Dependencies of {@link CommandAuthority}. */
 export interface CommandAuthorityDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -43,28 +43,30 @@
   }
 
   /**
-   * Whether machines may be commanded and their leases renewed under this term. Fencing tokens keep the
-   * machines of a later leader from this controller's commands; this bound lets a later leader, and a user
-   * who cancelled with it, rely on everything here being gone in time.
+   * Whether machines may be commanded and their leases renewed under this term. Fencing tokens already make
+   * the machines of a later leader reject this controller's commands. The time limit guarantees to a later
+   * leader that the tasks on machines that still follow this controller end within `cancel_s`, and to its
+   * users that the cancellations that it confirmed take effect in time.
    */
   mayCommand(): boolean {
     if (this.election.term === null) return false;
     if (this.election.holdsLease) return true;
-    return this.io.now < this.commandsUntil();
+    return this.io.now < this.commandDeadline();
   }
 
-  private commandsUntil(): Instant {
+  private commandDeadline(): Instant {
     const { cancelS, leaseS } = this.settings.workers;
     const leaderLeaseEnd = this.election.confirmedAt + LEADER_LEASE_MS;
     return (leaderLeaseEnd + cancelS * 1000 - leaseS * LEASE_MS_PER_S - COMMAND_MARGIN_MS) as Instant;
   }
 
   /**
-   * Whether tasks may be started. Beyond its lease a leader that is out of the others' reach can't know
-   * whether one of them has become the leader and has confirmed the cancellation of a job; none of its tasks
-   * may be started from then on. One that hears from them all would learn of that as well, and goes on as in
-   * an outage. But none of them tells it of a change of the configuration that none of them may have read
-   * yet: with documents it starts nothing beyond its lease.
+   * Whether tasks may be started. A leader whose lease has expired and that is cut off from its peers cannot
+   * know whether one of them has become the leader and has confirmed the cancellation of a job; from that
+   * moment no task of the job may be started. A leader that receives messages from all its peers would also
+   * be notified of a new leader, so it continues to start tasks, as during an outage of the state service.
+   * But the peers cannot notify it of a configuration change that they have not read yet: if there are
+   * configuration documents, no task is started after the lease has expired.
    */
   mayStart(): boolean {
     if (this.configuration.isOverdue) return false;
@@ -74,13 +76,13 @@
   }
 
   /**
-   * Whether a job found on record may be adopted: only while no other controller can have become the leader.
+   * Whether a recorded job may be adopted: only while no other controller can have become the leader.
    */
   mayAdopt(term: Revision): boolean {
     return this.election.term === term && this.election.holdsLease;
   }
 
-  /** The same questions for the parts of one term. */
+  /** The same checks, bound to one term. */
   forTerm(term: Revision): TermAuthority {
     return {
       holdsLease: () => this.mayAdopt(term),
--- a/src/core/controller/controller-status.ts
+++ b/src/core/controller/controller-status.ts
@@ -1,5 +1,4 @@
-// What load balancers and operators ask a controller about itself: whether it is ready, and a description of
-// its state.
+// Status of a controller for load balancers and operators: its readiness, and a description of its state.
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -10,7 +9,7 @@
 import type { PeerRegistry } from '../membership/peer-registry.ts';
 import type { Leadership } from './leadership.ts';
 
-/** What {@link ControllerStatus} depends on. */
+/** Dependencies of {@link ControllerStatus}. */
 export interface ControllerStatusDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -31,7 +30,9 @@
     this.dependencies = dependencies;
   }
 
-  /** Whether this controller can serve users: as the leader, by one that it can reach, or from the records. */
+  /**
+   * Whether this controller can serve users: as the leader, through the leader, or from the stored records.
+   */
   get isReady(): boolean {
     const { io, leadership, configuration, machineTypes } = this.dependencies;
     if (leadership.leaderTerm?.failover.isUnreadable) return false;
@@ -41,7 +42,7 @@
     return leadership.election.isStoreReadable && machineTypes.isLoaded;
   }
 
-  /** Whether the leader is this controller, with its records loaded, or one that is connected. */
+  /** Whether the leader is this controller with its records loaded, or another controller connected to it. */
   private get canReachLeader(): boolean {
     const { settings, leadership, peers } = this.dependencies;
     const { leader } = leadership.election;
@@ -50,7 +51,10 @@
     return peers.connectedPeers.has(leader.node);
   }
 
-  /** Cut off from every other controller: without the state service either, any other serves users better. */
+  /**
+   * Whether this controller is cut off from every other controller. If it cannot reach the state service
+   * either, any other controller serves users better.
+   */
   private get isIsolated(): boolean {
     const { settings, peers, forwarder } = this.dependencies;
     if (settings.peers.length === 0) return false;
@@ -61,7 +65,7 @@
     return true;
   }
 
-  /** The description that operators are given as JSON; its keys are their interface. */
+  /** The state as a JSON object for operators; its keys are a public interface. */
   describe(): Record<string, unknown> {
     const { io, settings, leadership, peers, connectionBalancer, loadShedder } = this.dependencies;
     const { leaderTerm, election } = leadership;
--- a/src/core/controller/heartbeat-router.ts
+++ b/src/core/controller/heartbeat-router.ts
@@ -1,5 +1,5 @@
-// Heartbeats at any controller: served here by the leader, else forwarded or relayed to it, deferred until
-// there is one, or redirected.
+// Routes the heartbeats that reach this controller: processed here if it is the leader, else forwarded or
+// relayed to the leader, deferred until one is elected, or redirected to another controller.
 import { type FencingToken, type Instant, NEVER, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type {
@@ -16,7 +16,7 @@
 import type { PeerRegistry } from '../membership/peer-registry.ts';
 import type { Leadership } from './leadership.ts';
 
-/** What {@link HeartbeatRouter} depends on. */
+/** Dependencies of {@link HeartbeatRouter}. */
 export interface HeartbeatRouterDependencies {
   io: ControllerIo;
   self: NodeId;
@@ -27,7 +27,7 @@
   relay: HeartbeatRelay;
 }
 
-/** Routes heartbeats to the leader, by the path that is open. */
+/** Routes heartbeats to the leader over the path that is available. */
 export class HeartbeatRouter {
   private readonly io: ControllerIo;
   private readonly self: NodeId;
@@ -48,7 +48,8 @@
   }
 
   /**
-   * A heartbeat of an agent connected here; with too many of them, it is redirected before anything is read.
+   * A heartbeat of an agent connected here. If too many agents are connected here, this one is redirected
+   * before its heartbeat is processed.
    */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     const target = this.balancer.onHeartbeat(heartbeat.machine);
@@ -56,7 +57,9 @@
     else this.route(heartbeat, respond);
   }
 
-  /** A relayed heartbeat is answered like one that came directly; null: this controller does not lead. */
+  /**
+   * A relayed heartbeat is handled like a direct one; the response is null if this controller does not lead.
+   */
   onRelayedHeartbeat(node: NodeId, id: number, heartbeat: Heartbeat): void {
     const respond = (response: HeartbeatResponse | null) =>
       this.io.emit({ kind: 'peer', node, message: { kind: 'relayed-heartbeat-response', id, response } });
@@ -64,7 +67,7 @@
     else this.route(heartbeat, respond);
   }
 
-  /** A forwarded heartbeat, whole or as a delta; null says that this controller does not lead. */
+  /** A forwarded heartbeat, full or as a delta; the response is null if this controller does not lead. */
   onForwardedHeartbeat(node: NodeId, id: number, heartbeat: ForwardedHeartbeat): void {
     const respond = (response: ForwardedHeartbeatResponse) =>
       this.io.emit({ kind: 'peer', node, message: { kind: 'forwarded-heartbeat-response', id, response } });
@@ -76,7 +79,7 @@
     leaderTerm.onForwardedHeartbeat(heartbeat, respond);
   }
 
-  /** After every input: heartbeats that waited for a leader go to it as soon as there is one. */
+  /** Called after every input: routes the deferred heartbeats as soon as a leader can take them. */
   resumeDeferred(): void {
     const { leader } = this.leadership.election;
     if (leader === null) return;
@@ -87,13 +90,16 @@
     );
   }
 
-  /** Whether the leader, this controller or another, can be handed heartbeats now. */
+  /** Whether heartbeats can reach the leader, this controller or another, at the moment. */
   private isServedBy(leader: LeaderRecord): boolean {
     if (leader.node !== this.self) return this.peers.connectedPeers.has(leader.node);
     return this.leadership.leaderTerm !== null && this.leadership.authority.mayCommand();
   }
 
-  /** Whether the machine has seen a higher token: another leader has taken over, and this term ends. */
+  /**
+   * Whether the machine has seen a higher token, so that another leader has taken over; if so, ends this
+   * term.
+   */
   private isSuperseded(token: FencingToken): boolean {
     const { leaderTerm, election } = this.leadership;
     if (leaderTerm === null || token <= leaderTerm.machines.fencingToken) return false;
@@ -101,7 +107,7 @@
     return true;
   }
 
-  /** `respondBy`: when its agent must be answered, if the heartbeat has waited before. */
+  /** `respondBy`: deadline for the response to the agent, if the heartbeat has been deferred before. */
   private route(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
     if (this.isSuperseded(heartbeat.fencingToken)) return respond({ kind: 'redirect', node: null });
     const { leaderTerm, authority } = this.leadership;
@@ -115,7 +121,7 @@
     this.relay.relay(heartbeat, leader, isConnected, respond);
   }
 
-  /** Whether a leader is about to be elected: an agent that is redirected meanwhile would only come back. */
+  /** Whether a leader will probably be elected soon; an agent redirected before that would only come back. */
   private shouldDefer(leader: LeaderRecord | null, isConnected: boolean): boolean {
     if (isConnected) return leader !== null && this.forwarder.leaderMayHaveEnded(leader.node);
     if (this.peers.connectedPeers.size === 0) return false;
--- a/src/core/controller/leader-requests.ts
+++ b/src/core/controller/leader-requests.ts
@@ -1,5 +1,5 @@
-// Users' requests at the leader: submissions, questions about jobs and cancellations, served under the
-// present term.
+// Handles users' requests at the leader: submissions, status requests and cancellations, served under the
+// current term.
 import type { JobId } from '../../types/index.ts';
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { JobSpec, UserRequest } from '../base/model.ts';
@@ -10,7 +10,7 @@
 import type { LeaderlessRequests } from './leaderless-requests.ts';
 import type { Leadership } from './leadership.ts';
 
-/** What {@link LeaderRequests} depends on. */
+/** Dependencies of {@link LeaderRequests}. */
 export interface LeaderRequestsDependencies {
   leadership: Leadership;
   loadShedder: LoadShedder;
@@ -34,7 +34,7 @@
     this.leaderless = dependencies.leaderless;
   }
 
-  /** Serves the request under the term, which no other controller's can have followed. */
+  /** Serves the request under the term; the caller has checked that no other controller can be the leader. */
   serve(term: LeaderTerm, request: UserRequest, respond: UserResponder): void {
     if (term.failover.isUnreadable) return respond(retryLater('a record on file cannot be read'));
     if (!term.failover.isLoaded) return this.leaderless.serve(request, respond);
@@ -49,9 +49,10 @@
   }
 
   /**
-   * Without its lease or the state service the leader can't confirm a cancellation, but machines still follow
-   * it: what its user has no use for any more ends now, and is marked when the record can be written, if the
-   * term still stands.
+   * Starts a cancellation that cannot be confirmed to the user yet. A leader without its lease or without the
+   * state service cannot confirm it, but machines still execute its commands: the tasks of the job are
+   * stopped now, and the cancellation is recorded once the record can be written, if the term has not ended
+   * by then.
    */
   cancelUnconfirmed(request: UserRequest): void {
     const { leaderTerm } = this.leadership;
@@ -69,7 +70,7 @@
 
   private status(term: LeaderTerm, request: StatusRequest, respond: UserResponder): void {
     const job = term.jobs.openJobs.get(request.id);
-    // Its end or its cancellation is on its way to the record: a moment later it is known.
+    // The write that ends or cancels the job is in progress: respond once its result is known.
     if (job?.terminalWrite?.progress === 'sent') {
       job.afterEnd.push(() => this.serveAgain(term, request, respond));
       return;
--- a/src/core/controller/leaderless-requests.ts
+++ b/src/core/controller/leaderless-requests.ts
@@ -1,12 +1,12 @@
-// Users' requests with no leader in reach: the records still tell a job's state, and new jobs can be put on
-// record.
+// Handles users' requests while no leader can be reached: the status of a job is read from its record, and
+// new jobs are recorded in the store.
 import type { FallbackAdmission } from '../admission/fallback-admission.ts';
 import type { UserRequest } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
 import type { UserResponder } from '../leader/responders.ts';
 import type { JobRecordReader } from '../storage/job-record-reader.ts';
 
-/** Serves users' requests from the records alone. */
+/** Serves users' requests from the stored records, without a leader. */
 export class LeaderlessRequests {
   constructor(
     private readonly jobRecords: JobRecordReader,
@@ -24,7 +24,7 @@
     }
   }
 
-  /** Only the leader cancels; but a job that is over, or that nobody knows, needs none. */
+  /** Only the leader can cancel an open job; a job that has ended or does not exist needs no leader. */
   private cancel(id: Extract<UserRequest, { op: 'cancel' }>['id'], respond: UserResponder): void {
     this.jobRecords.readStatus(id, (response) => {
       const isOpen = response.kind === 'status';
--- a/src/core/controller/leadership.ts
+++ b/src/core/controller/leadership.ts
@@ -1,4 +1,4 @@
-// This controller's part in the leadership: its election, and its term while it is the leader.
+// This controller's leadership: it stands for election, and holds a term while it is the leader.
 import type { NodeId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreCondition, StorePut } from '../base/model.ts';
@@ -17,7 +17,7 @@
 import { CommandAuthority, type PeerLiveness } from './command-authority.ts';
 import type { PeerAnnouncer } from './peer-announcer.ts';
 
-/** What {@link Leadership} depends on. */
+/** Dependencies of {@link Leadership}. */
 export interface LeadershipDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -33,7 +33,7 @@
 
 /** Takes part in the election, and begins and ends the terms of this controller. */
 export class Leadership implements LeaderElectionListener {
-  /** The term of this controller; null while it is not the leader. */
+  /** The current term of this controller; null while it is not the leader. */
   leaderTerm: LeaderTerm | null = null;
   readonly election: LeaderElection;
   readonly authority: CommandAuthority;
@@ -57,13 +57,16 @@
     return this.dependencies.settings.node;
   }
 
-  /** The leader as far as is known, if it is another controller. */
+  /** The last known leader if it is another controller; else null. */
   get remoteLeader(): LeaderRecord | null {
     const { leader } = this.election;
     return leader?.node === this.self ? null : leader;
   }
 
-  /** The term of this controller while no other can be the leader: its responses to users are not stale. */
+  /**
+   * The term of this controller while no other controller can be the leader, so that responses from it are
+   * not stale; else null.
+   */
   get currentTerm(): LeaderTerm | null {
     return this.election.holdsLease ? this.leaderTerm : null;
   }
@@ -115,7 +118,7 @@
     });
   }
 
-  /** A write found another leader; under an earlier term of this controller that is nothing new. */
+  /** A write failed because another leader was elected; ignored if that write belongs to an earlier term. */
   private onSuperseded(term: Revision): void {
     if (this.election.term === term) this.election.stepDown('a write found another leader');
   }
--- a/src/core/controller/peer-announcer.ts
+++ b/src/core/controller/peer-announcer.ts
@@ -1,10 +1,11 @@
-// What this controller tells the others unasked: its hello on a new connection or term, and its load.
+// Unsolicited messages to the other controllers: a hello on a new connection or term change, and load
+// reports.
 import type { NodeId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { PeerMessage } from '../base/model.ts';
 import type { PeerRegistry } from '../membership/peer-registry.ts';
 
-/** The message that tells the other controllers of this one's load. */
+/** The message that reports this controller's load to the other controllers. */
 export type LoadMessage = Extract<PeerMessage, { kind: 'load' }>;
 
 const NO_TERM = 0 as Revision;
@@ -17,7 +18,7 @@
     private readonly peers: PeerRegistry,
   ) {}
 
-  /** Tells one controller what this version supports, and the term that it leads under, if it does. */
+  /** Sends one controller the features that this version supports, and this controller's term if it leads. */
   sendHello(node: NodeId, term: Revision | null): void {
     this.io.emit({
       kind: 'peer',
@@ -33,13 +34,13 @@
     });
   }
 
-  /** Tells all connected controllers that this one has begun or ended a term. */
+  /** Notifies all connected controllers that this controller has begun or ended a term. */
   announceTerm(term: Revision | null): void {
     for (const node of this.peers.connectedPeers) this.sendHello(node, term);
   }
 
   /**
-   * Tells its load to all controllers that take forwarded heartbeats; older versions don't know the message.
+   * Sends the load to all controllers that accept forwarded heartbeats; older versions lack the load message.
    */
   broadcastLoad(load: Omit<LoadMessage, 'kind' | 'leaderTerm'>, term: Revision | null): void {
     for (const node of this.peers.forwardingPeers)
--- a/src/core/controller/peer-message-handler.ts
+++ b/src/core/controller/peer-message-handler.ts
@@ -1,4 +1,4 @@
-// Messages of the other controllers: each is handed to the part that it concerns.
+// Dispatches each message of another controller to the component that handles it.
 import type { NodeId } from '../../types/index.ts';
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -16,7 +16,7 @@
 type Hello = Extract<PeerMessage, { kind: 'hello' }>;
 type Load = Extract<PeerMessage, { kind: 'load' }>;
 
-/** What {@link PeerMessageHandler} depends on. */
+/** Dependencies of {@link PeerMessageHandler}. */
 export interface PeerMessageHandlerDependencies {
   io: ControllerIo;
   election: LeaderElection;
@@ -31,7 +31,7 @@
   userRequestRouter: UserRequestRouter;
 }
 
-/** Takes in what the other controllers send, and that they come and go. */
+/** Handles messages of the other controllers, and their connections and disconnections. */
 export class PeerMessageHandler {
   private readonly dependencies: PeerMessageHandlerDependencies;
 
@@ -79,7 +79,11 @@
     const { io, peers, election } = this.dependencies;
     const { node, leaderTerm } = hello;
     if (peers.onHello(hello))
-      io.log('info', 'peer of an earlier version: jobs with dependencies are refused for now', { node });
+      io.log(
+        'info',
+        'peer does not support job dependencies; jobs with dependencies are refused while it is connected',
+        { node },
+      );
     election.observeLeader(node, leaderTerm);
   }
 
--- a/src/core/controller/response-deadlines.ts
+++ b/src/core/controller/response-deadlines.ts
@@ -1,5 +1,5 @@
-// Users' requests are answered in time, whatever happens inside the service: with a retry when nothing else
-// has come.
+// Deadlines for responses to users: a request that is still unanswered at its deadline gets a `retry`
+// response.
 import { addMs, type Instant } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { UserResponse } from '../base/model.ts';
@@ -12,7 +12,7 @@
   deadline: Instant;
 }
 
-/** Holds the deadlines of the users' requests that are not answered yet. */
+/** Tracks the deadlines of users' requests that have not been answered yet. */
 export class ResponseDeadlines {
   private readonly openRequests = new Set<OpenRequest>();
 
@@ -21,8 +21,11 @@
     private readonly jobRecords: JobRecordReader,
   ) {}
 
-  /** A responder that answers once; if it is not called within the time, the response is to retry. */
-  within(timeoutMs: number, respond: UserResponder): UserResponder {
+  /**
+   * Returns a responder that responds at most once; if it is not called within `timeoutMs`, the user gets a
+   * `retry` response.
+   */
+  withTimeout(timeoutMs: number, respond: UserResponder): UserResponder {
     const request: OpenRequest = { respond, deadline: addMs(this.io.now, timeoutMs) };
     this.openRequests.add(request);
     return (response: UserResponse) => {
@@ -32,7 +35,7 @@
     };
   }
 
-  /** Answers the requests whose time is up. */
+  /** Responds to the requests whose deadline has passed. */
   tick(): void {
     for (const request of this.openRequests) {
       if (this.io.now < request.deadline) continue;
--- a/src/core/controller/user-request-router.ts
+++ b/src/core/controller/user-request-router.ts
@@ -1,5 +1,5 @@
-// Users' requests at any controller: served here by the leader, else forwarded to it, else served without
-// one.
+// Routes users' requests that reach this controller: served here if it is the leader, else forwarded to the
+// leader, else served without a leader.
 import { addMs, type Instant, type NodeId } from '../../types/index.ts';
 import type { LoadShedder } from '../admission/load-shedder.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -19,18 +19,18 @@
   deadline: Instant;
 }
 
-/** When a user is answered at the latest: clients give up questions after 2 s, submissions after 5 s. */
+/** Deadline for the response to a user; clients give up after 2 s (status) or 5 s (submission). */
 const RESPONSE_TIMEOUT_MS = { status: 1500, submit: 3500, cancel: 3500 };
 /**
- * How long the leader may take for a forwarded request. A submission that it does not answer soon is accepted
- * here: at most one of the two records is made.
+ * How long this controller waits for the leader's response to a forwarded request. After that a submission is
+ * accepted here; if the leader accepts it as well, only one of the two records is written.
  */
 const FORWARD_TIMEOUT_MS = { status: 700, submit: 150, cancel: 3000 };
-/** When the leader answers a forwarded request at the latest. */
+/** Deadline for the leader's response to a request that another controller has forwarded. */
 const SERVE_TIMEOUT_MS = { status: 600, submit: 2900, cancel: 2900 };
 const UPGRADE_RETRY_S = 2;
 
-/** What {@link UserRequestRouter} depends on. */
+/** Dependencies of {@link UserRequestRouter}. */
 export interface UserRequestRouterDependencies {
   io: ControllerIo;
   leadership: Leadership;
@@ -41,7 +41,7 @@
   leaderless: LeaderlessRequests;
 }
 
-/** Routes users' requests, and answers each of them once and in time. */
+/** Routes users' requests, and responds to each of them once and before its deadline. */
 export class UserRequestRouter {
   private readonly io: ControllerIo;
   private readonly leadership: Leadership;
@@ -66,7 +66,7 @@
 
   /** A user's request to this controller. */
   onRequest(request: UserRequest, respond: UserResponder): void {
-    const respondOnce = this.deadlines.within(RESPONSE_TIMEOUT_MS[request.op], respond);
+    const respondOnce = this.deadlines.withTimeout(RESPONSE_TIMEOUT_MS[request.op], respond);
     const finalState = this.jobRecords.cachedFinalState(jobIdOf(request));
     if (finalState !== null && finalState.kind === 'ended')
       return respondOnce(request.op === 'submit' ? { ...finalState, kind: 'known' } : finalState);
@@ -78,7 +78,7 @@
   }
 
   /**
-   * A request that another controller has forwarded; a null response says that this one is not the leader.
+   * A request that another controller has forwarded; the response is null if this controller does not lead.
    */
   onForwardedRequest(node: NodeId, id: number, request: UserRequest): void {
     const respond = (response: UserResponse | null) =>
@@ -88,21 +88,21 @@
       this.leaderRequests.cancelUnconfirmed(request);
       return respond(null);
     }
-    const respondOnce = this.deadlines.within(SERVE_TIMEOUT_MS[request.op], respond);
+    const respondOnce = this.deadlines.withTimeout(SERVE_TIMEOUT_MS[request.op], respond);
     if (this.refuseDependencies(request, respondOnce)) return;
     this.leaderRequests.serve(currentTerm, request, respondOnce);
   }
 
-  /** The answer to a request that this controller has forwarded. */
+  /** The response to a request that this controller has forwarded. */
   onForwardedResponse(id: number, response: UserResponse | null): void {
     const forwarded = this.forwardedRequests.get(id);
     if (forwarded === undefined) return;
     this.forwardedRequests.delete(id);
-    if (response === null || !isAbout(response, forwarded.request)) this.serveWithoutLeader(forwarded);
+    if (response === null || !isResponseTo(response, forwarded.request)) this.serveWithoutLeader(forwarded);
     else forwarded.respond(response);
   }
 
-  /** What was forwarded to a leader that is no longer connected will not be answered by it. */
+  /** A disconnected leader will not respond to the forwarded requests: they are served without it. */
   onPeerDisconnected(node: NodeId): void {
     if (this.leadership.election.leader?.node !== node) return;
     for (const [id, forwarded] of this.forwardedRequests) {
@@ -111,7 +111,9 @@
     }
   }
 
-  /** Answers or serves otherwise what has waited for long enough. */
+  /**
+   * Responds to requests whose deadline has passed, and serves overdue forwarded requests without the leader.
+   */
   tick(): void {
     this.deadlines.tick();
     for (const [id, forwarded] of this.forwardedRequests) {
@@ -126,9 +128,9 @@
   }
 
   /**
-   * Whether the submission has dependencies while a controller of an earlier version, which would start the
-   * job at once as the leader, may be connected. Such a job is not accepted; if it is known already, the
-   * response is its status.
+   * Refuses a submission with dependencies while a controller of a version without them may be connected,
+   * which as the leader would start the job at once. If the job was accepted before, the response is its
+   * status. Returns whether the request has been handled here.
    */
   private refuseDependencies(request: UserRequest, respond: UserResponder): boolean {
     if (request.op !== 'submit' || request.spec.dependsOn === undefined) return false;
@@ -154,8 +156,9 @@
   }
 
   /**
-   * How long the leader may take. One that has much to write, and says so, is given more: a second record of
-   * the job made here meanwhile would only fail its transaction, and all else that is in it.
+   * How long to wait for the leader's response. A leader that reports a long write backlog is given more
+   * time: a record of the same job written here meanwhile would make the leader's whole transaction fail,
+   * with all other writes in it.
    */
   private forwardTimeoutMs(op: UserRequest['op'], leader: NodeId): number {
     if (op !== 'submit') return FORWARD_TIMEOUT_MS[op];
@@ -166,6 +169,8 @@
 
 const jobIdOf = (request: UserRequest) => (request.op === 'submit' ? request.spec.id : request.id);
 
-/** A response names its job; one about another job answers a request from before this controller restarted. */
-const isAbout = (response: UserResponse, request: UserRequest): boolean =>
+/**
+ * A response names its job; one for another job belongs to a request sent before this controller restarted.
+ */
+const isResponseTo = (response: UserResponse, request: UserRequest): boolean =>
   !('id' in response) || response.id === jobIdOf(request);
--- a/src/core/leader/early-lease-renewal.ts
+++ b/src/core/leader/early-lease-renewal.ts
@@ -1,4 +1,4 @@
-// Renewal of machines' leases by a new leader that has not read the records yet (docs/safety.md, point 15).
+// Renewal of machines' leases by a new leader before it has read the records (docs/safety.md, point 15).
 import type { FencingToken, Instant, MachineId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -6,32 +6,36 @@
 import { LAST_RECOVERY_KEY } from '../storage/keys.ts';
 import { encodeRecoveryRecord, type RecoveryRecord } from '../storage/shard-records.ts';
 
-/** A heartbeat is sent this long before it is read, at the most: later its agent drops the response. */
+/** Maximum time between sending and processing a heartbeat: its agent drops any later response. */
 const HEARTBEAT_MAX_AGE_MS = 4500;
-/** Wall clocks of controllers are never this far apart: they keep within tens of milliseconds of true time. */
+/** Upper bound on the skew between wall clocks of controllers, which stay within tens of ms of true time. */
 const WALL_CLOCK_SKEW_MS = 1000;
-/** Twice what monotonic clocks drift apart. */
+/** Covers twice the drift between two monotonic clocks. */
 const CLOCK_DRIFT_FACTOR = 1.001;
 
 /**
- * Decides whether a machine may be answered, and its lease renewed, before the records are read. What an
- * earlier leader confirmed as cancelled may run there, and this leader does not know it yet. So the last
- * response that the machine took must have come from a leader that knew: then what was cancelled later was
- * confirmed later, and the machine, first answered within a lease of that response, may be given leases until
- * all must be gone within `cancel_s` of what may have been confirmed. It came from a leader that knew if the
- * machine has seen no later token, and that leader had read the records more than a lease ago: a response
- * from before that has run out.
+ * Decides whether a machine may be answered, and its lease renewed, before the records are read.
+ *
+ * The machine may run tasks whose cancellation an earlier leader has confirmed, which this leader cannot know
+ * yet. Its lease may therefore be renewed only if the last response that the machine accepted came from a
+ * leader that had read all records. Any cancellation that this response did not carry out was confirmed after
+ * it. The machine is first answered here within one lease of that response, and may be given leases as long
+ * as its tasks still end within `cancel_s` of the earliest such confirmation.
+ *
+ * The response came from a leader that had read all records if the latest fencing token that the machine has
+ * seen is that leader's, and if it had read them more than one lease ago: a lease renewed by an earlier
+ * response has expired by now.
  */
 export class EarlyLeaseRenewal {
   private readonly firstAnsweredAt = new Map<MachineId, Instant>();
-  /** For how long after its first response a machine may be given leases; none if negative. */
+  /** How long after its first response a machine may be given leases; if negative, it is given none. */
   private readonly renewalPeriodMs: number;
   private readonly leaseMs: number;
 
   constructor(
     private readonly io: ControllerIo,
     workers: Settings['workers'],
-    /** The last leader before this one that had read all records. */
+    /** The last completed recovery: the latest earlier leader that had read all records. */
     private readonly lastRecovery: RecoveryRecord | null,
   ) {
     const { cancelS, leaseS } = workers;
@@ -40,9 +44,10 @@
   }
 
   /**
-   * Whether the machine, which has seen the token, may be answered; notes that it is, as all callers do so.
+   * Whether the machine, whose latest fencing token is `seenToken`, may be answered. The first time that it
+   * may, the time is recorded, as every caller answers it then.
    */
-  mayRenew(machine: MachineId, seenToken: FencingToken): boolean {
+  tryRenew(machine: MachineId, seenToken: FencingToken): boolean {
     const firstAnsweredAt = this.firstAnsweredAt.get(machine);
     if (firstAnsweredAt !== undefined)
       return this.io.now <= firstAnsweredAt + this.renewalPeriodMs - HEARTBEAT_MAX_AGE_MS;
@@ -51,7 +56,7 @@
     return true;
   }
 
-  /** The records are read: leases are renewed by what they say from now on. */
+  /** The records have been read: from now on leases are renewed by the ordinary rules. */
   end(): void {
     this.firstAnsweredAt.clear();
   }
@@ -63,12 +68,15 @@
   }
 }
 
-/** Puts on record that this leader has read all records: from now on its responses stop what is cancelled. */
+/**
+ * Records that this leader has read all records: from now on its responses to heartbeats stop the tasks of
+ * cancelled jobs.
+ */
 export function recordRecovery(io: ControllerIo, writer: FencedWriter, term: Revision): void {
   const writeId = writer.nextWriteId();
   writer.write({
     conditions: [],
-    // The same value whichever copy is carried out, under this term only.
+    // Needs no further conditions: repeated copies write the same value, and only under this term.
     puts: [{ key: LAST_RECOVERY_KEY, value: encodeRecoveryRecord({ term, at: io.wallTime }, writeId) }],
     deletes: [],
     verifyKey: LAST_RECOVERY_KEY,
--- a/src/core/leader/failover.ts
+++ b/src/core/leader/failover.ts
@@ -1,5 +1,5 @@
-// Failover, from the election of a new leader to the moment when it knows all jobs and what runs where: it
-// reads the records, then reconciles them with the machines.
+// Failover of a new leader, from its election until it knows all jobs and the machine of each running task:
+// it reads the records, then reconciles them with the machines.
 import type { Instant, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobTable } from '../jobs/job-table.ts';
@@ -8,17 +8,17 @@
 import { RecordLoader, type RecordLoaderDependencies, type RecordLoaderListener } from './record-loader.ts';
 import type { RecoveryState } from './recovery-state.ts';
 
-/** What {@link Failover} depends on. */
+/** Dependencies of {@link Failover}. */
 export type FailoverDependencies = Omit<RecordLoaderDependencies, 'listener'>;
 
-/** The first steps of a new leader. */
+/** Rebuilds the state of a new leader: loads the records, then reconciles the machines. */
 export class Failover implements RecoveryState, RecordLoaderListener {
   isComplete = false;
-  /** All jobs on record are known. */
+  /** Called when all recorded jobs have been read. */
   onJobsLoaded: () => void = () => {};
-  /** All records have been read. */
+  /** Called when all records have been read. */
   onLoaded: () => void = () => {};
-  /** Every recorded machine has sent a heartbeat, or is certainly empty. */
+  /** Called when every recorded machine has sent a heartbeat, or is certain to run no tasks. */
   onComplete: () => void = () => {};
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
@@ -34,22 +34,25 @@
     this.machineReconciliation = new MachineReconciliation(dependencies);
   }
 
-  /** Jobs and machines of the earlier terms are known. */
+  /** Whether all records of the earlier terms have been read. */
   get isLoaded(): boolean {
     return this.recordLoader.isLoaded;
   }
 
-  /** A record is of a version that this program does not know: nothing is served on a guess. */
+  /** Whether a record has a version that this program does not know; no requests are served in that case. */
   get isUnreadable(): boolean {
     return this.recordLoader.isUnreadable;
   }
 
-  /** Jobs put on record after this revision have not been read. */
+  /** The revision as of which jobs were read: jobs recorded after it have not been read. */
   get jobsReadAt(): Revision {
     return this.recordLoader.jobsReadAt;
   }
 
-  /** `holdsLease`: no other leader can exist, whose machines would be taken for silent here. */
+  /**
+   * `holdsLease`: no other leader can exist, so machines without a heartbeat here are not in contact with
+   * one.
+   */
   tick(holdsLease: boolean): void {
     if (!this.isLoaded) this.recordLoader.tick();
     else if (!this.isComplete && this.machineReconciliation.tick(holdsLease)) this.complete();
@@ -62,7 +65,7 @@
     this.io.log('info', 'records loaded', this.counts());
   }
 
-  /** This controller may itself have answered the machines while it read the records. */
+  /** This controller may have answered machines, and so renewed their leases, while it read the records. */
   private extendLeases(): void {
     const { leaseExpiryFromNow } = this.machines;
     for (const machine of this.machines.byId.values())
--- a/src/core/leader/heartbeat-handler.ts
+++ b/src/core/leader/heartbeat-handler.ts
@@ -1,5 +1,5 @@
-// Heartbeats at the leader: read into the machine table and answered with commands, or kept until the records
-// are read.
+// Processes heartbeats at the leader: applies them to the machine table and responds with commands, or queues
+// them until the records have been read.
 import { addMs, type Instant, NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { ForwardedHeartbeat, Heartbeat } from '../base/model.ts';
@@ -15,18 +15,20 @@
 
 type DeltaHeartbeat = Extract<ForwardedHeartbeat, { kind: 'delta' }>;
 
-/** How long a heartbeat waits for the records to be read; agents give up after 4 s. */
+/** How long a heartbeat waits until the records have been read; agents give up after 4 s. */
 const PENDING_TIMEOUT_MS = 3300;
-/** A heartbeat that had to wait for the records is answered this soon after it has been read. */
+/**
+ * Extra time for the response to a heartbeat that has waited for the records, after its wait deadline.
+ */
 const RESPONSE_AFTER_WAIT_MS = 500;
 /**
- * So many pending heartbeats are read on a tick and, as other inputs come, so many with each: the heartbeats
- * of a whole fleet must not delay the timer.
+ * Number of pending heartbeats that are processed per tick, and after each other input: processing those of a
+ * whole fleet at once would delay the timer.
  */
 const PENDING_PER_TICK = 30;
 const PENDING_PER_STEP = 2;
 
-/** What {@link HeartbeatHandler} depends on. */
+/** Dependencies of {@link HeartbeatHandler}. */
 export interface HeartbeatHandlerDependencies {
   io: ControllerIo;
   machines: MachineTable;
@@ -36,14 +38,14 @@
   machineAdoption: MachineAdoption;
 }
 
-/** Takes heartbeats in under the token of one term; its callers have checked that it may command machines. */
+/** Processes heartbeats under the fencing token of one term; callers check that it may command machines. */
 export class HeartbeatHandler {
   private readonly machines: MachineTable;
   private readonly recovery: RecoveryState;
   private readonly heldResponses: HeldResponses;
   private readonly earlyLeaseRenewal: EarlyLeaseRenewal;
   private readonly machineAdoption: MachineAdoption;
-  /** Heartbeats that came before the records were read. */
+  /** Heartbeats that arrived before the records were read. */
   private readonly pendingHeartbeats: PendingHeartbeats;
 
   constructor(dependencies: HeartbeatHandlerDependencies) {
@@ -56,24 +58,27 @@
   }
 
   /**
-   * The response to an idle machine is held for a moment, so that work arriving meanwhile starts without
-   * waiting for the next heartbeat. `respondBy`: when the agent must be answered, if its heartbeat has waited
-   * before.
+   * Processes a heartbeat. The response to an idle machine is held for a short time, so that work that
+   * arrives meanwhile starts without waiting for the next heartbeat. `respondBy`: deadline for the response,
+   * if the heartbeat has waited before.
    */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
     if (!this.recovery.isLoaded) return this.onEarlyHeartbeat(heartbeat, respond, respondBy);
     const machine = this.machines.byId.get(heartbeat.machine) ?? this.machineAdoption.adopt(heartbeat);
     if (machine === null) return respond({ kind: 'redirect', node: null });
     const commands = this.machines.onHeartbeat(machine, heartbeat);
-    if (commands === null) return this.onOldHeartbeat(machine, heartbeat, respond);
-    // Only a newer heartbeat shows it: a late copy sent the agent away from the response that was held for
-    // it.
+    if (commands === null) return this.onStaleHeartbeat(machine, heartbeat, respond);
+    // Only a newer heartbeat shows that the agent no longer waits for the held response. Released for a late
+    // copy of an old heartbeat, the response would redirect an agent that still waits for it.
     this.heldResponses.release(machine);
     if (machine.isReconciled) this.machines.register(machine);
     this.heldResponses.add(machine, commands, respond, respondBy);
   }
 
-  /** A delta is read only if the heartbeat that it builds on was the last read; else the whole is required. */
+  /**
+   * A delta is applied only to the heartbeat that was processed last; otherwise a full heartbeat is
+   * requested.
+   */
   onForwardedHeartbeat(forwarded: ForwardedHeartbeat, respond: ForwardedHeartbeatResponder): void {
     if (forwarded.kind === 'full') return this.onHeartbeat(forwarded.heartbeat, respond);
     if (!this.recovery.isLoaded) return this.onEarlyDelta(forwarded, respond);
@@ -82,30 +87,31 @@
     else this.onHeartbeat(heartbeat, respond);
   }
 
-  /** `mayCommand`: any response under the token renews a lease, so past that bound none is given. */
+  /** `mayCommand`: if false, agents are redirected, as any response with the fencing token renews a lease. */
   tick(mayCommand: boolean): void {
-    if (mayCommand) this.readPending(PENDING_PER_TICK);
+    if (mayCommand) this.processPending(PENDING_PER_TICK);
     else this.close();
   }
 
-  /** After any input, once the records are read. */
+  /** Called after any input, once the records have been read. */
   afterInput(): void {
-    this.readPending(PENDING_PER_STEP);
+    this.processPending(PENDING_PER_STEP);
   }
 
-  /** The term is over: agents are redirected. */
+  /** The term has ended: redirects the agents that wait for a response. */
   close(): void {
     for (const pending of this.pendingHeartbeats.take()) pending.respond({ kind: 'redirect', node: null });
   }
 
   /**
-   * Raising the token is all that may be done before the records are read. A heartbeat sent after that waits
-   * for them: answered unread, the next one to be read would come a whole heartbeat interval later.
+   * Before the records are read, a response may only give the machine this term's fencing token. A heartbeat
+   * that already carries this token waits for the records: if it were answered without being processed, the
+   * next heartbeat of the machine would arrive only one heartbeat interval later.
    */
   private onEarlyHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant): void {
     const { fencingToken } = this.machines;
     const { machine, fencingToken: seenToken } = heartbeat;
-    if (seenToken !== fencingToken && this.earlyLeaseRenewal.mayRenew(machine, seenToken))
+    if (seenToken !== fencingToken && this.earlyLeaseRenewal.tryRenew(machine, seenToken))
       respond({ kind: 'commands', fencingToken, commands: [] });
     else this.pendingHeartbeats.add(heartbeat, respond, respondBy);
   }
@@ -113,21 +119,21 @@
   private onEarlyDelta(delta: DeltaHeartbeat, respond: ForwardedHeartbeatResponder): void {
     const { fencingToken } = this.machines;
     const { machine, fencingToken: seenToken } = delta;
-    if (seenToken !== fencingToken && this.earlyLeaseRenewal.mayRenew(machine, seenToken))
+    if (seenToken !== fencingToken && this.earlyLeaseRenewal.tryRenew(machine, seenToken))
       respond({ kind: 'commands', fencingToken, commands: [] });
     else respond({ kind: 'full-heartbeat-required' });
   }
 
-  /** Not newer than what is known: its task list says nothing, and its agent has mostly given up waiting. */
-  private onOldHeartbeat(machine: Machine, heartbeat: Heartbeat, respond: HeartbeatResponder): void {
+  /** A heartbeat not newer than the last processed one: its task list is ignored; mostly nobody awaits it. */
+  private onStaleHeartbeat(machine: Machine, heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     if (!machine.mayRespondTo(heartbeat)) return respond({ kind: 'redirect', node: null });
     const { fencingToken } = this.machines;
     this.machines.renewLease(machine);
-    // The agent takes one response to it, and this may be the one: stop commands are repeated.
+    // The agent accepts only one response to the heartbeat, possibly this one, so stop commands are repeated.
     respond({ kind: 'commands', fencingToken, commands: this.machines.commandsFor(machine) });
   }
 
-  /** The heartbeat that a delta stands for; null if it does not build on the last one that was read. */
+  /** The full heartbeat that the delta encodes; null if its base is not the last processed heartbeat. */
   private restoreHeartbeat(delta: DeltaHeartbeat): Heartbeat | null {
     const machine = this.machines.byId.get(delta.machine);
     if (machine === undefined || machine.addr === null || machine.lastTaskList === null) return null;
@@ -148,8 +154,8 @@
     };
   }
 
-  /** Reads up to `limit` pending heartbeats once the records are read; answers those that waited too long. */
-  private readPending(limit: number): void {
+  /** Processes up to `limit` pending heartbeats once the records are read; answers those that are overdue. */
+  private processPending(limit: number): void {
     if (this.recovery.isLoaded) {
       this.earlyLeaseRenewal.end();
       for (const { heartbeat, respond, until } of this.pendingHeartbeats.take(limit))
@@ -157,7 +163,7 @@
     }
     const { fencingToken } = this.machines;
     for (const { heartbeat, respond } of this.pendingHeartbeats.takeOverdue())
-      if (this.earlyLeaseRenewal.mayRenew(heartbeat.machine, heartbeat.fencingToken))
+      if (this.earlyLeaseRenewal.tryRenew(heartbeat.machine, heartbeat.fencingToken))
         respond({ kind: 'commands', fencingToken, commands: [] });
       else respond({ kind: 'redirect', node: null });
   }
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -1,4 +1,4 @@
-// Responses to heartbeats that are held for a moment: work that comes or is placed meanwhile starts at once,
+// Holds responses to heartbeats for a short time: work that arrives or is placed meanwhile starts at once,
 // instead of waiting for the machine's next heartbeat.
 import { addMs, type Instant, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -8,9 +8,11 @@
 import type { HeartbeatResponder } from './responders.ts';
 import type { TermAuthority } from './term-authority.ts';
 
-/** How long the response to a busy machine with free capacity waits for the next scheduling cycle, at most. */
+/**
+ * Maximum time that the response to a busy machine with free capacity waits for the next scheduling cycle.
+ */
 const CYCLE_WAIT_MAX_MS = 300;
-/** Longest time for which the response to a machine without commands is held; agents wait for 4 s. */
+/** Maximum time that a response without commands is held; agents wait for 4 s. */
 const HOLD_MAX_MS = 2800;
 
 interface HeldResponse {
@@ -20,16 +22,16 @@
   heldUntil: Instant;
   /** No scheduling cycle has run since the heartbeat. */
   isBeforeCycle: boolean;
-  /** What is on the machine does not end by itself. */
+  /** The machine runs services only, or nothing: no task on it ends by itself. */
   runsServicesOnly: boolean;
 }
 
-/** Tells whether a scheduling cycle is due that may bind work to machines. */
+/** Reports whether a scheduling cycle is due that may bind work to machines. */
 export interface CycleState {
   readonly hasPendingCycle: boolean;
 }
 
-/** What {@link HeldResponses} depends on. */
+/** Dependencies of {@link HeldResponses}. */
 export interface HeldResponsesDependencies {
   io: ControllerIo;
   machines: MachineTable;
@@ -39,7 +41,7 @@
   authority: TermAuthority;
 }
 
-/** Holds the responses to heartbeats of machines that have nothing to do but could take work. */
+/** Holds the responses to heartbeats of machines that have no commands pending but have free capacity. */
 export class HeldResponses {
   private readonly held = new Map<MachineId, HeldResponse>();
   private readonly holdMs: number;
@@ -47,7 +49,7 @@
   private readonly machines: MachineTable;
   private readonly scheduler: CycleState;
   private readonly authority: TermAuthority;
-  /** One function for all calls: starts are tried for every held response after every scheduling cycle. */
+  /** Created once, as starts are tried for every held response after every scheduling cycle. */
   private readonly mayStart = (): boolean => this.authority.mayStart();
 
   constructor(dependencies: HeldResponsesDependencies) {
@@ -55,7 +57,7 @@
     this.machines = dependencies.machines;
     this.scheduler = dependencies.scheduler;
     this.authority = dependencies.authority;
-    // Agents give up after 4 s; and they report a change on the machine only once the last heartbeat is
+    // Agents give up after 4 s, and report a change on the machine only after the last heartbeat has been
     // answered.
     this.holdMs = Math.min(HOLD_MAX_MS, dependencies.heartbeatS * 1000);
   }
@@ -65,7 +67,8 @@
   }
 
   /**
-   * The heartbeat is answered at once if there are commands, else within a moment, and before `respondBy`.
+   * Responds to the heartbeat at once if there are commands; otherwise holds the response, at most until
+   * `respondBy`.
    */
   add(machine: Machine, commands: Command[], respond: HeartbeatResponder, respondBy: Instant): void {
     const heldUntil = Math.min(addMs(this.io.now, this.holdMs), respondBy) as Instant;
@@ -82,12 +85,12 @@
     this.respondIfDue(response);
   }
 
-  /** Sends the responses that have commands, or whose time is up. */
+  /** Sends the responses that have commands, or that may not be held any longer. */
   respondDue(): void {
     for (const response of this.held.values()) this.respondIfDue(response);
   }
 
-  /** A scheduling cycle has run: what it has bound to machines whose responses are held starts. */
+  /** A scheduling cycle has run: starts the tasks that it has bound to machines whose responses are held. */
   onCycle(): void {
     for (const response of this.held.values()) {
       response.isBeforeCycle = false;
@@ -95,7 +98,9 @@
     }
   }
 
-  /** A newer heartbeat shows that the agent no longer waits for the response to the last one. */
+  /**
+   * Ends the held response with a redirect: a newer heartbeat shows that the agent no longer waits for it.
+   */
   release(machine: Machine): void {
     const response = this.held.get(machine.id);
     if (response === undefined) return;
@@ -103,7 +108,7 @@
     response.respond({ kind: 'redirect', node: null });
   }
 
-  /** The term is over: agents are redirected. */
+  /** The term has ended: redirects the agents whose responses are held. */
   close(): void {
     for (const { respond } of this.held.values()) respond({ kind: 'redirect', node: null });
     this.held.clear();
@@ -112,24 +117,24 @@
   private respondIfDue(response: HeldResponse): void {
     const { machine, commands } = response;
     commands.push(...this.machines.startQueued(machine, this.mayStart));
-    if (this.io.now < response.heldUntil && this.mayWait(response)) return;
+    if (this.io.now < response.heldUntil && this.mayHold(response)) return;
     this.held.delete(machine.id);
     this.machines.renewLease(machine);
-    if (!this.authority.holdsLease()) this.logBeyondLease(machine);
+    if (!this.authority.holdsLease()) this.logResponseAfterLease(machine);
     response.respond({ kind: 'commands', fencingToken: this.machines.fencingToken, commands });
   }
 
-  /** Which machines still follow a refused leader; scripts/refused-leader.ts reads this. */
-  private logBeyondLease(machine: Machine): void {
+  /** Logs a machine that still follows a leader without a lease; scripts/refused-leader.ts reads this. */
+  private logResponseAfterLease(machine: Machine): void {
     const jobs = new Set([...machine.assignments.values()].map((assignment) => assignment.job.id));
     this.io.log('debug', 'answered after the leader lease expired', { machine: machine.id, jobs: [...jobs] });
   }
 
-  private mayWait(response: HeldResponse): boolean {
+  private mayHold(response: HeldResponse): boolean {
     return this.awaitsCycle(response) || this.awaitsWork(response);
   }
 
-  /** Work waits that the next scheduling cycle, which is due at once, may bind to this machine. */
+  /** Whether the next scheduling cycle, which is due at once, may bind waiting work to this machine. */
   private awaitsCycle({ machine, heldUntil, isBeforeCycle }: HeldResponse): boolean {
     if (!isBeforeCycle || !this.scheduler.hasPendingCycle) return false;
     if (machine.indexPosition === null || machine.freeCpus <= 0) return false;
@@ -138,9 +143,9 @@
   }
 
   /**
-   * There are no commands for the machine before long, and it has capacity for work that may come: it is
-   * idle, or has services only, which do not end by themselves. With anything else on it the response goes at
-   * once, as the end of a task would be reported late.
+   * Whether the machine has no commands pending and has capacity for work that may arrive: it is idle, or
+   * runs services only, which do not end by themselves. For a machine with other tasks the response is sent
+   * at once, since the end of a task would otherwise be reported late.
    */
   private awaitsWork({ machine, commands, runsServicesOnly }: HeldResponse): boolean {
     if (commands.length > 0 || !machine.isReconciled || machine.drainReason !== null) return false;
--- a/src/core/leader/job-lifecycle.ts
+++ b/src/core/leader/job-lifecycle.ts
@@ -1,4 +1,4 @@
-// What the parts of a term do when a job is accepted, becomes ready, ends, or is closed on record.
+// Handles the events of jobs during a term: a job is accepted, becomes ready, ends, or is recorded as closed.
 import type { Autoscaler } from '../autoscaling/autoscaler.ts';
 import type { Dependencies } from '../jobs/dependencies.ts';
 import type { Job } from '../jobs/job.ts';
@@ -7,7 +7,7 @@
 import type { Scheduler } from '../scheduling/scheduler.ts';
 import type { UsageAccounting } from '../teams/usage-accounting.ts';
 
-/** What {@link JobLifecycle} depends on. */
+/** Dependencies of {@link JobLifecycle}. */
 export interface JobLifecycleDependencies {
   jobs: JobTable;
   machines: MachineTable;
@@ -17,7 +17,7 @@
   usageAccounting: UsageAccounting;
 }
 
-/** Passes the events of jobs on to the parts of a term that they concern. */
+/** Dispatches the events of jobs to the components of a term that handle them. */
 export class JobLifecycle {
   private readonly jobs: JobTable;
   private readonly machines: MachineTable;
@@ -51,7 +51,7 @@
   }
 
   private onReady(job: Job): void {
-    // Read from the records after a failover, it may have become ready long ago.
+    // A job with unlocated tasks was restored by a failover, and may have become ready long ago.
     if (job.unlocatedTasks === 0) this.autoscaler.spareCapacity.onJobReady(job);
     this.scheduler.requestCycle();
   }
--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -1,5 +1,5 @@
-// What a leader does during one term; each term starts with a new one of these. Composes the parts of the
-// term, and ticks them in order.
+// One term of a leader, from its election until it loses the leadership. Composes the components of the term,
+// and ticks them in order.
 import { addMs, type Instant, LONG_AGO, NEVER, type Revision } from '../../types/index.ts';
 import type { Autoscaler } from '../autoscaling/autoscaler.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -37,28 +37,28 @@
 import { UserRequestHandler } from './user-request-handler.ts';
 
 const SCORE_REFRESH_MS = 500;
-/** Capacity is kept for what is expected to come within this time. */
-const EXPECTED_ARRIVALS_MS = 20_000;
+/** Capacity is kept free for the jobs expected to arrive within this time. */
+const ARRIVAL_FORECAST_MS = 20_000;
 
-/** What {@link LeaderTerm} depends on. */
+/** Dependencies of {@link LeaderTerm}. */
 export interface LeaderTermDependencies {
   io: ControllerIo;
   settings: Settings;
   options: SchedulerOptions;
-  /** The record of the leader at the revision of this term: the condition of all writes. */
+  /** The leader key at the revision of this term: the condition of all writes. */
   fencingCondition: FencingCondition;
   configuration: Configuration;
   peers: Pick<PeerRegistry, 'configRevisions'>;
   machineTypes: MachineTypeCatalog;
   jobRecords: JobRecordReader;
-  /** The last leader before this one that had read all records. */
+  /** The last completed recovery: the latest earlier leader that had read all records. */
   lastRecovery: RecoveryRecord | null;
   authority: TermAuthority;
-  /** A write found that another leader has taken over. */
+  /** Called when a write fails because another leader has taken over. */
   onSuperseded: () => void;
 }
 
-/** One term of a leader. */
+/** One term of a leader; every term has a new instance. */
 export class LeaderTerm {
   readonly jobs: JobTable;
   readonly machines: MachineTable;
@@ -83,7 +83,7 @@
   private readonly overQuotaEviction: OverQuotaEviction;
   private readonly termConfiguration: TermConfiguration;
   private acceptedJobsWatch: AcceptedJobsWatch | null = null;
-  private nextScoreRefresh: Instant = LONG_AGO;
+  private nextScoreRefreshAt: Instant = LONG_AGO;
 
   constructor(dependencies: LeaderTermDependencies) {
     const { io, settings, options, configuration, machineTypes, authority } = dependencies;
@@ -192,7 +192,7 @@
     this.rollout.onApplied(change);
   }
 
-  /** Moves the leader record to another key, in a transaction of its own; null if it was not made so. */
+  /** Moves the leader record to another key in a separate transaction; the result is null if that failed. */
   migrateLeaderKey(
     conditions: StoreCondition[],
     puts: StorePut[],
@@ -212,7 +212,7 @@
 
   /** `mayCommand`: machines may be commanded, and their leases renewed. */
   tick(mayCommand: boolean): void {
-    if (this.termConfiguration.isKnown) this.failover.tick(this.authority.holdsLease());
+    if (this.termConfiguration.isInitialRevisionApplied) this.failover.tick(this.authority.holdsLease());
     this.writer.tick();
     this.dependencies.tick();
     this.heartbeatHandler.tick(mayCommand);
@@ -239,35 +239,37 @@
   }
 
   private tickMachines(mayCommand: boolean): void {
-    const isCertain = this.failover.isComplete && mayCommand;
+    const canCommandFleet = this.failover.isComplete && mayCommand;
     this.state.registry.tick();
     this.machines.tick(this.authority.holdsLease(), mayCommand);
-    this.autoscaler.tick(isCertain, this.authority.holdsLease());
+    this.autoscaler.tick(canCommandFleet, this.authority.holdsLease());
     this.rollout.tick(this.authority.holdsLease());
-    this.overQuotaEviction.tick(isCertain);
+    this.overQuotaEviction.tick(canCommandFleet);
   }
 
   private refreshScores(): void {
-    if (this.io.now < this.nextScoreRefresh) return;
-    this.nextScoreRefresh = addMs(this.io.now, SCORE_REFRESH_MS);
+    if (this.io.now < this.nextScoreRefreshAt) return;
+    this.nextScoreRefreshAt = addMs(this.io.now, SCORE_REFRESH_MS);
     this.scheduling.binPacking.refresh(
       this.jobs.openJobs.values(),
       this.capacityIndex,
-      (jobClass) => this.autoscaler.spareCapacity.expectedArrivals(jobClass, EXPECTED_ARRIVALS_MS),
+      (jobClass) => this.autoscaler.spareCapacity.expectedArrivals(jobClass, ARRIVAL_FORECAST_MS),
       (job) => this.quota.allowedTasks(job),
     );
-    // Queue timeouts and back-offs end without any input.
+    // Queue timeouts and back-offs expire without an input that would request a cycle.
     this.scheduler.requestCycle();
   }
 
-  /** After any input: work that has come may start at once on a machine whose response is held. */
+  /** Called after any input: new work may start at once on a machine whose response is held. */
   afterInput(): void {
     if (!this.failover.isLoaded) return;
     this.heartbeatHandler.afterInput();
     if (this.scheduler.runCycle()) this.heldResponses.onCycle();
   }
 
-  /** Takes a heartbeat in under this term's token; the caller has checked that it may command machines. */
+  /**
+   * Processes a heartbeat under this term's fencing token; the caller checks that it may command machines.
+   */
   onHeartbeat(heartbeat: Heartbeat, respond: HeartbeatResponder, respondBy: Instant = NEVER): void {
     this.heartbeatHandler.onHeartbeat(heartbeat, respond, respondBy);
   }
@@ -277,7 +279,7 @@
     this.heartbeatHandler.onForwardedHeartbeat(heartbeat, respond);
   }
 
-  /** The term is over: agents are redirected. */
+  /** The term has ended: redirects the agents that wait for a response. */
   close(): void {
     this.heartbeatHandler.close();
     this.heldResponses.close();
@@ -291,7 +293,8 @@
   }
 
   /**
-   * How long a start command for the machine waits for its next heartbeat; not at all if a response is held.
+   * Seconds until a start command can be sent to the machine, in the response to its next heartbeat; 0 if a
+   * response is held.
    */
   private commandDelayS(machine: Machine): number {
     if (this.heldResponses.has(machine)) return 0;
--- a/src/core/leader/machine-adoption.ts
+++ b/src/core/leader/machine-adoption.ts
@@ -1,4 +1,5 @@
-// Machines that nobody expected: rented by a request that was never answered, or by an earlier leader.
+// Adds machines that are not in the machine table: rented by a request whose response was lost, or by an
+// earlier leader.
 import { NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat } from '../base/model.ts';
@@ -7,7 +8,7 @@
 import type { MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
 import type { TermAuthority } from './term-authority.ts';
 
-/** Takes unknown machines that send heartbeats into the machine table. */
+/** Adds unknown machines that send heartbeats to the machine table. */
 export class MachineAdoption {
   constructor(
     private readonly io: ControllerIo,
@@ -21,7 +22,7 @@
     const { machine, zone, spot } = heartbeat;
     const type = this.machineTypes.types.get(heartbeat.type);
     if (type === undefined || this.machines.tombstones.has(machine)) return null;
-    // Out of the others' reach nothing is started: the machine may serve whoever is the leader by now.
+    // A leader that may start no tasks adopts no machines: another leader may already be using the machine.
     if (!this.authority.mayStart()) return null;
     this.io.log('info', 'machine adopted from its heartbeat', { machine });
     return this.machines.addMachine(machine, type, zone, spot, NEVER);
--- a/src/core/leader/machine-reconciliation.ts
+++ b/src/core/leader/machine-reconciliation.ts
@@ -1,4 +1,4 @@
-// The second step of a failover: the new leader finds out from the recorded machines what runs where.
+// Second step of a failover: the new leader learns from each recorded machine which tasks it runs.
 import { type Instant, LONG_AGO, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, WorkerReply } from '../base/model.ts';
@@ -8,18 +8,26 @@
 import type { MachineTable } from '../machines/machine-table.ts';
 
 const PROBE_INTERVAL_MS = 2000;
-/** Only so many machines are probed at a time; most send a heartbeat by themselves within an interval. */
+/** A low limit is enough: most machines send a heartbeat by themselves within one interval. */
 const MAX_CONCURRENT_PROBES = 16;
-/** Up to this part of the fleet counts as a few: what they run is worth less than what waits for them. */
+/**
+ * Up to this fraction of the fleet counts as few silent machines, which are released earlier: the waiting
+ * work is worth more than the tasks that they run.
+ */
 const FEW_MACHINES_FRACTION = 0.01;
-/** An agent whose controller has gone waits for 4 s, and 1 s more before it tries the next. */
+/**
+ * An agent whose controller has crashed waits 4 s for a response, and 1 s more before it tries the next one.
+ */
 const AGENT_RETRY_MS = 5500;
-/** More machines are given several intervals, and at least so long, as something else may keep them away. */
+/**
+ * A larger number of silent machines gets several heartbeat intervals, and at least the minimum time: their
+ * silence may have another cause than their loss.
+ */
 const MANY_MACHINES_INTERVALS = 3;
 const MANY_MACHINES_MIN_MS = 8000;
 const MANY_MACHINES_MARGIN_MS = 4000;
 
-/** What {@link MachineReconciliation} depends on. */
+/** Dependencies of {@link MachineReconciliation}. */
 export interface MachineReconciliationDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -27,9 +35,9 @@
   machines: MachineTable;
 }
 
-/** Probes recorded machines that have sent no heartbeat yet, and returns those that stay silent. */
+/** Probes recorded machines that have sent no heartbeat yet, and releases those that stay silent. */
 export class MachineReconciliation {
-  /** Machines are given time to send a heartbeat from here, however long reading the records took. */
+  /** Start of the time that machines have to send a heartbeat; excludes the time for reading the records. */
   private startedAt: Instant = LONG_AGO;
   private readonly probedAt = new Map<MachineId, Instant>();
   private openProbes = 0;
@@ -45,15 +53,15 @@
     this.machines = dependencies.machines;
   }
 
-  /** The records have just been read. */
+  /** Starts the time limit for heartbeats; called when the records have been read. */
   begin(): void {
     this.startedAt = this.io.now;
   }
 
   /**
    * Probes the machines that have sent no heartbeat under this term, and fences those that stay silent by
-   * returning them; true once there are none. `holdsLease`: no other leader can exist, to which they may be
-   * speaking.
+   * releasing them to the cloud. Returns true once no machine is left to reconcile. `holdsLease`: no other
+   * leader can exist that may be receiving their heartbeats.
    */
   tick(holdsLease: boolean): boolean {
     const silentMachines = this.silentMachines();
@@ -94,9 +102,9 @@
   }
 
   private probe(machine: Machine): void {
-    const lastProbe = this.probedAt.get(machine.id) ?? LONG_AGO;
+    const lastProbedAt = this.probedAt.get(machine.id) ?? LONG_AGO;
     if (machine.addr === null || this.openProbes >= MAX_CONCURRENT_PROBES) return;
-    if (this.io.now - lastProbe < PROBE_INTERVAL_MS) return;
+    if (this.io.now - lastProbedAt < PROBE_INTERVAL_MS) return;
     this.openProbes++;
     this.probedAt.set(machine.id, this.io.now);
     const agentEpoch = Math.max(1, machine.agentEpoch);
@@ -108,14 +116,14 @@
 
   private onProbeReply(machine: Machine, reply: WorkerReply): void {
     if (reply.kind !== 'heartbeat' || this.machines.byId.get(machine.id) !== machine) return;
-    // Once the machine is in use, only its own heartbeats tell what is not on it: a start command that
-    // answered one of them may still be under way when this reply is made.
+    // Once a machine is reconciled, only its own heartbeats show that a task is not on it: a start command
+    // sent in response to one of them may still be in transit when the machine replies to the probe.
     if (machine.isReconciled) return;
-    // Its address may be another machine's by now.
+    // The address may have been reassigned to another machine.
     if (reply.heartbeat.machine !== machine.id) return;
     const expectedEpoch = machine.agentEpoch;
     this.machines.onHeartbeat(machine, reply.heartbeat, true);
-    // The agent epoch was another: probe again at once with the right one.
+    // The expected agent epoch was wrong: probe again at once with the one from the reply.
     if (!reply.executed && reply.heartbeat.agentEpoch !== expectedEpoch) this.probedAt.delete(machine.id);
   }
 }
--- a/src/core/leader/over-quota-eviction.ts
+++ b/src/core/leader/over-quota-eviction.ts
@@ -1,5 +1,6 @@
-// What a team uses above a limit that was lowered while its tasks ran: nothing more of it is started, what is
-// queued at machines waits again, and what runs ends by itself or is stopped, as the team's document says.
+// Handles teams whose usage is above a limit that was lowered while their tasks ran: no more of their tasks
+// are started, tasks queued at machines are dequeued to wait for placement again, and running tasks end by
+// themselves or are stopped, as the team's configuration document specifies.
 import { addMs, type Instant, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Team } from '../base/model.ts';
@@ -12,15 +13,15 @@
 
 const CHECK_INTERVAL_MS = 500;
 const EPSILON = 1e-6;
-/** Beyond the time that a task needs for its checkpoint. */
+/** Added to the time that a task needs for its checkpoint. */
 const GRACE_MARGIN_S = 1;
-/** Sorts before all priorities. */
+/** Rank of tasks that are being stopped already: below all priorities, so that they are counted first. */
 const RANK_STOPPING = -1;
 
-/** Tasks that are stopped together: a gang's, or one of any other job. */
+/** Tasks that are stopped together: all tasks of a gang, or a single task of any other job. */
 type TaskGroup = readonly TaskAssignment[];
 
-/** What {@link OverQuotaEviction} depends on. */
+/** Dependencies of {@link OverQuotaEviction}. */
 export interface OverQuotaEvictionDependencies {
   io: ControllerIo;
   jobs: JobTable;
@@ -29,10 +30,10 @@
   configuration: Configuration;
 }
 
-/** Brings teams back to limits that were lowered. */
+/** Brings the usage of teams back within limits that were lowered. */
 export class OverQuotaEviction {
-  private nextCheck = 0 as Instant;
-  /** By when tasks of a team above its limit, which were asked to stop, are ended without a checkpoint. */
+  private nextCheckAt = 0 as Instant;
+  /** Time from which the tasks of a team above its limit are stopped without time for a checkpoint. */
   private readonly evictBy = new Map<TeamName, Instant>();
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Another revision is applied: what is queued beyond a limit waits again. Work: the machines' queues, if
-   * any team is above its limit.
+   * Another configuration revision has been applied: dequeues the tasks of teams above their limits from
+   * machines. Cost: scans the queues of all machines if any team is above its limit.
    */
   onQuotaChanged(): void {
     const teamsOverQuota = new Set<TeamName>();
@@ -60,11 +61,11 @@
     for (const machine of this.machines.byId.values()) this.dequeueOverQuota(machine, teamsOverQuota);
   }
 
-  /** `isCertain`: every machine has sent a heartbeat under this term, and may be commanded. */
-  tick(isCertain: boolean): void {
-    if (!isCertain || !this.configuration.hasDocuments || this.io.now < this.nextCheck) return;
-    this.nextCheck = addMs(this.io.now, CHECK_INTERVAL_MS);
-    for (const team of this.configuration.effective.teams.values()) this.check(team);
+  /** `canCommandFleet`: every machine has sent a heartbeat under this term, and machines may be commanded. */
+  tick(canCommandFleet: boolean): void {
+    if (!canCommandFleet || !this.configuration.hasDocuments || this.io.now < this.nextCheckAt) return;
+    this.nextCheckAt = addMs(this.io.now, CHECK_INTERVAL_MS);
+    for (const team of this.configuration.effective.teams.values()) this.checkTeam(team);
   }
 
   private isOverQuota(team: TeamName): boolean {
@@ -74,12 +75,12 @@
   private dequeueOverQuota(machine: Machine, teamsOverQuota: ReadonlySet<TeamName>): void {
     for (const queued of [...machine.queue]) {
       const { team } = queued.job.spec;
-      // Each task that goes may bring its team within the limit.
+      // Each task removed from a queue may bring its team within the limit.
       if (teamsOverQuota.has(team) && this.isOverQuota(team)) this.machines.dequeue(machine, queued);
     }
   }
 
-  private check(team: Team): void {
+  private checkTeam(team: Team): void {
     if (team.stopAboveWithinS === undefined) return;
     const excess = this.quota.overQuota(team.name);
     if (excess === null) {
@@ -91,7 +92,7 @@
     this.stopExcess(team.name, excess, this.io.now >= evictBy);
   }
 
-  /** Stops tasks until what is left is within the limit. `immediately`: without the time for a checkpoint. */
+  /** Stops tasks until usage is within the limit. `immediately`: without time for a checkpoint. */
   private stopExcess(team: TeamName, excess: TeamUsage, immediately: boolean): void {
     const remaining = { ...excess };
     for (const group of this.groupsOf(team)) {
@@ -111,14 +112,17 @@
     if (assignment.stopping !== null) return;
     const { job, index, machine } = assignment;
     assignment.stopping = { graceS: job.spec.checkpointDurationS + GRACE_MARGIN_S };
-    this.io.log('info', "task stopped above its team's limit", {
+    this.io.log('info', 'stopping task because its team is above its limit', {
       task: `${job.id}/${index}`,
       team: job.spec.team,
       machine,
     });
   }
 
-  /** The team's tasks on machines: those being stopped first, then the least urgent and the youngest. */
+  /**
+   * The team's tasks on machines: those being stopped first, then by ascending priority, the latest started
+   * first.
+   */
   private groupsOf(team: TeamName): TaskGroup[] {
     const groups: TaskGroup[] = [];
     for (const job of this.jobs.openJobs.values()) {
@@ -127,7 +131,7 @@
       if (job.spec.kind === 'gang') groups.push(assignments);
       else for (const assignment of assignments) groups.push([assignment]);
     }
-    return groups.sort((a, b) => rankOf(a) - rankOf(b) || startOf(b) - startOf(a));
+    return groups.sort((a, b) => rankOf(a) - rankOf(b) || latestStartOf(b) - latestStartOf(a));
   }
 }
 
@@ -136,6 +140,6 @@
   return isStopping ? RANK_STOPPING : group[0]!.job.priority;
 }
 
-function startOf(group: TaskGroup): number {
+function latestStartOf(group: TaskGroup): number {
   return Math.max(...group.map((assignment) => assignment.runningAt ?? assignment.sentAt));
 }
--- a/src/core/leader/record-loader.ts
+++ b/src/core/leader/record-loader.ts
@@ -1,5 +1,4 @@
-// The first step of a failover: the new leader reads all records, page by page and one kind of record after
-// another.
+// First step of a failover: the new leader reads all records, one kind of record after another and in pages.
 import {
   addMs,
   type Instant,
@@ -38,15 +37,15 @@
 
 type RecordKind = keyof typeof KEY_PREFIX;
 
-/** Is notified of the progress of a {@link RecordLoader}. */
+/** Receives the progress of a {@link RecordLoader}. */
 export interface RecordLoaderListener {
-  /** All jobs on record are known. */
+  /** All recorded jobs have been read. */
   onJobsLoaded(): void;
   /** All records have been read. */
   onRecordsLoaded(): void;
 }
 
-/** What {@link RecordLoader} depends on. */
+/** Dependencies of {@link RecordLoader}. */
 export interface RecordLoaderDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -61,12 +60,12 @@
 /** Reads the records of the earlier terms into the tables of this one. */
 export class RecordLoader {
   isLoaded = false;
-  /** A record is of a version that this program does not know: nothing is served on a guess. */
+  /** Whether a record has a version that this program does not know; no requests are served in that case. */
   isUnreadable = false;
-  /** Jobs put on record after this revision have not been read. */
+  /** The revision as of which jobs were read: jobs recorded after it have not been read. */
   jobsReadAt = 0 as Revision;
   private kind: RecordKind = 'machineTypes';
-  /** The last key of the page before the one to be read. */
+  /** The last key of the previous page; null for the first page of a kind. */
   private afterKey: string | null = null;
   private isReading = false;
   private retryAt: Instant = LONG_AGO;
@@ -92,7 +91,9 @@
     this.startedAt = dependencies.io.now;
   }
 
-  /** Asks for the next page, unless one has been asked for. */
+  /**
+   * Requests the next page, unless a request is pending, a retry delay is running, or a record is unreadable.
+   */
   tick(): void {
     if (this.isReading || this.isUnreadable || this.io.now < this.retryAt) return;
     this.isReading = true;
@@ -140,7 +141,8 @@
   }
 
   /**
-   * Without any type, from the records or the cloud, no machine can be used: read again until there is one.
+   * No machine can be used while no machine type is known, from the records or the cloud: reads again until
+   * one is.
    */
   private onMachineTypesRead(): void {
     if (this.machineTypes.isLoaded) this.readNext('jobs', null);
@@ -181,8 +183,9 @@
 
   private restoreMachine(registered: RegisteredMachine, page: RegistryPage): Machine {
     const { id, zone, spot } = registered;
-    const type = this.machineTypes.types.get(registered.type) ?? unofferedType(registered.type);
-    // Whoever was the leader before stops answering in time for this (see docs/safety.md).
+    const type = this.machineTypes.types.get(registered.type) ?? placeholderType(registered.type);
+    // The previous leader stops renewing leases early enough for all of them to expire by then
+    // (docs/safety.md).
     const leaseExpiresAt = addMs(this.startedAt, this.settings.workers.cancelS * 1000);
     const machine = this.machines.addMachine(id, type, zone, spot, leaseExpiresAt);
     machine.registryPage = page;
@@ -209,9 +212,10 @@
 }
 
 /**
- * A type that is no longer offered still counts, as if it held everything, until its machine is reconciled.
+ * Placeholder for a machine type that the catalog no longer has: large enough for any tasks, until the
+ * machine is reconciled.
  */
-const unofferedType = (name: TypeName): MachineType => ({
+const placeholderType = (name: TypeName): MachineType => ({
   name,
   cpus: 1e6,
   gpus: 1e6,
--- a/src/core/leader/recovery-state.ts
+++ b/src/core/leader/recovery-state.ts
@@ -1,9 +1,9 @@
-// How far a new leader has come with its failover, for the parts whose work depends on it.
+// Interface to the progress of a new leader's failover, for components whose work depends on it.
 
-/** How far the failover of a new leader has come. */
+/** Progress of the failover of a new leader. */
 export interface RecoveryState {
-  /** All records of the earlier terms have been read: jobs and machines are known. */
+  /** All records of the earlier terms have been read, so the recorded jobs and machines are in memory. */
   readonly isLoaded: boolean;
-  /** Every recorded machine has sent a heartbeat under this term, or is certainly empty. */
+  /** Every recorded machine has sent a heartbeat under this term, or is certain to run no tasks. */
   readonly isComplete: boolean;
 }
--- a/src/core/leader/term-authority.ts
+++ b/src/core/leader/term-authority.ts
@@ -1,8 +1,8 @@
-// What a controller may do under one of its terms; see docs/safety.md.
+// Interface to the checks of what a controller may do under one of its terms; see docs/safety.md.
 
-/** Answers what a controller may do under one term at the present moment. */
+/** Checks what a controller may do under one term at the time of the call. */
 export interface TermAuthority {
-  /** Whether the term stands and its leader lease is held, so that no other controller can be the leader. */
+  /** Whether the term has not ended and its lease is held, so that no other controller can be the leader. */
   holdsLease(): boolean;
   /** Whether tasks may be started. */
   mayStart(): boolean;
--- a/src/core/leader/term-configuration.ts
+++ b/src/core/leader/term-configuration.ts
@@ -1,5 +1,4 @@
-// The configuration that a leader applies: teams, objectives and scheduler options are handed to all parts of
-// its term.
+// Applies the configuration to the components of a leader's term: teams, objectives and scheduler options.
 import type { Revision } from '../../types/index.ts';
 import type { Settings } from '../base/model.ts';
 import type { Configuration } from '../configuration/configuration.ts';
@@ -8,7 +7,7 @@
 import type { TermScheduling } from './term-scheduling.ts';
 import type { TermState } from './term-state.ts';
 
-/** What {@link TermConfiguration} depends on. */
+/** Dependencies of {@link TermConfiguration}. */
 export interface TermConfigurationDependencies {
   settings: Settings;
   /** The options that the program was started with. */
@@ -18,9 +17,9 @@
   scheduling: TermScheduling;
 }
 
-/** Applies the configuration of this controller to the parts of a term. */
+/** Applies the configuration of this controller to the components of a term. */
 export class TermConfiguration {
-  /** The revision of the configuration that was on record when the term began. */
+  /** The latest known configuration revision when the term began. */
   private readonly revisionAtStart: Revision;
   private readonly dependencies: TermConfigurationDependencies;
 
@@ -29,12 +28,12 @@
     this.revisionAtStart = dependencies.configuration.newest;
   }
 
-  /** Whether the configuration is known that was on record when the term began; nothing is done before. */
-  get isKnown(): boolean {
+  /** Whether the configuration revision of the term's start is applied; the failover does not run before. */
+  get isInitialRevisionApplied(): boolean {
     return this.dependencies.configuration.applied >= this.revisionAtStart;
   }
 
-  /** Hands the configuration that this controller applies to every part of the term. */
+  /** Passes the configuration that this controller applies to every component of the term. */
   apply(): void {
     const { settings, options: baseOptions, configuration, state, scheduling } = this.dependencies;
     const { teams, objectives, dispatch } = configuration.effective;
@@ -47,7 +46,7 @@
   }
 }
 
-/** The scheduler options as the configuration document changes them. `heartbeatS`: the heartbeat interval. */
+/** The scheduler options, overridden by the configuration document. `heartbeatS`: the heartbeat interval. */
 function overlayOptions(
   base: SchedulerOptions,
   document: DispatchDocument,
--- a/src/core/leader/term-scheduling.ts
+++ b/src/core/leader/term-scheduling.ts
@@ -1,4 +1,4 @@
-// The parts that schedule tasks during a term, and how they depend on one another.
+// Creates the components that schedule tasks during a term, and connects them.
 import type { TypeName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { MachineType, Settings } from '../base/model.ts';
@@ -14,7 +14,7 @@
 import type { TermAuthority } from './term-authority.ts';
 import type { TermState } from './term-state.ts';
 
-/** What {@link createTermScheduling} depends on. */
+/** Dependencies of {@link createTermScheduling}. */
 export interface TermSchedulingDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -23,18 +23,18 @@
   types: Map<TypeName, MachineType>;
   recovery: RecoveryState;
   authority: TermAuthority;
-  /** Seconds that a start command for the machine waits for its next heartbeat. */
+  /** Seconds until a start command can be sent to the machine, in the response to its next heartbeat. */
   commandDelayS: (machine: Machine) => number;
 }
 
-/** What schedules tasks during a term. */
+/** The components that schedule tasks during a term. */
 export interface TermScheduling {
   readonly binPacking: BinPackingScorer;
   readonly fairShare: FairShare;
   readonly scheduler: Scheduler;
 }
 
-/** Creates the scheduler of a new term with all that it depends on. */
+/** Creates the scheduler of a new term with its dependencies. */
 export function createTermScheduling(dependencies: TermSchedulingDependencies): TermScheduling {
   const { io, options, state } = dependencies;
   const { jobs, machines, capacityIndex, quota, estimates, term } = state;
@@ -79,7 +79,7 @@
   return new JobRanking({ io, jobs, quota, ordering, estimates, fairShare, machineSets });
 }
 
-/** Nothing is preempted on a guess: all machines must be reconciled, and the leader lease held. */
+/** Tasks are preempted only while all machines are reconciled and the leader lease is held. */
 function createPreemption({ io, settings, recovery, authority }: TermSchedulingDependencies): Preemption {
   const mayPreempt = () => recovery.isComplete && authority.holdsLease();
   return new Preemption(io, settings.workers.heartbeatS, mayPreempt);
--- a/src/core/leader/term-state.ts
+++ b/src/core/leader/term-state.ts
@@ -1,5 +1,5 @@
-// The state that a leader keeps during a term: jobs, machines, teams' usage, and the writer that puts changes
-// on record.
+// In-memory state of a leader during a term: jobs, machines, teams' usage, and the writer that persists
+// changes.
 import type { Revision } from '../../types/index.ts';
 import { Autoscaler } from '../autoscaling/autoscaler.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -15,19 +15,19 @@
 import { FencedWriter, type FencingCondition } from '../storage/fenced-writer.ts';
 import { Quota } from '../teams/quota.ts';
 
-/** What {@link createTermState} depends on. */
+/** Dependencies of {@link createTermState}. */
 export interface TermStateDependencies {
   io: ControllerIo;
   settings: Settings;
   configuration: Configuration;
   machineTypes: MachineTypeCatalog;
-  /** The record of the leader at the revision of this term: the condition of all writes. */
+  /** The leader key at the revision of this term: the condition of all writes. */
   fencingCondition: FencingCondition;
-  /** A write found that another leader has taken over. */
+  /** Called when a write fails because another leader has taken over. */
   onSuperseded: () => void;
 }
 
-/** The tables of one term, and what keeps them up to date on record. */
+/** The tables of one term, and the components that persist them. */
 export interface TermState {
   readonly term: Revision;
   readonly writer: FencedWriter;
--- a/src/core/leader/user-request-handler.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -1,4 +1,5 @@
-// What users ask of the leader: that it accepts new jobs, and the status of those that it knows.
+// Handles submissions and status requests at the leader: accepts or refuses new jobs, and reports the status
+// of known jobs.
 import type { JobId } from '../../types/index.ts';
 import { infeasibilityReason, oversizeReason } from '../admission/feasibility.ts';
 import { jitteredRetryS } from '../admission/load-shedder.ts';
@@ -19,19 +20,20 @@
 import type { UserResponder } from './responders.ts';
 
 /**
- * Acceptance stops while more writes wait than can be made in this time: the response is to retry instead.
+ * Write backlog, as the seconds needed to write it, above which submissions of throttled teams get a `retry`
+ * response.
  */
 const MAX_BACKLOG_S = 3;
-/** So many times that much may wait while other teams ask for more than their part. */
+/** Multiple of that backlog above which the submissions of all teams get a `retry` response. */
 const BACKLOG_LIMIT_FACTOR = 1.5;
-/** Of the jobs that a blocked one depends on, so many are listed. */
+/** Maximum number of unfinished dependencies listed in the status of a blocked job. */
 const MAX_DEPENDENCIES_LISTED = 20;
 const STORE_RETRY_S = 2;
 
-/** Why a job can never be accepted as it is. */
+/** The response to a job that can never be accepted as specified, with the reason. */
 type Refusal = Extract<UserResponse, { kind: 'impossible' | 'too-large' }>;
 
-/** What {@link UserRequestHandler} depends on. */
+/** Dependencies of {@link UserRequestHandler}. */
 export interface UserRequestHandlerDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -45,7 +47,7 @@
   recovery: RecoveryState;
 }
 
-/** Accepts and refuses jobs, and tells their status, under one term. */
+/** Accepts and refuses jobs, and reports their status, under one term. */
 export class UserRequestHandler {
   private readonly throttle: TeamThrottle;
   private readonly maxBacklog: number;
@@ -75,20 +77,22 @@
     this.maxBacklog = Math.ceil(dependencies.settings.store.writesPerS * MAX_BACKLOG_S);
   }
 
-  /** Seconds that it takes to write what waits to be written. */
+  /** Seconds needed to carry out the pending writes. */
   get backlogS(): number {
     return this.writer.backlog / this.settings.store.writesPerS;
   }
 
-  /** Accepts the job, or responds why not; a repeated submission gets the status of the job. */
+  /**
+   * Accepts the job, or responds with the reason why not; a repeated submission gets the status of the job.
+   */
   submit(spec: JobSpec, respond: UserResponder): void {
     const known = this.knownSubmission(spec.id);
     if (known !== null) return respond(known);
     if (!this.recovery.isLoaded) return respond(retryLater('the jobs on record are being read'));
     if (this.writer.unavailableSince !== null)
       return respond(retryLater('the state service does not answer', STORE_RETRY_S));
-    // Teams that the settings do not name are refused below, and must not count among those that submissions
-    // are divided among.
+    // Submissions of unconfigured teams are refused below; they must not reduce the even share of submissions
+    // that the throttle computes for each team.
     if (this.quota.team(spec.team) !== undefined) this.throttle.recordSubmission(spec.team);
     if (this.isBacklogFullFor(spec)) return respond(this.backlogFullResponse(spec));
     if (this.jobs.isAccepting(spec.id)) return this.jobs.accept(spec, respond);
@@ -97,14 +101,14 @@
     if (spec.dependsOn === undefined) return this.jobs.accept(spec, respond);
     checkDependencies(
       spec,
-      (id) => this.kindOf(id),
+      (id) => this.dependencyKind(id),
       this.jobRecords,
       respond,
       () => this.acceptChecked(spec, respond),
     );
   }
 
-  /** What is known of a job without asking the state service; null if that must be asked. */
+  /** The status of a job that this leader has in memory; null if its record must be read instead. */
   status(id: JobId): UserResponse | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) return this.statusOf(job);
@@ -112,7 +116,7 @@
     return final === null ? null : { kind: 'ended', id, status: final.status };
   }
 
-  /** The response to a repeated submission; null if the job is not known. */
+  /** The response to a repeated submission; null if the job is not in memory. */
   private knownSubmission(id: JobId): UserResponse | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) {
@@ -123,7 +127,9 @@
     return final === null ? null : { kind: 'known', id, status: final.status };
   }
 
-  /** Beyond the first bound teams that ask for more than their part are refused, beyond the second all. */
+  /**
+   * Above the first limit only teams over their share of submissions are refused, above the second all teams.
+   */
   private isBacklogFullFor(spec: JobSpec): boolean {
     const { backlog } = this.writer;
     if (backlog > this.maxBacklog * BACKLOG_LIMIT_FACTOR) return true;
@@ -143,14 +149,14 @@
     return oversize === null ? null : { kind: 'too-large', reason: oversize };
   }
 
-  /** The kind of a job that another is to depend on; null if it is not known here. */
-  private kindOf(id: JobId): JobSpec['kind'] | 'over' | null {
+  /** The kind of a job named as a dependency, `over` if it has ended; null if it is not in memory. */
+  private dependencyKind(id: JobId): JobSpec['kind'] | 'over' | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) return job.spec.kind;
     return this.jobs.finalState(id) === null ? null : 'over';
   }
 
-  /** The job's dependencies have been checked; another copy of the submission may have been faster. */
+  /** The dependencies have been checked; another copy of the submission may have been accepted meanwhile. */
   private acceptChecked(spec: JobSpec, respond: UserResponder): void {
     const known = this.status(spec.id);
     if (known === null) this.jobs.accept(spec, respond);
@@ -158,8 +164,9 @@
   }
 
   /**
-   * A job known from before is never called impossible, whatever is offered today or said of it in the
-   * repetition; nor is one that another controller accepted a moment ago.
+   * Refuses the job, unless it has a record: a job that was accepted before, also one just accepted by
+   * another controller, is never refused, even if machine types have changed or the repeated submission
+   * differs.
    */
   private refuse(spec: JobSpec, refusal: Refusal, respond: UserResponder): void {
     this.jobRecords.readStatus(spec.id, (response) => {
@@ -185,7 +192,7 @@
     };
   }
 
-  /** A job that waits may be larger than its team's limit, which was lowered after it was accepted. */
+  /** A waiting job may exceed its team's limit if the limit was lowered after the job was accepted. */
   private waitReasonOf(job: Job): { reason?: string } {
     if (!this.configuration.hasDocuments || job.unplacedTasks === 0) return {};
     const reason = this.quota.violation(job.spec);
@@ -193,7 +200,7 @@
   }
 }
 
-/** The first of the jobs that a job waits for, if there are any. */
+/** The first of the unfinished dependencies of a job, if it has any. */
 function dependenciesOf(job: Job): { dependsOn?: JobId[] } {
   if (job.unmetDependencies.size === 0) return {};
   return { dependsOn: [...job.unmetDependencies].slice(0, MAX_DEPENDENCIES_LISTED) };
