--- a/test/failover-placement.test.ts
+++ b/test/failover-placement.test.ts
@@ -1,5 +1,5 @@
-// Placement while machines, zones or leaders are lost (docs/safety.md, points 8 and 15): nothing starts that may still run
-// elsewhere, or where it may not run.
+// Placement while machines, zones or leaders are lost (docs/safety.md, points 8 and 15). Guards against
+// starting a task that may still run elsewhere, or placing one where it is not allowed.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { StoreRequest } from '../src/core/base/model.ts';
@@ -11,33 +11,35 @@
 const id = 'run-1' as JobId;
 
 describe('placement and machines', () => {
-  for (const late of ['slowly', 'late, after newer ones', 'and the answer is lost'] as const)
-    it(`machines that boot within two seconds run nothing before they are registered, written ${late}, while leaders crash`, () => {
+  for (const writeFault of ['are slow', 'are reordered', 'lose their responses'] as const)
+    it(`machines that boot within two seconds run no tasks before they are registered, while leaders crash and registry writes ${writeFault}`, () => {
       const world = new SimulatedWorld();
       const checks = judge(world);
       world.cloud.bootS = 1.5;
       world.runS = 60;
-      let unrecorded = 0;
+      let unregistered = 0;
       const { placing } = checks.rules;
       checks.rules.placing = (now, task, machine) => {
         const pages = [...world.state.keys].filter(([key]) => key.startsWith('m/'));
-        if (!pages.some(([, k]) => JSON.stringify(k.value).includes(`"${machine.id}"`))) unrecorded++;
+        if (!pages.some(([, page]) => JSON.stringify(page.value).includes(`"${machine.id}"`))) unregistered++;
         placing.call(checks.rules, now, task, machine);
       };
-      const isPage = (op: StoreRequest) =>
-        op.kind === 'compare-and-swap' && op.puts.some((p) => p.key.startsWith('m/'));
-      if (late === 'slowly') world.stateSlowMs = 1200;
-      let count = 0;
-      if (late === 'late, after newer ones') world.state.lateMs = () => (++count % 2 === 0 ? 2500 : null);
-      if (late === 'and the answer is lost')
-        world.state.losesAnswer = (_, op) => isPage(op) && ++count % 4 !== 0;
-      let up = 0;
+      const isRegistryWrite = (op: StoreRequest) =>
+        op.kind === 'compare-and-swap' && op.puts.some((put) => put.key.startsWith('m/'));
+      if (writeFault === 'are slow') world.stateSlowMs = 1200;
+      let requestCount = 0;
+      if (writeFault === 'are reordered') world.state.lateMs = () => (++requestCount % 2 === 0 ? 2500 : null);
+      if (writeFault === 'lose their responses')
+        world.state.losesAnswer = (_, op) => isRegistryWrite(op) && ++requestCount % 4 !== 0;
+      let roundsWithNewMachines = 0;
       for (let i = 0; i < 4; i++) {
         checks.insist({ op: 'submit', spec: job(`run-${i}`, { tasks: 12 }) });
-        const before = world.cloud.made;
-        assert.ok(world.until(() => [...world.workers.values()].some((m) => m.up && m.seq > 0), 60));
+        const machinesMade = world.cloud.made;
+        assert.ok(
+          world.until(() => [...world.workers.values()].some((worker) => worker.up && worker.seq > 0), 60),
+        );
         world.run(0.3 * i);
-        if (world.cloud.made > before) up++;
+        if (world.cloud.made > machinesMade) roundsWithNewMachines++;
         const leader = world.owner;
         if (leader !== undefined) {
           world.crash(leader);
@@ -49,22 +51,24 @@
       world.state.lateMs = null;
       world.state.losesAnswer = null;
       world.stateSlowMs = 0;
-      assert.ok(up > 0);
+      assert.ok(roundsWithNewMachines > 0);
       assert.ok(world.until(() => world.holders('run-3').length > 0, 60));
       assert.ok(checks.rules.started > 0);
-      assert.equal(unrecorded, 0);
+      assert.equal(unregistered, 0);
       checks.sound();
     });
 
-  for (const ms of [1500, 3000, 3900, 6000])
-    it(`commands and responses delayed by ${ms} ms at machines that then go on start nothing twice or late, and all jobs complete`, () => {
+  for (const delayMs of [1500, 3000, 3900, 6000])
+    it(`commands and responses delayed by ${delayMs} ms start no task twice or late, and all jobs complete`, () => {
       const world = new SimulatedWorld();
       const checks = judge(world);
       world.runS = 5;
       assert.equal(world.submit(job('run-1', { tasks: 6 }))?.kind, 'accepted');
       checks.follow('run-1' as JobId);
-      assert.ok(world.until(() => world.workers.size > 0 && [...world.workers.values()].some((m) => m.up)));
-      for (const machineId of world.workers.keys()) world.heldUpMs.set(machineId, ms);
+      assert.ok(
+        world.until(() => world.workers.size > 0 && [...world.workers.values()].some((worker) => worker.up)),
+      );
+      for (const machineId of world.workers.keys()) world.heldUpMs.set(machineId, delayMs);
       for (let i = 2; i <= 8; i++) {
         world.after(i * 1500, () => {
           checks.insist({ op: 'submit', spec: job(`run-${i}`, { tasks: 2 }) });
@@ -81,8 +85,8 @@
       world.run(14);
       world.heldUpMs.clear();
       checks.rules.troublesOver(world.now);
-      const late = [...world.workers.values()].reduce((n, m) => n + m.lateCommands, 0);
-      if (ms < 4000) assert.ok(late > 0);
+      const lateCommands = [...world.workers.values()].reduce((sum, worker) => sum + worker.lateCommands, 0);
+      if (delayMs < 4000) assert.ok(lateCommands > 0);
       assert.ok(
         world.until(() => checks.rules.unfinished().length === 0, 150),
         checks.rules.unfinished().join(),
@@ -90,21 +94,21 @@
       checks.sound();
     });
 
-  it('more work than capacity over slow links is completed, urgent jobs first, and breaks no rule', () => {
+  it('more work than capacity over slow links is completed with urgent jobs first, and breaks no rule', () => {
     const world = new SimulatedWorld();
     const checks = judge(world);
     world.cloud.capacity = 3;
     world.runS = 4;
     for (let i = 1; i <= 30; i++)
       world.after(i * 400, () => {
-        const urgent = i % 3 === 0;
+        const isUrgent = i % 3 === 0;
         const id = `run-${i}` as JobId;
         checks.insist({
           op: 'submit',
           spec: job(id, {
             tasks: 3,
             cpus: 4,
-            priority: urgent ? 2 : 1,
+            priority: isUrgent ? 2 : 1,
             checkpointIntervalS: 1,
             checkpointDurationS: 1,
           }),
@@ -116,9 +120,9 @@
       for (const machineId of world.workers.keys()) world.heldUpMs.set(machineId, 700);
       world.run(1);
     }
-    const completed = (urgent: boolean) =>
+    const completed = (isUrgent: boolean) =>
       [...Array(30).keys()].filter(
-        (i) => ((i + 1) % 3 === 0) === urgent && world.doneOnRecord(`run-${i + 1}`),
+        (i) => ((i + 1) % 3 === 0) === isUrgent && world.doneOnRecord(`run-${i + 1}`),
       ).length;
     assert.ok(
       completed(true) / 10 > completed(false) / 20,
@@ -132,27 +136,30 @@
 });
 
 describe('placement and zones', () => {
-  for (const inside of ['the leader', 'another controller'] as const)
-    it(`a partition of a zone with its agents and ${inside}, for longer than a lease, breaks no rule`, () => {
+  for (const nodeInZone of ['the leader', 'another controller'] as const)
+    it(`a zone with its agents and ${nodeInZone}, partitioned from the rest for longer than a lease, breaks no rule`, () => {
       const { world, checks, leader, others } = startCheckedLongJob({ tasks: 10 }, 3);
       world.runOf.set(id, 25);
-      assert.ok(world.until(() => [...world.workers.values()].flatMap((m) => m.live()).length === 10));
+      assert.ok(
+        world.until(() => [...world.workers.values()].flatMap((worker) => worker.live()).length === 10),
+      );
       world.run(2);
       checks.follow(id);
       const [busy] = world.holders(id);
       const { zone } = world.workers.get(busy!)!;
-      const node = inside === 'the leader' ? leader : others[0]!;
-      const within = [node, ...[...world.workers.values()].filter((m) => m.zone === zone).map((m) => m.id)];
+      const node = nodeInZone === 'the leader' ? leader : others[0]!;
+      const zoneWorkers = [...world.workers.values()].filter((worker) => worker.zone === zone);
+      const inside = [node, ...zoneWorkers.map((worker) => worker.id)];
       const outside = ['state', ...world.nodes.keys(), ...world.workers.keys()].filter(
-        (x) => !within.includes(x),
+        (name) => !inside.includes(name),
       );
-      for (const member of within) for (const outsider of outside) world.cut(member, outsider, 'hold');
+      for (const member of inside) for (const outsider of outside) world.cut(member, outsider, 'hold');
       world.run(6);
       const cancelled = job('run-2', { tasks: 4, zone });
       checks.insist({ op: 'submit', spec: cancelled });
       world.run(24);
       checks.insist({ op: 'cancel', id: 'run-2' as JobId });
-      for (const member of within) for (const outsider of outside) world.heal(member, outsider);
+      for (const member of inside) for (const outsider of outside) world.heal(member, outsider);
       checks.rules.troublesOver(world.now);
       assert.ok(
         world.until(() => checks.rules.unfinished().length === 0, 120),
@@ -161,18 +168,18 @@
       checks.sound();
     });
 
-  for (const bound of ['an array in one zone', 'an array in a given zone', 'a gang'] as const)
-    for (const loss of ['die', 'are cut off'] as const)
-      it(`${bound} whose machines ${loss} starts nothing in another zone while any of its tasks may be left`, () => {
+  for (const jobKind of ['an array in one zone', 'an array in a given zone', 'a gang'] as const)
+    for (const fault of ['die', 'are cut off'] as const)
+      it(`${jobKind} whose machines ${fault} starts no task in another zone while any of its tasks may still run`, () => {
         const world = new SimulatedWorld();
         const checks = judge(world);
         world.cloud.room = (_type, zone) => (zone === 'north' ? 2 : 3);
         const spec = job(id, {
-          tasks: bound === 'a gang' ? 3 : 6,
+          tasks: jobKind === 'a gang' ? 3 : 6,
           cpus: 4,
-          kind: bound === 'a gang' ? 'gang' : 'array',
-          oneZone: bound !== 'an array in a given zone',
-          zone: bound === 'an array in a given zone' ? ('north' as ZoneName) : null,
+          kind: jobKind === 'a gang' ? 'gang' : 'array',
+          oneZone: jobKind !== 'an array in a given zone',
+          zone: jobKind === 'an array in a given zone' ? ('north' as ZoneName) : null,
         });
         world.runOf.set(id, 12);
         assert.equal(world.submit(spec)?.kind, 'accepted');
@@ -181,15 +188,15 @@
         const leader = world.owner!;
         const [first] = world.holders(id);
         const lostZone = world.workers.get(first!)!.zone;
-        if (loss === 'die') world.workers.get(first!)!.die();
+        if (fault === 'die') world.workers.get(first!)!.die();
         else for (const node of world.nodes.keys()) world.cut(first!, node, 'hold');
-        // Its zone has no more machines to rent.
+        // No more machines can be rented in the zone of the lost machine.
         world.cloud.room = (_type, zone) => (zone === lostZone ? 0 : 3);
         world.run(1);
         world.crash(leader);
         world.run(20);
         world.start(leader);
-        if (loss !== 'die') for (const node of world.nodes.keys()) world.heal(first!, node);
+        if (fault !== 'die') for (const node of world.nodes.keys()) world.heal(first!, node);
         world.cloud.room = () => 3;
         checks.follow(id);
         checks.rules.troublesOver(world.now);
@@ -200,43 +207,44 @@
         checks.sound();
       });
 
-  it('an array bound to one zone gets its capacity there, though machines of another zone have some free', () => {
+  it('an array bound to one zone gets its capacity there, even if machines in another zone have free capacity', () => {
     const world = new SimulatedWorld();
     const checks = judge(world);
     world.runS = 200;
-    // One machine in each zone, with capacity for two tasks in the first and four in the second.
-    for (const [k, zone, cpus] of [
+    // One machine in each zone: the first has free capacity for two tasks, the second for four.
+    for (const [number, zone, cpus] of [
       [1, 'south', 4],
       [2, 'north', 2],
     ] as const) {
-      assert.equal(world.submit(job(`run-${k}`, { cpus, zone: zone as ZoneName }))?.kind, 'accepted');
-      assert.ok(world.until(() => world.holders(`run-${k}`).length > 0));
+      assert.equal(world.submit(job(`run-${number}`, { cpus, zone: zone as ZoneName }))?.kind, 'accepted');
+      assert.ok(world.until(() => world.holders(`run-${number}`).length > 0));
     }
     const bound = { tasks: 4, cpus: 2, oneZone: true };
     assert.equal(world.submit(job('run-3', bound))?.kind, 'accepted');
-    const at = (id: string): number =>
-      [...world.workers.values()].flatMap((m) => m.live()).filter((t) => t.job === id).length;
+    const runningTasks = (jobId: string): number =>
+      [...world.workers.values()].flatMap((worker) => worker.live()).filter((task) => task.job === jobId)
+        .length;
     assert.ok(
-      world.until(() => at('run-3') === 4, 20),
-      `${at('run-3')} of 4`,
+      world.until(() => runningTasks('run-3') === 4, 20),
+      `${runningTasks('run-3')} of 4 tasks run`,
     );
-    // A second one finds its zone half full, and the machine of the other zone has capacity.
+    // For a second such array its zone is half full, while the machine in the other zone has free capacity.
     assert.equal(world.submit(job('run-4', { tasks: 5, cpus: 3, oneZone: true }))?.kind, 'accepted');
     assert.ok(
-      world.until(() => at('run-4') === 5, 25),
-      `${at('run-4')} of 5`,
+      world.until(() => runningTasks('run-4') === 5, 25),
+      `${runningTasks('run-4')} of 5 tasks run`,
     );
     checks.sound();
   });
 
-  it('an array bound to one zone starts nothing elsewhere while one of its tasks may be on an unreconciled machine', () => {
+  it('an array bound to one zone starts no task elsewhere while one of its tasks may be on an unreconciled machine', () => {
     const world = new SimulatedWorld();
     world.spread = false;
     const checks = judge(world);
     world.runS = 500;
     assert.equal(world.submit(job(id, { tasks: 2, cpus: 5, oneZone: true }))?.kind, 'accepted');
     assert.ok(world.until(() => world.holders(id).length === 2));
-    const [first, second] = world.holders(id).map((m) => world.workers.get(m)!);
+    const [first, second] = world.holders(id).map((machineId) => world.workers.get(machineId)!);
     const elsewhere = (first!.zone === 'north' ? 'south' : 'north') as ZoneName;
     assert.equal(world.submit(job('run-2', { zone: elsewhere }))?.kind, 'accepted');
     assert.ok(world.until(() => world.holders('run-2').length > 0));
@@ -250,10 +258,11 @@
     const term = world.state.keys.get('share/0')!.revision;
     assert.ok(
       world.until(() => first!.token === term, 15),
-      'heard by the next leader',
+      'the first machine has received the token of the next leader',
     );
     world.run(1);
-    // Its task ends there without a result, and the machine is cordoned; the other zone has capacity.
+    // The task of the first machine is stopped without a result, and the machine is cordoned; the other zone
+    // has free capacity.
     const [stopped] = first!.live();
     first!.noticeS = 60;
     first!.orders(
@@ -263,26 +272,26 @@
       () => {},
     );
     world.run(5);
-    assert.ok(world.holders(id).includes(second!.id), 'the other task goes on');
+    assert.ok(world.holders(id).includes(second!.id), 'the task on the second machine continues');
     assert.deepEqual(world.holders(id), [second!.id]);
     checks.sound();
   });
 });
 
 describe('placement and quotas', () => {
-  it('what unreconciled machines may run counts against the quota of a job accepted under the new term', () => {
+  it('tasks that unreconciled machines may run count against the quota of a team whose next job is accepted under the new term', () => {
     const world = new SimulatedWorld();
     const checks = judge(world);
     world.runS = 500;
     const small = { team: 'small' as TeamName };
     assert.equal(world.submit(job(id, { ...small, tasks: 3, zone: 'north' as ZoneName }))?.kind, 'accepted');
-    // A machine with free capacity that sends the next leader a heartbeat at once.
+    // This job provides a machine with free capacity that sends a heartbeat to the next leader at once.
     assert.equal(world.submit(job('run-2', { zone: 'south' as ZoneName }))?.kind, 'accepted');
     assert.ok(world.until(() => world.holders(id).length > 0 && world.holders('run-2').length > 0));
     world.run(3);
     const leader = world.owner!;
     const followers = world.holders(id);
-    // They follow the leader, which is cut off, and live on; nobody can release them.
+    // These machines follow the cut-off leader and keep running; the cloud is down, so none can be released.
     world.cloud.down = true;
     cutLeader(world, leader, followers);
     assert.ok(world.until(() => world.owner !== undefined && world.owner !== leader, 12));
@@ -292,10 +301,10 @@
       assert.deepEqual(world.holders('run-3'), []);
       world.run(0.2);
     }
-    // Its team is below its quota again once nothing can be left of them.
+    // The team is below its quota again once the tasks on those machines have certainly ended.
     assert.ok(
       world.until(() => world.holders('run-3').length > 0, 60),
-      'started in the end',
+      'the second job of the team starts',
     );
     checks.sound();
   });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,5 +1,6 @@
-// What a new leader may conclude, and what it may not do yet (docs/safety.md, points 8 and 15): delayed heartbeats,
-// machines that cannot be probed, records that cannot be read.
+// Conclusions that a new leader may and may not draw (docs/safety.md, points 8 and 15) from delayed
+// heartbeats, machines that cannot be probed and records that cannot be read. Guards against lost, duplicated
+// or reverted tasks.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { Heartbeat } from '../src/core/base/model.ts';
@@ -14,12 +15,12 @@
   structuredClone(world.workers.get(machine)!.report());
 
 describe('delayed heartbeats', () => {
-  for (const gone of [false, true])
-    it(`a delayed heartbeat of a machine that ${gone ? 'is gone' : 'lost its task'} does not free a task that runs on an unreconciled machine`, () => {
+  for (const isLost of [false, true])
+    it(`a delayed heartbeat of a machine that ${isLost ? 'has died' : 'has lost its task'} does not release a task that runs on an unreconciled machine`, () => {
       const { world, leader } = startCheckedLongJob();
       const [first] = world.holders(id);
       const delayed = captureHeartbeat(world, first!);
-      // Two more machines have capacity for it, once what fills them is cancelled.
+      // Two more machines have capacity for the task once the jobs that fill them are cancelled.
       const fillers = ['run-2', 'run-3'] as JobId[];
       for (const filler of fillers) {
         assert.equal(world.submit(job(filler, { cpus: 7 }), leader)?.kind, 'accepted');
@@ -29,15 +30,16 @@
       for (const node of world.nodes.keys()) world.cut(first!, node, 'drop');
       for (const filler of fillers)
         assert.equal(world.insist({ op: 'cancel', id: filler }, leader)?.kind, 'ended');
-      assert.ok(world.until(() => world.holders(id).some((m) => m !== first), 30));
+      assert.ok(world.until(() => world.holders(id).some((machineId) => machineId !== first), 30));
       const [second] = world.holders(id);
       world.run(2);
-      if (gone) world.workers.get(first!)!.die();
+      if (isLost) world.workers.get(first!)!.die();
       else {
         for (const node of world.nodes.keys()) world.heal(first!, node);
         world.run(4);
       }
-      // The machine that runs it follows a leader that is cut off; the other cannot reach the next one at first.
+      // The machine that runs the task follows the cut-off leader; the other one cannot reach the next leader
+      // at first.
       cutLeader(world, leader, [second!]);
       for (const node of world.nodes.keys()) world.cut(first!, node, 'drop');
       assert.ok(world.until(() => world.owner !== undefined && world.owner !== leader, 10));
@@ -48,39 +50,40 @@
       world.run(13);
       assert.deepEqual(world.holders(id), [second]);
       assertUnbroken(world);
-      // Once nothing of it can be left there, it is started again.
+      // Once the task certainly no longer runs there, it is started again.
       world.cloud.down = false;
-      assert.ok(world.until(() => world.holders(id).some((m) => m !== second), 60));
+      assert.ok(world.until(() => world.holders(id).some((machineId) => machineId !== second), 60));
       assertUnbroken(world);
     });
 
-  // Of an earlier term, agent epoch or attempt; before and after the next leader has read the records, and when it has acted.
-  for (const ms of [5, 60, 120, 400, 2000, 9000])
-    it(`delayed heartbeats that reach every controller ${ms} ms after an election lose, duplicate and revert nothing`, () => {
+  // The heartbeats are of an earlier term, agent epoch or attempt. They arrive before or after the next
+  // leader has read the records, or after it has placed tasks.
+  for (const delayMs of [5, 60, 120, 400, 2000, 9000])
+    it(`delayed heartbeats that reach every controller ${delayMs} ms after an election cause no lost, duplicated or reverted tasks`, () => {
       const world = new SimulatedWorld();
       const checks = judge(world);
-      world.keptMs = ms;
+      world.keptMs = delayMs;
       world.runS = 40;
       for (let i = 1; i <= 4; i++)
         assert.equal(world.submit(job(`run-${i}`, { tasks: 3 }))?.kind, 'accepted');
       assert.ok(world.until(() => world.holders('run-4').length > 0));
       let count = 0;
       world.keepReport = () => ++count % 5 === 0;
-      for (let k = 0; k < 3; k++) {
+      for (let round = 0; round < 3; round++) {
         world.run(2);
         const [machineId] = [...world.workers.keys()];
-        // One machine loses its agent epoch, another what it runs.
+        // The lease of the machine expires during the cut: it begins a new agent epoch and loses its tasks.
         for (const node of world.nodes.keys()) world.cut(machineId!, node, 'drop');
         world.run(11);
         for (const node of world.nodes.keys()) world.heal(machineId!, node);
         world.run(2);
         const leader = world.owner!;
         world.crash(leader);
-        world.run(ms / 1000 + 6);
+        world.run(delayMs / 1000 + 6);
         world.start(leader);
       }
       world.keepReport = null;
-      assert.ok(world.keptDelivered > 10, `${world.keptDelivered}`);
+      assert.ok(world.keptDelivered > 10, `only ${world.keptDelivered} delayed heartbeats were delivered`);
       checks.rules.troublesOver(world.now);
       for (let i = 1; i <= 4; i++) checks.follow(`run-${i}` as JobId);
       assert.ok(
@@ -92,7 +95,7 @@
 });
 
 describe('repeated failover', () => {
-  it('ten leaders in a row that crash before they can read a record renew no lease for long for work cancelled before them', () => {
+  it('ten successive leaders that crash before reading any record do not keep renewing leases for tasks cancelled before their terms', () => {
     const { world, leader } = startCheckedLongJob();
     world.cloud.down = true;
     const [machine] = world.holders(id);
@@ -102,12 +105,12 @@
     world.state.unreadable = 'o/';
     world.deaf.delete(machine!);
     let leaders = 0;
-    for (let last = leader; leaders < 10 && world.now < confirmedAt + 100_000; leaders++) {
-      world.crash(last);
+    for (let lastLeader = leader; leaders < 10 && world.now < confirmedAt + 100_000; leaders++) {
+      world.crash(lastLeader);
       world.run(0.3);
-      world.start(last);
+      world.start(lastLeader);
       assert.ok(world.until(() => world.owner !== undefined, 12));
-      last = world.owner!;
+      lastLeader = world.owner!;
       world.run(4);
       if (world.holders(id).length > 0)
         assert.ok(world.now - confirmedAt <= 40_000, `${world.now - confirmedAt} ms after the confirmation`);
@@ -118,7 +121,7 @@
     assertUnbroken(world);
   });
 
-  it('ten leaders in two minutes, with an outage among them, serve requests and complete all work exactly once', () => {
+  it('ten leaders in two minutes, with an outage of the store in between, serve requests and complete all work exactly once', () => {
     const world = new SimulatedWorld();
     const checks = judge(world);
     world.runS = 20;
@@ -130,7 +133,7 @@
     }
     world.run(10);
     let terms = 0;
-    let last = 0;
+    let lastTerm = 0;
     for (let i = 0; i < 12; i++) {
       if (i === 4) world.state.outage(18);
       const leader = world.owner ?? [...world.nodes.keys()][0]!;
@@ -139,10 +142,10 @@
       world.start(leader);
       world.run(9.6);
       const term = world.state.keys.get('share/0')?.revision ?? 0;
-      if (term > last) terms++;
-      last = term;
+      if (term > lastTerm) terms++;
+      lastTerm = term;
     }
-    assert.ok(terms >= 8, `${terms} terms`);
+    assert.ok(terms >= 8, `only ${terms} terms`);
     checks.rules.troublesOver(world.now);
     assert.ok(world.until(() => checks.rules.unfinished().length === 0, 120));
     checks.sound();
@@ -150,55 +153,59 @@
 });
 
 describe('machines and controllers out of reach', () => {
-  for (const change of [false, true])
-    it(`work of machines that reach no controller but can be probed starts elsewhere once it is gone${change ? ', also when the leader crashes' : ''}`, () => {
+  for (const leaderCrashes of [false, true])
+    it(`tasks of a machine that reaches no controller but can be probed start elsewhere once they have ended there${leaderCrashes ? ', also when the leader crashes' : ''}`, () => {
       const { world, checks, leader } = startCheckedLongJob({ tasks: 6 }, 3);
       const [muteMachine] = world.holders(id);
       const machine = world.workers.get(muteMachine!)!;
-      const had = machine.live().length;
+      const taskCount = machine.live().length;
       world.mute.add(muteMachine!);
       const { token } = machine;
-      if (change) world.crash(leader);
-      // Probed, it has seen the new token; that renews no lease, and it counts as reconciled.
-      if (change) assert.ok(world.until(() => machine.token > token, 15));
+      if (leaderCrashes) world.crash(leader);
+      // The probe gives the machine the new token without renewing its lease; the machine counts as
+      // reconciled.
+      if (leaderCrashes) assert.ok(world.until(() => machine.token > token, 15));
       assert.ok(world.until(() => machine.live().length === 0, 15));
-      assert.ok(machine.lostByLease === had);
-      const atWork = () => [...world.workers.values()].flatMap((x) => (x.over ? [] : x.live())).length;
+      assert.ok(machine.lostByLease === taskCount);
+      const runningTasks = () =>
+        [...world.workers.values()].flatMap((worker) => (worker.over ? [] : worker.live())).length;
       assert.ok(
-        world.until(() => atWork() === 6, 75),
-        `${atWork()} of 6`,
+        world.until(() => runningTasks() === 6, 75),
+        `${runningTasks()} of 6 tasks run`,
       );
       assert.ok(!world.holders(id).includes(muteMachine!));
       checks.sound();
     });
 
-  it('tasks lost while all controllers are down for longer than a lease are known to be lost, and are completed', () => {
+  it('tasks lost while all controllers are down for longer than a lease are detected as lost, and are completed', () => {
     const { world, checks } = startCheckedLongJob({ tasks: 4 });
     world.runOf.set(id, 10);
     checks.follow(id);
-    const before = new Set(world.workers.keys());
-    const names = [...world.nodes.keys()];
-    for (const node of names) world.crash(node);
+    const machinesBefore = new Set(world.workers.keys());
+    const nodes = [...world.nodes.keys()];
+    for (const node of nodes) world.crash(node);
     world.run(16);
-    assert.ok([...world.workers.values()].every((m) => m.lostByLease > 0 || m.live().length === 0));
-    for (const node of names) world.start(node);
+    assert.ok(
+      [...world.workers.values()].every((machine) => machine.lostByLease > 0 || machine.live().length === 0),
+    );
+    for (const node of nodes) world.start(node);
     checks.rules.troublesOver(world.now);
     assert.ok(world.until(() => world.holders(id).length > 0, 25));
-    // On the machines that were there, not on new ones.
-    assert.ok(world.holders(id).every((m) => before.has(m)));
+    // The tasks run on the machines that were there before, not on new ones.
+    assert.ok(world.holders(id).every((machineId) => machinesBefore.has(machineId)));
     assert.ok(world.until(() => checks.rules.unfinished().length === 0, 60));
     checks.sound();
   });
 
-  it('tasks of a machine that receives nothing from the next leader count as running until their end is certain', () => {
+  it('tasks of a machine that receives no response from the next leader count as running until they have certainly ended', () => {
     const { world, checks, leader } = startCheckedLongJob({ tasks: 3 });
     for (const machineId of world.holders(id)) world.deaf.add(machineId);
-    const had = new Set(world.holders(id));
+    const machinesBefore = new Set(world.holders(id));
     world.crash(leader);
     assert.ok(world.until(() => world.owner !== undefined, 10));
     world.run(4);
-    // Its heartbeats arrive: it is known what it runs, but no response reaches it.
-    assert.ok(world.holders(id).every((m) => had.has(m)));
+    // The heartbeats arrive, so the leader knows which tasks run, but no response reaches the machines.
+    assert.ok(world.holders(id).every((machineId) => machinesBefore.has(machineId)));
     world.run(20);
     world.deaf.clear();
     assert.ok(world.until(() => world.holders(id).length > 0, 60));
