--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -1,5 +1,5 @@
-// Jobs that other controllers accepted without the leader (fallback admission): the leader watches the stored
-// jobs and opens those that it does not know.
+// Finds jobs that other controllers accepted without the leader (fallback admission): the leader watches the
+// stored records of open jobs and adds those that are not in its job table.
 import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -7,38 +7,40 @@
 import { OPEN_JOB_PREFIX } from '../storage/keys.ts';
 import type { JobTable } from './job-table.ts';
 
-/** How long the store is asked to wait for a change. */
-const WATCH_MS = 10_000;
-/** How much longer its reply is waited for. */
+/** How long the store may delay its reply to a watch request until a record changes. */
+const WATCH_WAIT_MS = 10_000;
+/** Added to `WATCH_WAIT_MS` for the time after which a watch request counts as unanswered. */
 const WATCH_REPLY_MARGIN_MS = 3000;
 const RETRY_DELAY_MS = 500;
 
-/** Watches the stored jobs, and lists all of them again whenever changes may have been missed. */
+/** Watches the records of open jobs, and lists all of them again whenever changes may have been missed. */
 export class AcceptedJobsWatch {
   private isRequestOpen = false;
   private retryAt: Instant = LONG_AGO;
-  /** Changes after this revision are watched for; null while all stored jobs are to be listed. */
-  private watchFrom: Revision | null;
-  /** The last key of the list read so far, and the store's revision when that was begun. */
-  private listedUpTo: string | null = null;
-  private listedFrom: Revision | null = null;
+  /** Changes after this revision are watched for; null while all records of open jobs are to be listed. */
+  private watchAfter: Revision | null;
+  /** Last key of the pages listed so far; null before the first page. */
+  private lastListedKey: string | null = null;
+  /** Revision of the first page, after which changes are watched for once the list is complete. */
+  private listRevision: Revision | null = null;
 
   constructor(
     private readonly io: ControllerIo,
     private readonly jobs: JobTable,
-    readAt: Revision,
-    /** While true no other controller can have become the leader, and so none can have started the job. */
+    /** The store's revision as of which the leader has read the records of open jobs. */
+    readRevision: Revision,
+    /** While true, no other controller can have become the leader and started the jobs. */
     private readonly mayAdopt: () => boolean,
   ) {
-    this.watchFrom = readAt;
+    this.watchAfter = readRevision;
   }
 
-  /** Sends the next request, if none is open. */
+  /** Sends the next request, unless one is open or the delay before a retry has not passed. */
   tick(): void {
     if (this.isRequestOpen || this.io.now < this.retryAt || !this.mayAdopt()) return;
     this.isRequestOpen = true;
-    if (this.watchFrom === null) this.list(this.listedUpTo);
-    else this.watch(this.watchFrom);
+    if (this.watchAfter === null) this.list(this.lastListedKey);
+    else this.watch(this.watchAfter);
   }
 
   private list(after: string | null): void {
@@ -49,41 +51,41 @@
 
   private watch(after: Revision): void {
     this.io.store(
-      { kind: 'watch', prefix: OPEN_JOB_PREFIX, after, waitMs: WATCH_MS },
+      { kind: 'watch', prefix: OPEN_JOB_PREFIX, after, waitMs: WATCH_WAIT_MS },
       StorePriority.work,
       (reply) => this.onChanges(reply),
-      WATCH_MS + WATCH_REPLY_MARGIN_MS,
+      WATCH_WAIT_MS + WATCH_REPLY_MARGIN_MS,
     );
   }
 
   private listAgainLater(): void {
-    this.watchFrom = null;
-    this.listedUpTo = null;
-    this.listedFrom = null;
+    this.watchAfter = null;
+    this.lastListedKey = null;
+    this.listRevision = null;
     this.retryAt = addMs(this.io.now, RETRY_DELAY_MS);
   }
 
   private onChanges(reply: StoreReply): void {
     this.isRequestOpen = false;
-    // A later leader may have started a job that is found too late: it is listed again, or left to that
-    // leader.
+    // Without the lease a later leader may have started these jobs already: they are not added. If this
+    // controller is still the leader, it lists them again.
     if (reply.kind !== 'changes' || !this.mayAdopt()) return this.listAgainLater();
     const deleted = new Set(reply.deletes);
     for (const item of reply.puts) if (!deleted.has(item.key)) this.jobs.adopt(item);
-    this.watchFrom = reply.revision;
+    this.watchAfter = reply.revision;
     this.tick();
   }
 
   private onList(reply: StoreReply): void {
     this.isRequestOpen = false;
     if (reply.kind !== 'items' || !this.mayAdopt()) return this.listAgainLater();
-    this.listedFrom ??= reply.revision;
+    this.listRevision ??= reply.revision;
     for (const item of reply.items) this.jobs.adopt(item);
-    if (reply.more) this.listedUpTo = reply.items.at(-1)?.key ?? null;
+    if (reply.more) this.lastListedKey = reply.items.at(-1)?.key ?? null;
     else {
-      this.watchFrom = this.listedFrom;
-      this.listedUpTo = null;
-      this.listedFrom = null;
+      this.watchAfter = this.listRevision;
+      this.lastListedKey = null;
+      this.listRevision = null;
     }
     this.tick();
   }
--- a/src/core/jobs/array-progress.ts
+++ b/src/core/jobs/array-progress.ts
@@ -1,5 +1,6 @@
-// Which tasks of open arrays are done, stored as bitmaps. Many jobs share a record, because changes a second
-// are scarce; a long bitmap is cut into parts, each of which may be in another record.
+// Stores which tasks of open array jobs are done, as bitmaps. Many jobs share a record, because the store
+// limits the number of changes per second; a long bitmap is divided into segments, each of which may be in
+// another record.
 import { type Instant, type JobId, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreItem } from '../base/model.ts';
@@ -12,68 +13,74 @@
   decodeDoneBitmaps,
   encodeDoneBitmaps,
   encodedBitsBytes,
-  MAX_PART_NAME_BYTES,
-  partBytes,
-  partName,
+  MAX_SEGMENT_NAME_BYTES,
+  segmentBytes,
+  segmentName,
 } from './done-bitmap-record.ts';
 import type { Job } from './job.ts';
 
 export { DONE_BITMAP_PREFIX } from './done-bitmap-record.ts';
 
-/** A changed record is written at the earliest after this time. */
+/** Minimum time from the first unwritten change of a record to its next write. */
 const MIN_WRITE_INTERVAL_MS = 500;
-/** Fraction of the shard's write budget for bitmaps; with many records each is written less often. */
+/**
+ * Fraction of the shard's write budget that bitmaps may use: the more records there are, the less often each
+ * of them is written.
+ */
 const WRITE_BUDGET_FRACTION = 0.2;
-/** Parts are never made smaller than this, however little a value may hold. */
-const MIN_PART_TASKS = 64;
+/** Minimum number of tasks in a segment, however low the size limit of a value is. */
+const MIN_SEGMENT_TASKS = 64;
 
-/** A part of a job's bitmap, in a record. */
-interface BitmapPart {
+/** A segment of a job's bitmap, in a record. */
+interface BitmapSegment {
   job: Job;
-  /** Its first task. */
-  from: number;
-  /** Bytes that it takes in the stored value. */
+  /** Index of the task that the first bit stands for. */
+  firstTask: number;
+  /** Bytes that the segment takes in the stored value. */
   bytes: number;
 }
 
 class BitmapRecord {
-  /** By their names; see `partName`. */
-  readonly parts = new Map<string, BitmapPart>();
-  /** Sum of the parts' bytes. */
+  /** Segments by name; see `segmentName`. */
+  readonly segments = new Map<string, BitmapSegment>();
+  /** Total bytes of the segments. */
   bytes = 0;
-  /** Since when a change has been waiting to be written; null if none has. */
+  /** Time of the first change that is not written yet; null if there is none. */
   dirtySince: Instant | null = null;
-  /** Records to which parts of this one move: until those are stored, this one is not written without them. */
+  /**
+   * Records to which segments of this one are moved. This record is not written before they are stored, so
+   * that the moved segments are always on record.
+   */
   successors: BitmapRecord[] = [];
-  /** Stored under this term, with all parts that were on it then. */
+  /** The record was written under this term, with all segments that it had at that time. */
   isStored = false;
   constructor(readonly shared: SharedRecord) {}
 
-  add(name: string, part: BitmapPart): void {
-    this.parts.set(name, part);
-    this.bytes += part.bytes;
+  add(name: string, segment: BitmapSegment): void {
+    this.segments.set(name, segment);
+    this.bytes += segment.bytes;
   }
 
   remove(name: string): void {
-    this.bytes -= this.parts.get(name)?.bytes ?? 0;
-    this.parts.delete(name);
+    this.bytes -= this.segments.get(name)?.bytes ?? 0;
+    this.segments.delete(name);
   }
 }
 
-/** Stores which tasks are done, within a fraction of the write budget. */
+/** Stores which tasks of open jobs are done, within a fraction of the write budget. */
 export class ArrayProgress {
   private readonly records: BitmapRecord[] = [];
-  /** The record in which a part's new results are stored, by the part's name. */
-  private readonly recordOfPart = new Map<string, BitmapRecord>();
+  /** The record in which new results of a segment are stored, by the segment's name. */
+  private readonly recordBySegment = new Map<string, BitmapRecord>();
   private recordsCreated = 0;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly limits: Settings['store'];
   private readonly term: Revision;
-  /** Bytes that the parts of one record may take. */
+  /** Maximum total bytes of the segments of one record. */
   private readonly maxRecordBytes: number;
-  /** Number of tasks in one part of a bitmap. */
-  private readonly partTasks: number;
+  /** Number of tasks in each segment of a bitmap. */
+  private readonly tasksPerSegment: number;
 
   constructor(io: ControllerIo, writer: FencedWriter, limits: Settings['store'], term: Revision) {
     this.io = io;
@@ -81,53 +88,55 @@
     this.limits = limits;
     this.term = term;
     this.maxRecordBytes = writer.maxValueBytes - BITMAP_RECORD_OVERHEAD_BYTES;
-    this.partTasks = largestPartTasks(this.maxRecordBytes);
+    this.tasksPerSegment = largestTasksPerSegment(this.maxRecordBytes);
   }
 
   /**
-   * Takes over a record of an earlier term, perhaps written by an earlier version and larger than one may be
-   * now.
+   * Loads a record that was written under an earlier term. If an earlier version wrote it, it may be larger
+   * than the current limit allows.
    */
   restore(item: StoreItem, openJobs: Map<JobId, Job>): void {
     const record = new BitmapRecord(new SharedRecord(this.writer, item.key, item.revision));
     this.records.push(record);
-    for (const { jobId, from, bits } of decodeDoneBitmaps(item)) {
+    for (const { jobId, firstTask, bits } of decodeDoneBitmaps(item)) {
       const job = openJobs.get(jobId);
       if (job === undefined) {
         record.dirtySince = LONG_AGO;
         continue;
       }
-      job.restoreDoneBits(from, bits);
-      const end = Math.min(from + bits.length * 8, job.spec.tasks);
-      // Two records may hold the same bits of a job, after a late write or a split: both keep them, so that
-      // none is lost when one of the two is written first. New results go to the first.
-      for (let start = from; start < end; start += this.partTasks) this.addPart(record, job, start);
+      job.restoreDoneBits(firstTask, bits);
+      const end = Math.min(firstTask + bits.length * 8, job.spec.tasks);
+      // After a write that was executed late, or a split, two records may hold the same bits of a job. Both
+      // keep them, so that none is lost whichever of the two is written first; new results are stored in the
+      // record that was loaded first.
+      for (let start = firstTask; start < end; start += this.tasksPerSegment)
+        this.addSegment(record, job, start);
     }
   }
 
-  /** A task of the job is done: its bit is stored with the next write of its record. */
+  /** Schedules a write of the record that holds the bit of a task that is done. */
   markChanged(job: Job, index: number): void {
-    const from = index - (index % this.partTasks);
-    let record = this.recordOfPart.get(partName(job.id, from));
+    const firstTask = index - (index % this.tasksPerSegment);
+    let record = this.recordBySegment.get(segmentName(job.id, firstTask));
     if (record === undefined) {
-      record = this.recordWithSpace(this.bytesOfPart(job, from));
-      this.addPart(record, job, from);
+      record = this.findOrCreateRecordWithSpace(this.bytesOfSegment(job, firstTask));
+      this.addSegment(record, job, firstTask);
     }
     record.dirtySince ??= this.io.now;
   }
 
-  private bytesOfPart(job: Job, from: number): number {
-    const tasks = Math.min(this.partTasks, job.spec.tasks - from);
-    return partBytes(partName(job.id, from), tasks);
+  private bytesOfSegment(job: Job, firstTask: number): number {
+    const tasks = Math.min(this.tasksPerSegment, job.spec.tasks - firstTask);
+    return segmentBytes(segmentName(job.id, firstTask), tasks);
   }
 
-  private addPart(record: BitmapRecord, job: Job, from: number): void {
-    const name = partName(job.id, from);
-    record.add(name, { job, from, bytes: this.bytesOfPart(job, from) });
-    if (!this.recordOfPart.has(name)) this.recordOfPart.set(name, record);
+  private addSegment(record: BitmapRecord, job: Job, firstTask: number): void {
+    const name = segmentName(job.id, firstTask);
+    record.add(name, { job, firstTask, bytes: this.bytesOfSegment(job, firstTask) });
+    if (!this.recordBySegment.has(name)) this.recordBySegment.set(name, record);
   }
 
-  private recordWithSpace(bytes: number): BitmapRecord {
+  private findOrCreateRecordWithSpace(bytes: number): BitmapRecord {
     for (const record of this.records) if (record.bytes + bytes <= this.maxRecordBytes) return record;
     return this.createRecord();
   }
@@ -139,26 +148,26 @@
     return record;
   }
 
-  /** The job is over: its bits are dropped with the next writes of their records. */
+  /** Removes the bitmap of a job that has ended; the next writes of its records are made without it. */
   remove(job: Job): void {
-    for (let from = 0; from < job.spec.tasks; from += this.partTasks) {
-      const name = partName(job.id, from);
-      const record = this.recordOfPart.get(name);
+    for (let firstTask = 0; firstTask < job.spec.tasks; firstTask += this.tasksPerSegment) {
+      const name = segmentName(job.id, firstTask);
+      const record = this.recordBySegment.get(name);
       if (record === undefined) continue;
-      this.recordOfPart.delete(name);
+      this.recordBySegment.delete(name);
       record.remove(name);
-      if (record.parts.size === 0) record.dirtySince ??= this.io.now;
+      if (record.segments.size === 0) record.dirtySince ??= this.io.now;
     }
   }
 
-  /** Writes the records that are due. Work: the records. */
+  /** Writes the records that are due; the cost is proportional to the number of records. */
   tick(): void {
     const intervalMs = Math.max(
       MIN_WRITE_INTERVAL_MS,
       (this.records.length * 1000) / (this.limits.writesPerS * WRITE_BUDGET_FRACTION),
     );
     for (const record of this.records)
-      if (this.isDue(record, intervalMs) && this.makeFit(record)) this.write(record);
+      if (this.isDue(record, intervalMs) && this.fitToMaxSize(record)) this.write(record);
   }
 
   private isDue(record: BitmapRecord, intervalMs: number): boolean {
@@ -167,52 +176,54 @@
   }
 
   /**
-   * Drops parts of ended jobs, and splits a stored record that is larger than a value may be by now: first
-   * the parts for which it has no space are stored on its successors, then it is written without them. A
-   * leader that fails between the two leaves the same bits twice. Returns whether the record can be written
-   * now.
+   * Drops segments of ended jobs, and splits a record that is larger than the current limit of a value: the
+   * segments beyond the limit are first stored in successor records, and only then is the record written
+   * without them. If the leader fails between the two writes, these segments are stored twice. Returns
+   * whether the record can be written now.
    */
-  private makeFit(record: BitmapRecord): boolean {
-    record.successors = record.successors.filter((next) => next.shared.revision === 0 && next.parts.size > 0);
+  private fitToMaxSize(record: BitmapRecord): boolean {
+    record.successors = record.successors.filter(
+      (next) => next.shared.revision === 0 && next.segments.size > 0,
+    );
     if (record.successors.length > 0) return false;
     let bytes = 0;
-    for (const [name, part] of record.parts) {
-      if (part.job.isOver) {
+    for (const [name, segment] of record.segments) {
+      if (segment.job.isOver) {
         record.remove(name);
         continue;
       }
-      bytes += part.bytes;
+      bytes += segment.bytes;
       if (bytes <= this.maxRecordBytes) continue;
       if (this.isStoredElsewhere(record, name)) record.remove(name);
-      else this.moveToSuccessor(record, name, part);
+      else this.moveToSuccessor(record, name, segment);
     }
     return record.successors.length === 0;
   }
 
-  private moveToSuccessor(record: BitmapRecord, name: string, part: BitmapPart): void {
+  private moveToSuccessor(record: BitmapRecord, name: string, segment: BitmapSegment): void {
     let successor = record.successors.at(-1);
-    if (successor === undefined || successor.bytes + part.bytes > this.maxRecordBytes) {
+    if (successor === undefined || successor.bytes + segment.bytes > this.maxRecordBytes) {
       successor = this.createRecord();
       successor.dirtySince = LONG_AGO;
       record.successors.push(successor);
     }
-    this.recordOfPart.set(name, successor);
-    this.addPart(successor, part.job, part.from);
+    this.recordBySegment.set(name, successor);
+    this.addSegment(successor, segment.job, segment.firstTask);
   }
 
   private isStoredElsewhere(record: BitmapRecord, name: string): boolean {
-    const other = this.recordOfPart.get(name);
+    const other = this.recordBySegment.get(name);
     return other !== undefined && other !== record && other.isStored;
   }
 
   private write(record: BitmapRecord): void {
     record.dirtySince = null;
-    const written = [...record.parts.values()].map(({ job, from }) => ({
+    const written = [...record.segments.values()].map(({ job, firstTask }) => ({
       job,
       jobId: job.id,
-      from,
-      // A copy: more tasks may be done before the write has ended.
-      bits: job.doneBits(from, from + this.partTasks).slice(),
+      firstTask,
+      // Copied, because more tasks may be done before the write has ended.
+      bits: job.doneBits(firstTask, firstTask + this.tasksPerSegment).slice(),
     }));
     if (written.length === 0 && record.shared.revision === 0) return;
     const value = written.length === 0 ? null : encodeDoneBitmaps(written);
@@ -222,14 +233,15 @@
         return;
       }
       record.isStored = true;
-      for (const { job, from, bits } of written) job.markRecorded(from, bits);
+      for (const { job, firstTask, bits } of written) job.markRecorded(firstTask, bits);
     });
   }
 }
 
-/** The most tasks that one part of a bitmap may have for a record to hold it. */
-function largestPartTasks(maxRecordBytes: number): number {
+/** Halves the tasks per segment until a segment fits into a record, but not below `MIN_SEGMENT_TASKS`. */
+function largestTasksPerSegment(maxRecordBytes: number): number {
   let tasks = BITMAP_UNIT_TASKS;
-  while (tasks > MIN_PART_TASKS && encodedBitsBytes(tasks) + MAX_PART_NAME_BYTES > maxRecordBytes) tasks /= 2;
+  while (tasks > MIN_SEGMENT_TASKS && encodedBitsBytes(tasks) + MAX_SEGMENT_NAME_BYTES > maxRecordBytes)
+    tasks /= 2;
   return tasks;
 }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,7 +1,7 @@
-// Jobs that depend on other jobs (a directed acyclic graph). Only what is stored counts: a job becomes ready
-// when the final state of the last of its dependencies is `done`, and is cancelled as soon as one of them is
-// cancelled, directly or through others. Nothing of this is stored; a leader derives it anew from the jobs'
-// records (docs/safety.md).
+// Dependencies between open jobs, as a directed acyclic graph. Only stored states have an effect: a job
+// becomes ready when `done` is stored as the final state of its last dependency, and is cancelled as soon
+// as a cancellation is stored for any of its direct or indirect dependencies. The graph itself is not
+// stored; each leader rebuilds it from the jobs' records (docs/safety.md).
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings } from '../base/model.ts';
@@ -11,12 +11,15 @@
 import type { RuntimeEstimates } from './job-ordering.ts';
 import type { JobTable } from './job-table.ts';
 
-/** The graph of open jobs that depend on others; unblocks, cancels and ranks them accordingly. */
+/**
+ * The dependency graph of the open jobs: unblocks and cancels dependents, and passes their priorities and
+ * deadlines on to their dependencies.
+ */
 export class Dependencies implements JobListener, FinalStateConsumer {
-  /** Open jobs that depend on a job, by its id. */
+  /** The open jobs that depend on each job, by the id of that job. */
   private readonly dependents = new Map<JobId, Set<Job>>();
   private readonly lookup: FinalStateLookup;
-  /** All dependencies of a job are done: its tasks may start. */
+  /** Called when all dependencies of a job are done: its tasks may start. */
   onReady: (job: Job) => void = () => {};
 
   constructor(
@@ -29,11 +32,11 @@
   }
 
   /** Whether an open job depends on this one. */
-  isNeeded(id: JobId): boolean {
+  hasOpenDependents(id: JobId): boolean {
     return this.dependents.has(id);
   }
 
-  /** Number of final states still to be read. */
+  /** Number of dependencies whose state still has to be read from the store. */
   get unresolvedCount(): number {
     return this.lookup.unresolvedCount;
   }
@@ -43,36 +46,37 @@
     this.lookup.tick();
   }
 
-  /** All stored jobs have been read: their dependencies are resolved. */
+  /** Called when all stored jobs have been read: adds those with dependencies to the graph. */
   onJobsRestored(): void {
-    for (const job of [...this.jobs.openJobs.values()]) if (job.isBlocked) this.register(job);
+    for (const job of [...this.jobs.openJobs.values()]) if (job.isBlocked) this.addToGraph(job);
   }
 
-  /** A job has become open: it may depend on others, and others on it. */
+  /** Called when a job has become open: it may have dependencies, and dependents that opened before it. */
   onOpened(job: Job): void {
     this.lookup.markResolved(job.id);
-    if (job.isBlocked) this.register(job);
+    if (job.isBlocked) this.addToGraph(job);
     if (job.cancelled) this.onCancelled(job);
-    else if (this.isNeeded(job.id)) this.propagateUrgency([job.id]);
+    else if (this.hasOpenDependents(job.id)) this.updateInheritedUrgency([job.id]);
   }
 
-  private register(job: Job): void {
+  /** Adds edges to the unmet dependencies of a job, and cancels or unblocks it if their states are known. */
+  private addToGraph(job: Job): void {
     let cancelledDependency: JobId | null = null;
     for (const id of new Set(job.spec.dependsOn)) {
-      const open = this.jobs.openJobs.get(id);
+      const openDependency = this.jobs.openJobs.get(id);
       const final = this.jobs.finalState(id);
-      if (open?.cancelled || final?.status === 'cancelled') cancelledDependency ??= id;
+      if (openDependency?.cancelled || final?.status === 'cancelled') cancelledDependency ??= id;
       if (final?.status === 'done') {
-        job.readyWall = Math.max(job.readyWall, final.at) as WallTime;
+        job.readyWall = Math.max(job.readyWall, final.endedAt) as WallTime;
         continue;
       }
       this.addEdge(job, id);
-      if (open === undefined && final === null) this.lookup.request(id);
+      if (openDependency === undefined && final === null) this.lookup.request(id);
     }
     if (job.cancelled) this.removeEdges(job);
     else if (cancelledDependency !== null) this.cancelWithDependents(job, cancelledDependency);
     else if (job.unmetDependencies.size === 0) this.unblock(job);
-    else this.propagateUrgency(job.unmetDependencies);
+    else this.updateInheritedUrgency(job.unmetDependencies);
   }
 
   private addEdge(job: Job, dependency: JobId): void {
@@ -81,13 +85,16 @@
     this.dependents.set(dependency, dependents.add(job));
   }
 
-  /** The job's final state is stored. */
+  /** Called when the job's final state is stored. */
   onClosed(job: Job, status: FinalStatus, endedAt: WallTime): void {
     if (job.unmetDependencies.size > 0) this.removeEdges(job);
     this.onFinalState(job.id, status, endedAt);
   }
 
-  /** The final state of a job is known: jobs that depend on it are cancelled, or wait for one less. */
+  /**
+   * Called when the final state of a job is known. If the job was cancelled, its dependents are cancelled;
+   * otherwise those without further unmet dependencies are unblocked.
+   */
   onFinalState(id: JobId, status: FinalStatus, endedAt: WallTime): void {
     this.lookup.markResolved(id);
     const dependents = this.dependents.get(id);
@@ -110,15 +117,15 @@
   // ---- cancellation
 
   /**
-   * The job's cancellation is stored, or follows from one that is: all that depend on it are cancelled, at
-   * any distance.
+   * Called when the cancellation of the job, or of one of its dependencies, is stored: cancels all its direct
+   * and indirect dependents.
    */
   onCancelled(job: Job): void {
     this.removeEdges(job);
     this.cancelDependents(job.id);
   }
 
-  /** A worklist in place of recursion: chains may be thousands of jobs long. */
+  /** Uses a worklist instead of recursion, because chains may be thousands of jobs long. */
   private cancelDependents(cancelled: JobId): void {
     const worklist = [cancelled];
     for (let id = worklist.pop(); id !== undefined; id = worklist.pop()) {
@@ -131,7 +138,7 @@
     if (this.markCancelled(job, dependency)) this.cancelDependents(job.id);
   }
 
-  /** Returns false if the job was cancelled or over before. */
+  /** Returns false if the job was cancelled or had ended before. */
   private markCancelled(job: Job, dependency: JobId): boolean {
     this.removeEdges(job);
     if (job.cancelled || job.isOver) return false;
@@ -141,7 +148,7 @@
     return true;
   }
 
-  /** The job waits for no others any more. */
+  /** Removes the edges from the job to its dependencies, and recomputes what these inherit. */
   private removeEdges(job: Job): void {
     const dependencies = [...job.unmetDependencies];
     job.unmetDependencies.clear();
@@ -150,16 +157,16 @@
       dependents?.delete(job);
       if (dependents?.size === 0) this.dependents.delete(id);
     }
-    this.propagateUrgency(dependencies);
+    this.updateInheritedUrgency(dependencies);
   }
 
   // ---- priority and deadlines
 
   /**
-   * Passes priority and deadline from jobs on to those that they depend on, beginning with these; only jobs
-   * whose values change pass them on.
+   * Recomputes the priorities and deadlines that the given jobs inherit from their dependents. Where a value
+   * has changed, continues with the job's own dependencies.
    */
-  private propagateUrgency(ids: Iterable<JobId>): void {
+  private updateInheritedUrgency(ids: Iterable<JobId>): void {
     const worklist = [...ids];
     for (let id = worklist.pop(); id !== undefined; id = worklist.pop()) {
       const job = this.jobs.openJobs.get(id);
@@ -189,21 +196,22 @@
   // ---- uncertainty
 
   /**
-   * Whether the job may turn out to be cancelled because of a dependency whose final state has not been read
-   * yet, or whose cancellation may be stored already. Until that is known users are told nothing of the job:
-   * another controller may have told one of them that it is cancelled.
+   * Whether the job may turn out to be cancelled because of a direct or indirect dependency whose final state
+   * has not been read yet, or whose cancellation may already be stored. As long as that is so, users must not
+   * get a status of the job from this leader: another controller may already have responded that it is
+   * cancelled.
    */
   isUncertain(job: Job): boolean {
     if (job.unmetDependencies.size === 0) return false;
     if (this.lookup.unresolvedCount === 0 && !this.jobs.hasPendingCancellations) return false;
-    // Grows while it is walked through.
+    // Dependencies of dependencies are added to the set during the iteration, which then visits them too.
     const ancestors = new Set<JobId>(job.unmetDependencies);
     for (const id of ancestors) {
       if (this.lookup.isUnresolved(id)) return true;
       const dependency = this.jobs.openJobs.get(id);
       if (dependency === undefined) continue;
       if (dependency.cancelRequested && dependency.mayHaveEnded) return true;
-      for (const next of dependency.unmetDependencies) ancestors.add(next);
+      for (const ancestor of dependency.unmetDependencies) ancestors.add(ancestor);
     }
     return false;
   }
--- a/src/core/jobs/dependency-check.ts
+++ b/src/core/jobs/dependency-check.ts
@@ -1,19 +1,17 @@
-// Whether the dependencies of a submitted job were ever accepted: the one place that decides, for the leader
-// and for fallback admission. Only the store shows that a job was never accepted: another controller may have
-// accepted it a moment ago, or it may be long over.
+// Checks on submission that the dependencies of a job were accepted and can end. The leader and fallback
+// admission both use this check. Only the store can show that a job was never accepted: a job that this
+// controller has not in memory may just have been accepted by another controller, or may have ended long ago.
 import type { JobId } from '../../types/index.ts';
 import type { JobKind, JobSpec, UserResponse } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
 import type { JobRecordReader } from '../storage/job-record-reader.ts';
 
-/**
- * What the controller that checks knows of a job for certain: its kind, that it is over, or nothing (null).
- */
+/** Looks up a job in this controller's memory: its kind, `over` if it has ended, or null if not found. */
 export type KnownJobKind = (id: JobId) => JobKind | 'over' | null;
 
 /**
- * Calls `accept` if all dependencies exist and may end; else responds to the user. A job that was accepted
- * before is not checked again: the user is told its status.
+ * Calls `accept` if all dependencies were accepted before and can end; otherwise responds to the user. If the
+ * job itself was accepted before, its dependencies are not checked again, and the response holds its status.
  */
 export function checkDependencies(
   spec: JobSpec,
@@ -23,10 +21,10 @@
   accept: () => void,
 ): void {
   const dependsOn = spec.dependsOn ?? [];
-  const others = dependsOn.filter((id) => id !== spec.id);
-  const dependsOnItself = others.length < dependsOn.length;
-  const unknown = others.filter((id) => knownKind(id) === null);
-  const service = others.find((id) => knownKind(id) === 'service');
+  const otherJobs = dependsOn.filter((id) => id !== spec.id);
+  const dependsOnItself = otherJobs.length < dependsOn.length;
+  const unknown = otherJobs.filter((id) => knownKind(id) === null);
+  const service = otherJobs.find((id) => knownKind(id) === 'service');
   if (!dependsOnItself && unknown.length === 0 && service === undefined) return accept();
   records.findExisting([spec.id, ...unknown], (found) => {
     if (found === null) return respond(cannotCheck());
--- a/src/core/jobs/final-state-lookup.ts
+++ b/src/core/jobs/final-state-lookup.ts
@@ -1,5 +1,5 @@
-// Reads the final states of jobs that open jobs depend on and of which nothing is known, within a fraction of
-// the request budget, until each of them is known to be open, done or cancelled.
+// Reads the final states of dependencies that are neither open nor in the cache of final states, within a
+// fraction of the request budget, until each of them is known to be open, done or cancelled.
 import { addMs, type Instant, type JobId, LONG_AGO, type WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreReply } from '../base/model.ts';
@@ -10,12 +10,15 @@
 import type { FinalStatus } from './job-events.ts';
 import type { JobTable } from './job-table.ts';
 
-/** Fraction of the shard's store requests for these reads. */
+/** Fraction of the shard's budget of store requests that these reads may use. */
 const READ_BUDGET_FRACTION = 0.25;
 const MAX_CONCURRENT_READS = 8;
-/** After a read that was refused or not answered. */
+/** Delay after a read that was refused or not answered. */
 const RETRY_DELAY_MS = 300;
-/** After a read that found none: another controller may have accepted the job a moment ago. */
+/**
+ * Delay after a read that found no final state: another controller may just have accepted the job, and this
+ * leader has not read its record yet.
+ */
 const MISSING_RETRY_DELAY_MS = 2000;
 
 interface PendingRead {
@@ -23,15 +26,15 @@
   notBefore: Instant;
 }
 
-/** Who needs the final states. */
+/** Receives the final states that were read. */
 export interface FinalStateConsumer {
   /** Whether an open job depends on this one. */
-  isNeeded(id: JobId): boolean;
-  /** The job has ended. */
+  hasOpenDependents(id: JobId): boolean;
+  /** Called when the final state of a job is known. */
   onFinalState(id: JobId, status: FinalStatus, endedAt: WallTime): void;
 }
 
-/** What {@link FinalStateLookup} depends on. */
+/** Constructor dependencies of {@link FinalStateLookup}. */
 export interface FinalStateLookupDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -39,11 +42,11 @@
   consumer: FinalStateConsumer;
 }
 
-/** A queue of reads of final states, with repetition. */
+/** Queue of reads of final states. Reads are repeated until the state of the job is known. */
 export class FinalStateLookup {
   private readonly queue: PendingRead[] = [];
   private readsInFlight = 0;
-  /** Jobs of which it is not known whether they are open, done or cancelled. */
+  /** Jobs for which it is not known yet whether they are open, done or cancelled. */
   private readonly unresolved = new Set<JobId>();
   private readonly budget: TokenBucket;
   private readonly io: ControllerIo;
@@ -58,22 +61,22 @@
     this.budget = new TokenBucket(readsPerS, readsPerS);
   }
 
-  /** Number of jobs of which it is not known whether they are open, done or cancelled. */
+  /** Number of jobs for which it is not known yet whether they are open, done or cancelled. */
   get unresolvedCount(): number {
     return this.unresolved.size;
   }
 
-  /** Whether it is not known yet if this job is open, done or cancelled. */
+  /** Whether it is not known yet if the job is open, done or cancelled. */
   isUnresolved(id: JobId): boolean {
     return this.unresolved.has(id);
   }
 
-  /** The job's state has become known in another way. */
+  /** Called when the job's state has become known other than by a read of this lookup. */
   markResolved(id: JobId): void {
     this.unresolved.delete(id);
   }
 
-  /** Reads the job's final state, unless that is under way. */
+  /** Queues a read of the job's final state, unless one is already queued or in flight. */
   request(id: JobId): void {
     if (this.unresolved.has(id)) return;
     this.unresolved.add(id);
@@ -90,7 +93,7 @@
     const postponed: PendingRead[] = [];
     while (this.readsInFlight < MAX_CONCURRENT_READS && this.queue.length > 0) {
       const pending = this.queue.shift()!;
-      if (!this.consumer.isNeeded(pending.id)) {
+      if (!this.consumer.hasOpenDependents(pending.id)) {
         this.unresolved.delete(pending.id);
         continue;
       }
@@ -118,16 +121,16 @@
       this.unresolved.delete(id);
       return;
     }
-    // A repeated submission of the job may have had its final state read meanwhile.
+    // A repeated submission of the job may have caused its final state to be read in the meantime.
     const cached = this.jobs.finalState(id);
-    if (cached !== null) return this.consumer.onFinalState(id, cached.status, cached.at);
+    if (cached !== null) return this.consumer.onFinalState(id, cached.status, cached.endedAt);
     if (reply.kind === 'item') {
       const { status, endedAt } = decodeFinalState(reply.item);
-      const at = endedAt ?? (0 as WallTime);
-      this.jobs.cacheFinalState(id, status, at);
-      return this.consumer.onFinalState(id, status, at);
+      const endedAtOrZero = endedAt ?? (0 as WallTime);
+      this.jobs.cacheFinalState(id, status, endedAtOrZero);
+      return this.consumer.onFinalState(id, status, endedAtOrZero);
     }
-    // Not over, and so not cancelled either: only this leader could have done that.
+    // No final state is stored, so the job has not been cancelled: only this leader could have cancelled it.
     const isMissing = reply.kind === 'missing';
     if (isMissing) this.unresolved.delete(id);
     const delayMs = isMissing ? MISSING_RETRY_DELAY_MS : RETRY_DELAY_MS;
--- a/src/core/jobs/final-states.ts
+++ b/src/core/jobs/final-states.ts
@@ -1,4 +1,4 @@
-// Final states of jobs: a bounded cache, and reads of those that are not in it.
+// Bounded cache of the final states of jobs, and reads of final states from the store.
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { UserResponse } from '../base/model.ts';
@@ -8,13 +8,13 @@
 import { FINAL_STATE_PREFIX } from '../storage/keys.ts';
 import type { FinalStatus } from './job-events.ts';
 
-/** Above this number the states that were cached first are dropped. */
+/** When the cache exceeds this number, the states that were cached first are evicted. */
 const MAX_CACHED_STATES = 20_000;
 
-/** How and when a job ended; `at` is 0 where the stored state of an earlier version does not tell. */
+/** How and when a job ended; `endedAt` is 0 if an earlier version stored the state without the time. */
 export interface CachedFinalState {
   status: FinalStatus;
-  at: WallTime;
+  endedAt: WallTime;
 }
 
 /** The final states that this controller has written or read during its term. */
@@ -29,8 +29,8 @@
   }
 
   /** Caches a final state that is known to be stored. */
-  set(id: JobId, status: FinalStatus, at: WallTime = 0 as WallTime): void {
-    this.states.set(id, { status, at });
+  set(id: JobId, status: FinalStatus, endedAt: WallTime = 0 as WallTime): void {
+    this.states.set(id, { status, endedAt });
     if (this.states.size <= MAX_CACHED_STATES) return;
     for (const oldest of this.states.keys()) {
       this.states.delete(oldest);
--- a/src/core/jobs/job-acceptance.ts
+++ b/src/core/jobs/job-acceptance.ts
@@ -1,5 +1,5 @@
-// How jobs enter the table: submissions that the leader stores, and jobs that other controllers have stored
-// without it.
+// Adds jobs to the job table: submitted jobs, which the leader stores first, and jobs that other controllers
+// have stored without the leader.
 import type { JobId, Revision, TeamName, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, StoreItem, StorePut, UserResponse } from '../base/model.ts';
@@ -12,7 +12,7 @@
 import type { JobEvents } from './job-events.ts';
 import type { JobTermination } from './job-termination.ts';
 
-/** What {@link JobAcceptance} depends on. */
+/** Constructor dependencies of {@link JobAcceptance}. */
 export interface JobAcceptanceDependencies {
   io: ControllerIo;
   writer: FencedWriter;
@@ -27,12 +27,12 @@
 
 type Respond = (response: UserResponse) => void;
 
-/** Stores submitted jobs and opens them; opens jobs that other controllers have accepted. */
+/** Stores submitted jobs and adds them to the open jobs, as well as jobs that other controllers accepted. */
 export class JobAcceptance {
-  /** Users to answer when the record of a submitted job has been written, by job. */
-  private readonly accepting = new Map<JobId, Respond[]>();
-  /** Acceptances of each team that are being written. */
-  private readonly pendingByTeam = new Map<TeamName, number>();
+  /** Callbacks to call with the response when the write of a submitted job's record has ended, by job. */
+  private readonly pendingResponders = new Map<JobId, Respond[]>();
+  /** Number of job records being written for each team. */
+  private readonly pendingWritesByTeam = new Map<TeamName, number>();
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly openJobs: Map<JobId, Job>;
@@ -53,15 +53,15 @@
 
   /** Whether the record of this submitted job is being written. */
   isAccepting(id: JobId): boolean {
-    return this.accepting.has(id);
+    return this.pendingResponders.has(id);
   }
 
   /**
-   * Stores a submitted job and responds once that is done; a repeated submission meanwhile shares the
-   * outcome.
+   * Stores a submitted job and responds when the write has ended; submissions of the same job that are
+   * repeated in the meantime get the same response.
    */
   accept(spec: JobSpec, respond: Respond): void {
-    const responders = this.accepting.get(spec.id);
+    const responders = this.pendingResponders.get(spec.id);
     if (responders !== undefined) {
       responders.push(respond);
       return;
@@ -71,13 +71,13 @@
     const record = { spec, acceptedAt, cancelled: false, writeId, dependencyParts: 0 };
     const puts = jobRecordPuts(record, this.writer.limits);
     if (puts === null) return respond({ kind: 'too-large', reason: 'the job is too large for a record' });
-    this.accepting.set(spec.id, [respond]);
+    this.pendingResponders.set(spec.id, [respond]);
     this.writeRecord(spec, acceptedAt, writeId, puts);
   }
 
   private writeRecord(spec: JobSpec, acceptedAt: WallTime, writeId: string, puts: StorePut[]): void {
-    const pending = this.pendingByTeam.get(spec.team) ?? 0;
-    this.pendingByTeam.set(spec.team, pending + 1);
+    const pendingWrites = this.pendingWritesByTeam.get(spec.team) ?? 0;
+    this.pendingWritesByTeam.set(spec.team, pendingWrites + 1);
     const dependencyParts = puts.length - 1;
     this.writer.write({
       conditions: [
@@ -89,20 +89,20 @@
       verifyKey: OPEN_JOB_PREFIX + spec.id,
       writeId,
       priority: WritePriority.accept,
-      turn: pending,
+      turn: pendingWrites,
       onResult: (result) => this.onWritten(spec, acceptedAt, dependencyParts, result),
     });
   }
 
   private onWritten(spec: JobSpec, acceptedAt: WallTime, dependencyParts: number, result: WriteResult): void {
-    const responders = this.accepting.get(spec.id) ?? [];
-    this.accepting.delete(spec.id);
-    this.countWritten(spec.team);
+    const responders = this.pendingResponders.get(spec.id) ?? [];
+    this.pendingResponders.delete(spec.id);
+    this.decrementPendingWrites(spec.team);
     const respondToAll = (response: UserResponse): void => {
       for (const respond of responders) respond(response);
     };
     if (result.kind === 'ok') {
-      const job = this.newJob(spec, result.revision, acceptedAt);
+      const job = this.createJob(spec, result.revision, acceptedAt);
       job.dependencyParts = dependencyParts;
       this.openJobs.set(spec.id, job);
       this.io.log('debug', 'job accepted', { job: spec.id, class: spec.class, tasks: spec.tasks });
@@ -114,13 +114,15 @@
     else respondToAll(retryLater('the job service is changing hands'));
   }
 
-  private countWritten(team: TeamName): void {
-    const pending = this.pendingByTeam.get(team)! - 1;
-    if (pending > 0) this.pendingByTeam.set(team, pending);
-    else this.pendingByTeam.delete(team);
+  private decrementPendingWrites(team: TeamName): void {
+    const pendingWrites = this.pendingWritesByTeam.get(team)! - 1;
+    if (pendingWrites > 0) this.pendingWritesByTeam.set(team, pendingWrites);
+    else this.pendingWritesByTeam.delete(team);
   }
 
-  /** The job was accepted before: its record is stored (`item`), or its final state (null). */
+  /**
+   * Responds for a job that was accepted before. `item`: its record, or null if its final state is stored.
+   */
   private onAlreadyStored(id: JobId, item: StoreItem | null, respond: Respond): void {
     if (item === null) {
       this.finalStates.read(id, (response) =>
@@ -128,7 +130,7 @@
       );
       return;
     }
-    // Another controller accepted it at the same moment.
+    // Another controller accepted the job at the same time.
     this.adopt(item);
     const job = this.openJobs.get(id);
     const isStatusKnown = job !== undefined && (job.cancelled || !job.isBlocked);
@@ -139,23 +141,26 @@
     );
   }
 
-  /** Opens a stored job that this leader does not know: another controller accepted it during this term. */
+  /**
+   * Adds a stored job that another controller accepted during this term, unless the table holds it already.
+   */
   adopt(item: StoreItem): void {
     const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
     const { id } = spec;
-    // Only leaders write records of several values: this one is known, or is left to the next leader.
+    // Only leaders write records of several values: the job is in the table already, or the next leader loads
+    // it.
     if (dependencyParts > 0) return;
-    const known = this.openJobs.get(id);
-    if (known !== undefined && cancelled) return this.termination.onStoredCancellation(known, item);
-    if (known !== undefined || this.accepting.has(id) || this.finalStates.get(id) !== null) return;
-    const job = this.newJob(spec, item.revision, acceptedAt);
+    const openJob = this.openJobs.get(id);
+    if (openJob !== undefined && cancelled) return this.termination.onStoredCancellation(openJob, item);
+    if (openJob !== undefined || this.pendingResponders.has(id) || this.finalStates.get(id) !== null) return;
+    const job = this.createJob(spec, item.revision, acceptedAt);
     job.cancelled = cancelled;
     this.openJobs.set(id, job);
     this.io.log('info', 'job accepted by another controller', { job: id });
     this.notifyOpened(job);
   }
 
-  private newJob(spec: JobSpec, revision: Revision, acceptedAt: WallTime): Job {
+  private createJob(spec: JobSpec, revision: Revision, acceptedAt: WallTime): Job {
     return new Job({
       spec,
       revision,
--- a/src/core/jobs/job-events.ts
+++ b/src/core/jobs/job-events.ts
@@ -1,30 +1,30 @@
-// What the job table tells the rest of the controller about its jobs.
+// Callbacks through which the job table reports changes of its jobs to other modules of the controller.
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { Job } from './job.ts';
 
 /** How a job ended. */
 export type FinalStatus = 'done' | 'cancelled';
 
-/** Follows jobs on behalf of those that depend on them; implemented by {@link Dependencies}. */
+/** Observes jobs in order to update their dependents; implemented by {@link Dependencies}. */
 export interface JobListener {
   /** Whether an open job depends on this one. */
-  isNeeded(id: JobId): boolean;
-  /** A job has become open: accepted, or found in the store. */
+  hasOpenDependents(id: JobId): boolean;
+  /** A job has become open: it was accepted, or found in the store. */
   onOpened(job: Job): void;
-  /** The cancellation of an open job is stored; its final state is not yet. */
+  /** The cancellation of an open job is stored, but not yet its final state. */
   onCancelled(job: Job): void;
   /** The final state of a job is stored. */
   onClosed(job: Job, status: FinalStatus, endedAt: WallTime): void;
 }
 
-/** Events in the life of an open job. The callbacks are set once, by the leader's term. */
+/** Lifecycle events of open jobs. The callbacks are set once, at the beginning of a leader's term. */
 export interface JobEvents {
   readonly listener: JobListener | null;
   /** A job that is not cancelled has become open. */
   onAccepted(job: Job): void;
-  /** No more tasks of the job are to start: it is over, cancelled, or about to be cancelled. */
+  /** No more tasks of the job may start: it has ended, or its cancellation is stored or being written. */
   onEnded(job: Job): void;
-  /** A cancellation could not be stored: the job goes on, and its tasks are to be scheduled again. */
+  /** A cancellation could not be stored: the job's tasks have to be scheduled again. */
   onCancellationFailed(): void;
   /** The job's final state is stored. */
   onClosed(job: Job, status: FinalStatus): void;
--- a/src/core/jobs/job-ordering.ts
+++ b/src/core/jobs/job-ordering.ts
@@ -1,55 +1,59 @@
-// In which order waiting jobs of the same priority are served: by the time left until an objective of theirs
-// is missed.
+// Order in which waiting jobs of the same priority are scheduled: by slack, the time left until a job would
+// miss its next objective.
 import type { Instant } from '../../types/index.ts';
 import type { Objective } from '../base/model.ts';
 import type { Job } from './job.ts';
 
-/** Within this from being ready a job without objectives or deadline should start. */
+/** Time after becoming ready within which a job without objectives and without a deadline should start. */
 const DEFAULT_MAX_WAIT_S = 300;
 /**
- * Slack of a job that has missed all its objectives, before its age is subtracted: more than of any that has
- * not.
+ * Slack of a job that has missed all its objectives, before its age is subtracted. It exceeds the slack of
+ * any job that can still meet an objective.
  */
 const MISSED_SLACK_S = 1e6;
 
-/** Weights of the newest run in the moving averages of run times, and of their ratios to users' estimates. */
+/** Weight of the latest run in the moving average of run times. */
 const MEAN_WEIGHT = 0.05;
+/** Weight of the latest run in the moving average of the ratio of run time to the user's estimate. */
 const RATIO_WEIGHT = 0.1;
-/** One run counts as no more than this far from its estimate. */
+/** Bounds for the ratio of run time to estimate that a single run contributes to the average. */
 const MIN_RATIO = 0.2;
 const MAX_RATIO = 5;
-/** What is left of a task as it reaches its estimate. */
+/** Expected remaining run time of a task that has just reached its expected run time. */
 const MIN_REMAINING_S = 2;
 
-/** Moving averages by class: of run times, and of the ratio of run times to users' estimates. */
+/** Moving averages for each class: of run times, and of the ratio of run times to users' estimates. */
 export class RuntimeEstimates {
   private readonly ratioByClass = new Map<string, number>();
-  private readonly meanByClass = new Map<string, number>();
+  private readonly meanRunSByClass = new Map<string, number>();
 
-  /** A task of the class has run for `actualS` seconds; `estimateS` was its user's estimate. */
+  /** Records that a task of the class ran for `actualS` seconds; `estimateS` was the user's estimate. */
   record(className: string, estimateS: number, actualS: number): void {
-    const mean = this.meanByClass.get(className) ?? actualS;
-    this.meanByClass.set(className, mean * (1 - MEAN_WEIGHT) + actualS * MEAN_WEIGHT);
+    const meanRunS = this.meanRunSByClass.get(className) ?? actualS;
+    this.meanRunSByClass.set(className, meanRunS * (1 - MEAN_WEIGHT) + actualS * MEAN_WEIGHT);
     if (estimateS <= 0) return;
-    const newest = Math.min(MAX_RATIO, Math.max(MIN_RATIO, actualS / estimateS));
+    const latestRatio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, actualS / estimateS));
     const ratio = this.ratioByClass.get(className) ?? 1;
-    this.ratioByClass.set(className, ratio * (1 - RATIO_WEIGHT) + newest * RATIO_WEIGHT);
+    this.ratioByClass.set(className, ratio * (1 - RATIO_WEIGHT) + latestRatio * RATIO_WEIGHT);
   }
 
-  /** Mean seconds that tasks of a class run; `estimateS` while none has been seen. */
+  /** Mean run time in seconds of tasks of the class; `estimateS` as long as no run has been recorded. */
   meanRunS(className: string, estimateS: number): number {
-    return this.meanByClass.get(className) ?? estimateS;
+    return this.meanRunSByClass.get(className) ?? estimateS;
   }
 
-  /** Seconds that a task of the job is expected to run. */
+  /** Expected run time in seconds of a task of the job. */
   runS(job: Job): number {
     return job.spec.estimatedRunS * (this.ratioByClass.get(job.spec.class) ?? 1);
   }
 
-  /** Seconds that a task is expected to go on; one beyond its estimate for as long again as it is late. */
+  /**
+   * Expected remaining run time in seconds of a task that has run for `elapsedS`. A task beyond its expected
+   * run time is expected to run for as long again as it has exceeded it.
+   */
   remainingS(job: Job, elapsedS: number): number {
-    const leftS = this.runS(job) - elapsedS;
-    return leftS > 0 ? leftS : MIN_REMAINING_S - leftS;
+    const untilExpectedEndS = this.runS(job) - elapsedS;
+    return untilExpectedEndS > 0 ? untilExpectedEndS : MIN_REMAINING_S - untilExpectedEndS;
   }
 }
 
@@ -68,51 +72,51 @@
     this.objectivesByClass.clear();
     for (const objective of objectives) {
       if (objective.class === null) continue;
-      const ofClass = this.objectivesByClass.get(objective.class) ?? [];
-      ofClass.push(objective);
-      this.objectivesByClass.set(objective.class, ofClass);
+      const classObjectives = this.objectivesByClass.get(objective.class) ?? [];
+      classObjectives.push(objective);
+      this.objectivesByClass.set(objective.class, classObjectives);
     }
   }
 
   /**
-   * Seconds after acceptance by which the job's tasks should start, one for each objective, earliest first.
-   * Waits count from when the job became ready; deadlines, its own and those of jobs that depend on it, from
-   * acceptance.
+   * Latest starts of the job's tasks in seconds after acceptance, one for each objective, earliest first.
+   * For objectives on waiting time the time counts from when the job became ready; for deadlines, its own
+   * and those of its dependents, from acceptance.
    */
-  startBy(job: Job): number[] {
+  latestStartsS(job: Job): number[] {
     const runS = this.estimates.runS(job);
     const readyS = (job.readyWall - job.acceptedAt) / 1000;
-    const starts: number[] = [];
+    const latestStartsS: number[] = [];
     for (const objective of this.objectivesByClass.get(job.spec.class) ?? []) {
-      const startS = startForObjective(job, objective, readyS, runS);
-      if (startS !== null) starts.push(startS);
+      const latestStartS = latestStartForObjective(job, objective, readyS, runS);
+      if (latestStartS !== null) latestStartsS.push(latestStartS);
     }
     if (Number.isFinite(job.inheritedDeadline))
-      starts.push((job.inheritedDeadline - job.acceptedAt) / 1000 - runS);
-    if (starts.length === 0) {
+      latestStartsS.push((job.inheritedDeadline - job.acceptedAt) / 1000 - runS);
+    if (latestStartsS.length === 0) {
       const { deadlineS } = job.spec;
-      starts.push(deadlineS === null ? readyS + DEFAULT_MAX_WAIT_S : deadlineS - runS);
+      latestStartsS.push(deadlineS === null ? readyS + DEFAULT_MAX_WAIT_S : deadlineS - runS);
     }
-    return starts.sort((a, b) => a - b);
+    return latestStartsS.sort((a, b) => a - b);
   }
 
   /**
-   * Seconds until the next objective that can still be met; jobs beyond all theirs come last, the oldest
-   * first.
+   * Seconds until the job must start to meet its next objective. Jobs that have missed all their objectives
+   * come last, the oldest first.
    */
   slackS(job: Job, now: Instant, wallTime: number): number {
     return slackOf(this.deadlinesS(job, now, wallTime), ageS(job, now, wallTime));
   }
 
-  /** Seconds until the start for each objective that can still be met, earliest first. */
+  /** Seconds until the latest start for each objective that can still be met, earliest first. */
   deadlinesS(job: Job, now: Instant, wallTime: number): number[] {
     const jobAgeS = ageS(job, now, wallTime);
-    return this.startBy(job)
-      .filter((startS) => startS >= jobAgeS)
-      .map((startS) => startS - jobAgeS);
+    return this.latestStartsS(job)
+      .filter((latestStartS) => latestStartS >= jobAgeS)
+      .map((latestStartS) => latestStartS - jobAgeS);
   }
 
-  /** The shortest wait in seconds that any objective allows the class; null if none does. */
+  /** The shortest waiting time in seconds among the objectives of the class; null if none limits it. */
   shortestWaitS(className: string): number | null {
     let shortestS: number | null = null;
     for (const { kind, withinS } of this.objectivesByClass.get(className) ?? [])
@@ -122,10 +126,15 @@
 }
 
 /**
- * Seconds after acceptance by which the tasks should start for the objective; null if it says nothing of the
- * job.
+ * Latest start of the job's tasks to meet the objective, in seconds after acceptance; null if the objective
+ * does not apply to the job.
  */
-function startForObjective(job: Job, objective: Objective, readyS: number, runS: number): number | null {
+function latestStartForObjective(
+  job: Job,
+  objective: Objective,
+  readyS: number,
+  runS: number,
+): number | null {
   const { kind, withinS, times } = objective;
   const { deadlineS } = job.spec;
   if (kind === 'wait' && withinS !== null) return readyS + withinS;
@@ -135,12 +144,16 @@
 }
 
 /**
- * Seconds left until the first of these starts; if there is none, more than of any job that has one, and less
+ * Slack of a job, given the seconds until the latest start for each objective that it can still meet,
+ * earliest first. If there are none, the slack exceeds that of all jobs that can meet one, and decreases
  * with age.
  */
-export const slackOf = (startsS: readonly number[], jobAgeS: number): number =>
-  startsS[0] ?? MISSED_SLACK_S - jobAgeS;
+export const slackOf = (untilLatestStartsS: readonly number[], jobAgeS: number): number =>
+  untilLatestStartsS[0] ?? MISSED_SLACK_S - jobAgeS;
 
-/** Seconds since the job was accepted, by whichever clock says more. */
+/**
+ * Seconds since the job was accepted by the wall clock, or since this controller first saw it by the
+ * monotonic clock, whichever is more.
+ */
 export const ageS = (job: Job, now: Instant, wallTime: number): number =>
   Math.max(0, (wallTime - job.acceptedAt) / 1000, (now - job.seenAt) / 1000);
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -1,5 +1,5 @@
-// The open jobs of the shard, and what happens to them: restoring them at the beginning of a term, results of
-// tasks, and (in job-acceptance.ts and job-termination.ts) acceptance, cancellation and the end.
+// Table of the shard's open jobs: restores them at the beginning of a term and records results of their
+// tasks. Acceptance is in job-acceptance.ts; cancellation and final states are in job-termination.ts.
 import type { JobId, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, StoreItem, UserResponse } from '../base/model.ts';
@@ -13,13 +13,13 @@
 import type { FinalStatus, JobEvents, JobListener } from './job-events.ts';
 import { JobTermination } from './job-termination.ts';
 
-/** The leader's jobs. Every change that users are told of is stored first. */
+/** The open jobs of a leader. Every change is stored before a response to a user reports it. */
 export class JobTable implements JobEvents {
   /** Jobs whose final state is not stored yet. */
   readonly openJobs = new Map<JobId, Job>();
-  /** Open jobs with tasks that wait for a machine, without blocked ones. */
+  /** Open jobs that are not blocked and have tasks that wait for a machine. */
   readonly waitingJobs = new Set<Job>();
-  /** Follows jobs on behalf of their dependents; null until it is set. */
+  /** Observes jobs in order to update their dependents; null until it is set. */
   listener: JobListener | null = null;
   /** See {@link JobEvents.onAccepted}. */
   onAccepted: (job: Job) => void = () => {};
@@ -40,12 +40,12 @@
     this.progress = progress;
     this.finalStates = new FinalStates(io);
     const { finalStates, openJobs, waitingJobs } = this;
-    const shared = { io, writer, openJobs, waitingJobs, finalStates, events: this };
-    this.termination = new JobTermination({ ...shared, progress });
-    this.acceptance = new JobAcceptance({ ...shared, termination: this.termination });
+    const commonDependencies = { io, writer, openJobs, waitingJobs, finalStates, events: this };
+    this.termination = new JobTermination({ ...commonDependencies, progress });
+    this.acceptance = new JobAcceptance({ ...commonDependencies, termination: this.termination });
   }
 
-  /** Opens a job whose record was read at the beginning of the term; where its tasks are is not known yet. */
+  /** Adds a job whose record was read at the beginning of the term; its tasks have not been located yet. */
   restore(item: StoreItem): void {
     const { spec, acceptedAt, cancelled, dependencyParts } = decodeJobRecord(item);
     const job = new Job({
@@ -61,19 +61,19 @@
     this.openJobs.set(spec.id, job);
   }
 
-  /** Whether any open job's record has further values, to be read with `restoreDependencyPart`. */
+  /** Whether the record of any open job has further values; `restoreDependencyPart` takes them. */
   get hasDependencyParts(): boolean {
     for (const job of this.openJobs.values()) if (job.dependencyParts > 0) return true;
     return false;
   }
 
-  /** Adds the dependencies in a further value of a job's record to the restored job. */
+  /** Adds the dependencies from a further value of a job's record to the restored job. */
   restoreDependencyPart(item: StoreItem): void {
     const id = item.key.slice(DEPENDENCY_PART_PREFIX.length, item.key.lastIndexOf('/')) as JobId;
     this.openJobs.get(id)?.spec.dependsOn?.push(...dependenciesInPart(item));
   }
 
-  /** Opens a stored job that this leader does not know; see {@link JobAcceptance.adopt}. */
+  /** Adds a stored job that another controller accepted; see {@link JobAcceptance.adopt}. */
   adopt(item: StoreItem): void {
     this.acceptance.adopt(item);
   }
@@ -110,34 +110,34 @@
 
   /** Whether the cancellation of any job is being written. */
   get hasPendingCancellations(): boolean {
-    return this.termination.pendingCancellations > 0;
+    return this.termination.pendingCancellationCount > 0;
   }
 
-  /** A machine has reported that the task is done. */
+  /** Called when a machine has reported that the task is done. */
   completeTask(job: Job, index: number): void {
     if (job.spec.kind === 'service' || !job.setDone(index)) return;
-    // The tasks of a gang complete together. If each result were waited for, some might never arrive: a
-    // machine that has kept a result ends that task at once when it is started again, and the others would
-    // wait for it in vain.
-    if (job.spec.kind === 'gang') for (let task = 0; task < job.spec.tasks; task++) job.setDone(task);
+    // The first result completes all tasks of a gang. If the result of each task were required, a restarted
+    // gang might never end: a machine that has kept a result ends that task as soon as it is started again,
+    // and the other tasks would wait for it forever.
+    if (job.spec.kind === 'gang') for (let other = 0; other < job.spec.tasks; other++) job.setDone(other);
     if (job.remainingTasks === 0) this.termination.finish(job);
     else this.progress.markChanged(job, index);
   }
 
-  /** Whether the machine may forget this task's result: it is stored, or nobody needs it. */
+  /** Whether the machine may discard the task's result: it is stored, or not needed any more. */
   isResultRecorded(job: Job | undefined, index: number): boolean {
     if (job === undefined || job.cancelled || job.spec.kind === 'service') return true;
     return job.isRecorded(index);
   }
 
-  /** Ends the jobs that are due and writes changed bitmaps. Work: the open jobs. */
+  /** Ends finishable jobs and writes changed bitmaps; the cost is proportional to the number of open jobs. */
   tick(): void {
     for (const job of this.openJobs.values()) if (isFinishable(job)) this.termination.finish(job);
     this.progress.tick();
   }
 }
 
-/** Whether all tasks are done, or, of a cancelled job, none can be on a machine any more. */
+/** Whether all tasks are done or, if the job is cancelled, none of them can be on a machine any more. */
 function isFinishable(job: Job): boolean {
   if (job.cancelled) return job.assignedTasks === 0 && job.unlocatedTasks === 0;
   return job.remainingTasks === 0;
--- a/src/core/jobs/job-termination.ts
+++ b/src/core/jobs/job-termination.ts
@@ -1,5 +1,6 @@
-// Cancellation and the final state of jobs. Both are writes to the job's record, conditional on its revision,
-// so that `done` and `cancelled` exclude each other. A user is told of either only once it is stored.
+// Writes cancellations and final states of jobs. Both are writes to the job's record that are conditional on
+// its revision, so that `done` and `cancelled` exclude each other. Responses to users report either only once
+// it is stored.
 import type { JobId, Revision, WallTime } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, UserResponse } from '../base/model.ts';
@@ -27,7 +28,7 @@
 import type { Job } from './job.ts';
 import type { FinalStatus, JobEvents } from './job-events.ts';
 
-/** What {@link JobTermination} depends on. */
+/** Constructor dependencies of {@link JobTermination}. */
 export interface JobTerminationDependencies {
   io: ControllerIo;
   writer: FencedWriter;
@@ -40,10 +41,10 @@
   events: JobEvents;
 }
 
-/** Writes that cancel or end a job, one at a time for each job. */
+/** Sends the writes that cancel or end jobs, at most one at a time for each job. */
 export class JobTermination {
   /** Number of cancellations being written; see `Job.cancelRequested`. */
-  pendingCancellations = 0;
+  pendingCancellationCount = 0;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly openJobs: Map<JobId, Job>;
@@ -63,20 +64,20 @@
   }
 
   /**
-   * Cancels the job at its user's request, and responds once that is stored. No more of its tasks start from
-   * the request on, before the cancellation is stored: if the write is executed but its reply is lost, a
-   * controller that reads the record tells the user that the job is cancelled while this leader does not know
-   * it (docs/safety.md, point 15).
+   * Cancels the job at its user's request, and responds once the cancellation is stored. No more of its tasks
+   * start from the request on, even before the cancellation is stored: if the write is executed but its reply
+   * is lost, a controller that reads the record responds to the user that the job is cancelled while this
+   * leader has no reply yet (docs/safety.md, point 15).
    */
   cancel(job: Job, respond: (response: UserResponse) => void): void {
     if (job.cancelled) return respond({ kind: 'ended', id: job.id, status: 'cancelled' });
     if (job.isWritingRecord) {
-      // Whichever write comes first decides; the other one's user is told its outcome.
+      // The write in progress may end the job: only its outcome decides how this request is answered.
       job.afterEnd.push(() => this.cancelAfterWrite(job, respond));
       return;
     }
     job.cancelRequested = true;
-    this.pendingCancellations++;
+    this.pendingCancellationCount++;
     this.events.onEnded(job);
     const writeId = this.writer.nextWriteId();
     const key = OPEN_JOB_PREFIX + job.id;
@@ -89,7 +90,7 @@
       priority: WritePriority.cancel,
       onResult: (result) => {
         job.cancelRequested = false;
-        this.pendingCancellations--;
+        this.pendingCancellationCount--;
         this.onCancellationResult(job, result, respond);
       },
     };
@@ -102,7 +103,11 @@
     else this.cancel(job, respond);
   }
 
-  /** A record from before the limits fell may be too large to write again; a cancelled job needs no lists. */
+  /**
+   * The record of the cancelled job. It is written without the lists of dependencies and machine types,
+   * which a cancelled job does not need, if it has several values or, since the limits were lowered, is too
+   * large.
+   */
   private cancelledRecord(job: Job, writeId: string): JobRecord {
     const { spec, acceptedAt, dependencyParts } = job;
     const record = { spec, acceptedAt, cancelled: true, writeId, dependencyParts };
@@ -117,7 +122,8 @@
     result: WriteResult,
     respond: (response: UserResponse) => void,
   ): void {
-    // The term is over: the user is answered by the next leader, or from the store.
+    // The term is over: when the user retries, the next leader responds, or another controller from the
+    // store.
     if (result.kind === 'lost') return respond(retryLater('the job service is changing hands'));
     const revision = revisionAfter(result);
     if (revision !== null) job.revision = revision;
@@ -132,8 +138,9 @@
   }
 
   /**
-   * The stored record says that the job is cancelled: by a copy of a write that was given up as refused and
-   * executed late. Every controller that reads the record says so, and from now on this one too.
+   * Marks the job as cancelled because its stored record says so: the store executed a copy of a cancelling
+   * write late, after this leader had given the write up as refused. All controllers that read the record
+   * report the job as cancelled.
    */
   onStoredCancellation(job: Job, item: StoreItem): void {
     if (job.cancelled || job.isWritingRecord) return;
@@ -149,7 +156,7 @@
     this.events.listener?.onCancelled(job);
   }
 
-  /** Stores the job's final state in place of its record, unless a write to the record is under way. */
+  /** Replaces the job's record by its final state, unless a write to the record is in progress. */
   finish(job: Job): void {
     if (job.isWritingRecord) return;
     const status = job.cancelled ? 'cancelled' : 'done';
@@ -158,14 +165,14 @@
     const openKey = OPEN_JOB_PREFIX + job.id;
     const finalKey = FINAL_STATE_PREFIX + job.id;
     const final: FinalState = { status, writeId, endedAt };
-    const isNeeded = this.events.listener?.isNeeded(job.id);
+    const hasDependents = this.events.listener?.hasOpenDependents(job.id);
     this.sendTerminalWrite(job, {
       conditions: [{ key: openKey, revision: job.revision }],
       puts: [{ key: finalKey, value: encodeFinalState(final) }],
       deletes: [openKey, ...dependencyPartKeys(job.id, job.dependencyParts)],
       verifyKey: finalKey,
       writeId,
-      priority: isNeeded ? WritePriority.finalWithDependents : WritePriority.final,
+      priority: hasDependents ? WritePriority.finalWithDependents : WritePriority.final,
       onResult: (result) => this.onFinalStateResult(job, status, endedAt, result),
     });
   }
@@ -175,17 +182,17 @@
     if (result.kind === 'lost') return;
     this.io.log('info', 'final state not written', { job: job.id, result: result.kind });
     if (result.kind !== 'conflict') return runAfterWrite(job);
-    if (result.item === null) return this.readRecordAgain(job);
-    // An earlier copy of the write was executed: what it stored is what users are told.
+    if (result.item === null) return this.refreshRevision(job);
+    // An earlier copy of the write was executed: the state that it stored is the one reported to users.
     const stored = decodeFinalState(result.item);
     this.close(job, stored.status, stored.endedAt ?? endedAt);
   }
 
   /**
-   * The stored record has another revision than the one known: conditional on that, no final state could be
-   * written.
+   * Reads the job's record to get its current revision. The known revision is outdated, and a final state
+   * whose write is conditional on it could never be stored.
    */
-  private readRecordAgain(job: Job): void {
+  private refreshRevision(job: Job): void {
     job.isWritingRecord = true;
     this.io.store({ kind: 'get', key: OPEN_JOB_PREFIX + job.id }, StorePriority.leader, (reply) => {
       job.isWritingRecord = false;
@@ -211,8 +218,8 @@
   }
 
   /**
-   * Sends the write that cancels or ends the job. Until its result no other write to the job's record is
-   * begun.
+   * Sends the write that cancels or ends the job. No other write to the job's record is started before its
+   * result.
    */
   private sendTerminalWrite(job: Job, write: FencedWrite): void {
     const { onResult } = write;
@@ -227,13 +234,13 @@
   }
 }
 
-/** The revision of the job's record after a write that cancels it; null if it is not known. */
+/** Revision of the job's record after a cancelling write; null if it is not known. */
 function revisionAfter(result: WriteResult): Revision | null {
   if (result.kind === 'ok') return result.revision;
   return result.kind === 'conflict' && result.item !== null ? result.item.revision : null;
 }
 
-/** Whether the record says that the job is cancelled: by this write, or by an earlier copy of it. */
+/** Whether the stored record says that the job is cancelled, by this write or an earlier copy of it. */
 function isCancellationStored(result: WriteResult): boolean {
   if (result.kind === 'ok') return true;
   return result.kind === 'conflict' && result.item !== null && decodeJobRecord(result.item).cancelled;
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -1,4 +1,5 @@
-// An open job in memory: the phase of each task, its assignments to machines, and how far the job has come.
+// In-memory state of an open job: phases of its tasks, their assignments to machines, results and
+// dependencies.
 import {
   type Attempt,
   type Instant,
@@ -16,7 +17,7 @@
 
 export { TaskPhase } from './task-phases.ts';
 
-/** A task on a machine, as far as is known or cannot be ruled out. */
+/** Assignment of a task to a machine, where it is known to be or cannot be ruled out to be. */
 export interface TaskAssignment {
   job: Job;
   index: number;
@@ -24,21 +25,21 @@
   machine: MachineId;
   state: 'sent' | 'fetching' | 'waiting' | 'running' | 'saving';
   /**
-   * Number of the heartbeat that the start command answered; only a later one can show that it was not
-   * executed.
+   * Sequence number of the heartbeat to which the start command was a response. Only a later heartbeat can
+   * show that the command was not executed.
    */
   sentSeq: number;
   sentAt: Instant;
   runningAt: Instant | null;
-  /** The stop command to send with each response; null while the task is to go on. */
+  /** The stop command to include in each response to the machine; null if the task is not to be stopped. */
   stopping: { graceS: number } | null;
-  /** Number of the last heartbeat that listed it; kept by the task reconciler. */
+  /** Sequence number of the last heartbeat that listed the task; set by the task reconciler. */
   seenSeq?: number;
-  /** It has left its machine; kept by the machine table. */
+  /** The task is not on the machine any more; set by the machine table. */
   isGone?: boolean;
 }
 
-/** What a {@link Job} begins with. */
+/** Initial values of a {@link Job}. */
 export interface JobInit {
   spec: JobSpec;
   /** Revision of the job's record, the condition of the next write to it. */
@@ -46,9 +47,9 @@
   acceptedAt: WallTime;
   /** When this controller first saw the job. */
   seenAt: Instant;
-  /** Any of its tasks may be on a machine that has not sent a heartbeat to this leader yet. */
+  /** Whether its tasks may be on machines that have not sent a heartbeat to this leader yet. */
   mayHaveUnlocatedTasks: boolean;
-  /** Where a job keeps itself listed while it has waiting tasks; see `JobTable.waitingJobs`. */
+  /** The set that the job is in as long as it has waiting tasks; see `JobTable.waitingJobs`. */
   waitingJobs?: Set<Job> | null;
 }
 
@@ -57,74 +58,75 @@
   private readonly taskPhases: TaskPhases;
   /** Tasks whose results were reported. */
   private readonly doneTasks: TaskBitmap;
-  /**
-   * Of these the ones whose results are stored, so that their machines may forget them; null while there are
-   * none.
-   */
+  /** Tasks whose results are stored, so that machines may discard them; null as long as there are none. */
   private recordedTasks: TaskBitmap | null = null;
   /** Number of tasks that run on their machines. */
   runningTasks = 0;
 
-  /** Its cancellation is stored, or follows from that of a job that it depends on. */
+  /** Its cancellation, or that of a direct or indirect dependency, is stored. */
   cancelled = false;
-  /** Its user has asked to cancel it; whether that is stored is not known yet. */
+  /** Its user has requested a cancellation, which is not known to be stored yet. */
   cancelRequested = false;
-  /** A write to the job's record is under way, or a read after which it may be written again. */
+  /** A write to the job's record is in progress, or a read of its revision after a conflict. */
   isWritingRecord = false;
-  /** The write that cancels or ends it, while its outcome is open; see `mayHaveEnded`. */
+  /** The write that cancels or ends the job, until its outcome is known; see `mayHaveEnded`. */
   terminalWrite: Pick<FencedWrite, 'progress'> | null = null;
   /** Its final state is stored. */
   isOver = false;
-  /** Callbacks to run once when the write to the job's record has ended, whatever its result. */
+  /** Callbacks to run once when the current write to the job's record has ended, whatever its result. */
   afterEnd: (() => void)[] = [];
 
-  /** Tasks that are on machines or may be, by index. */
+  /** Assignments of tasks that are on machines, or may be, by task index. */
   readonly assignments = new Map<number, TaskAssignment>();
   /**
-   * Further assignments of tasks that have one already. Delayed heartbeats list tasks that have been given up
-   * since and started elsewhere; such an assignment must never replace the real one, nor free the task when
-   * it is removed.
+   * Further assignments of tasks that already have one. A delayed heartbeat may list a task that has since
+   * been given up on that machine and started on another; such an assignment must never replace the real
+   * one, nor make the task wait again when it is removed.
    */
   private duplicateAssignments: TaskAssignment[] = [];
   /**
-   * Accepted under an earlier term, and not every machine that may run its tasks has sent a heartbeat since.
+   * The job was accepted under an earlier term, and some machine that may run its tasks has not sent a
+   * heartbeat to this leader yet.
    */
   mayHaveUnlocatedTasks: boolean;
-  /** Number of its tasks on machines and in queues, by zone. */
+  /** Number of its tasks on machines and in machines' queues, by zone. */
   readonly zones = new Map<ZoneName, number>();
 
-  /** Number of failures since the last success. */
+  /** Number of task failures since the last success. */
   failures = 0;
-  /** The machines where they happened. */
+  /** The machines on which these failures occurred. */
   readonly failedOn = new Set<MachineId>();
-  /** No task is started before this. */
+  /** No task is started before this time. */
   retryAt: Instant = LONG_AGO;
-  /** The attempt that the tasks of a gang share; null while none of them is assigned. */
+  /** The attempt number that all tasks of a gang share; null while none of them is assigned. */
   gangAttempt: Attempt | null = null;
-  /** Whether that attempt has begun to run. */
+  /** Whether any task of the gang has run in that attempt. */
   gangHasRun = false;
 
   /**
-   * It depends on jobs that are not known to be done: none of its tasks may start, and they count as no
-   * demand.
+   * The job has dependencies that are not known to be done: none of its tasks may start, and they do not
+   * count as demand for machines.
    */
   isBlocked: boolean;
-  /** Those jobs; kept by {@link Dependencies}. */
+  /** Dependencies that are not known to be done; maintained by {@link Dependencies}. */
   readonly unmetDependencies = new Set<JobId>();
-  /** When its waiting began: when the last job that it depends on was done, else its acceptance. */
+  /** Wall time since which the job waits: when its last dependency was done, or its acceptance. */
   readyWall: WallTime;
-  /** The same by this controller's monotonic clock, as far as it has seen it. */
+  /** The monotonic time since which the job waits, but not before this controller first saw it. */
   readyAt: Instant;
-  /** Its own priority, or the highest of the jobs that depend on it. */
+  /** The highest priority among the job itself and its direct and indirect dependents. */
   priority: Priority;
   /**
-   * Wall time in milliseconds by which it must be done for the jobs that depend on it to meet their
-   * deadlines.
+   * Wall time in milliseconds by which the job must be done for its dependents to meet their deadlines;
+   * infinite if none of them has a deadline.
    */
   inheritedDeadline = Number.POSITIVE_INFINITY;
-  /** Seconds until it should start, as of the last scheduling cycle that ranked it. */
+  /** Seconds until the job should start, as of the last scheduling cycle that ranked it. */
   slackS: number | null = null;
-  /** Number of further values of its record, which hold dependencies. */
+  /**
+   * Number of further values of the job's record, which hold the dependencies that the first has no space
+   * for.
+   */
   dependencyParts = 0;
   readonly spec: JobSpec;
   /** Revision of the job's record, the condition of the next write to it. */
@@ -194,12 +196,12 @@
     return this.taskPhases.done;
   }
 
-  /** Index of the next task to place, without taking it; -1 if none waits. */
+  /** Index of the next task to place, whose phase is not changed; -1 if no task waits. */
   nextWaitingTask(): number {
     return this.taskPhases.nextWaiting();
   }
 
-  /** Moves a task to a phase, and keeps `waitingJobs` in step. */
+  /** Moves a task to a phase, and updates the job's membership in `waitingJobs`. */
   setPhase(index: number, to: TaskPhase): void {
     if (this.taskPhases.set(index, to)) this.updateWaitingJobs();
   }
@@ -209,12 +211,15 @@
     else this.waitingJobs?.delete(this);
   }
 
-  /** Number of tasks that wait for a machine, or in a machine's queue. */
+  /** Number of tasks that wait for a machine or in a machine's queue; 0 for a blocked job. */
   get unplacedTasks(): number {
     return this.isBlocked ? 0 : this.waitingTasks + this.queuedTasks;
   }
 
-  /** Every machine that may run its tasks has sent a heartbeat: a task that none of them listed waits. */
+  /**
+   * Called when every machine that may run tasks of the job has sent a heartbeat: tasks that none of them has
+   * listed wait for a machine.
+   */
   resolveUnlocated(): void {
     if (!this.mayHaveUnlocatedTasks) return;
     this.mayHaveUnlocatedTasks = false;
@@ -224,12 +229,12 @@
 
   // ---- dependencies
 
-  /** Whether it depends on others, or others with a deadline depend on it. */
+  /** Whether the job has dependencies, or dependents with a deadline. */
   get isInDependencyChain(): boolean {
     return Number.isFinite(this.inheritedDeadline) || (this.spec.dependsOn ?? []).length > 0;
   }
 
-  /** All that it depends on is done: its tasks may start. */
+  /** Called when all dependencies of the job are done: its tasks may start. */
   unblock(now: Instant): void {
     this.isBlocked = false;
     this.readyAt = now;
@@ -238,7 +243,7 @@
 
   // ---- assignments
 
-  /** A task is on a machine, or may be. The first assignment of a task stands until it is removed. */
+  /** Adds an assignment. If the task already has one, that one stays until it is removed. */
   addAssignment(assignment: TaskAssignment): void {
     const { index } = assignment;
     if (this.assignments.has(index)) this.duplicateAssignments.push(assignment);
@@ -247,12 +252,14 @@
   }
 
   /**
-   * A task is not on the machine of the assignment any more. It is free again only when its last assignment
-   * is removed. `certain`: it was on that machine under this term. Otherwise the assignment may stem from an
-   * old heartbeat that was delayed until a new leader read it, and its removal proves nothing: the task may
-   * have been started long before on another machine, of which this leader has had no heartbeat.
+   * Called when a task is not on the machine of the assignment any more. The task waits again only when its
+   * last assignment is removed.
+   * @param wasOnMachine whether the task is known to have been on that machine under this term. Otherwise
+   * the assignment may stem from an old heartbeat that was delayed until a new leader read it. Its removal
+   * does not show that the task is on no machine: it may have been started long ago on another machine,
+   * which has not sent a heartbeat to this leader yet.
    */
-  removeAssignment(assignment: TaskAssignment, certain: boolean): void {
+  removeAssignment(assignment: TaskAssignment, wasOnMachine: boolean): void {
     const { index } = assignment;
     if (this.assignments.get(index) !== assignment) {
       this.removeDuplicate(assignment);
@@ -266,18 +273,18 @@
     }
     this.assignments.delete(index);
     if (this.phases[index] !== TaskPhase.Active) return;
-    const mayBeElsewhere = this.mayHaveUnlocatedTasks && !certain;
-    this.setPhase(index, mayBeElsewhere ? TaskPhase.Unlocated : TaskPhase.Waiting);
+    const mayBeOnOtherMachine = this.mayHaveUnlocatedTasks && !wasOnMachine;
+    this.setPhase(index, mayBeOnOtherMachine ? TaskPhase.Unlocated : TaskPhase.Waiting);
   }
 
   private removeDuplicate(duplicate: TaskAssignment): void {
     this.duplicateAssignments = this.duplicateAssignments.filter((other) => other !== duplicate);
   }
 
-  /** One of its tasks has come to a machine or queue in the zone, or left it. */
+  /** Counts a task that was added to a machine or queue in the zone (1), or removed from it (-1). */
   countInZone(zone: ZoneName, change: 1 | -1): void {
-    const tasks = (this.zones.get(zone) ?? 0) + change;
-    if (tasks > 0) this.zones.set(zone, tasks);
+    const taskCount = (this.zones.get(zone) ?? 0) + change;
+    if (taskCount > 0) this.zones.set(zone, taskCount);
     else this.zones.delete(zone);
   }
 
@@ -288,7 +295,7 @@
     return this.doneTasks.has(index);
   }
 
-  /** The task's result was reported; false if it had been before. */
+  /** Marks the task as done; returns false if it already was. */
   setDone(index: number): boolean {
     if (this.doneTasks.has(index)) return false;
     this.doneTasks.add(index);
@@ -296,22 +303,24 @@
     return true;
   }
 
-  /** Bitmap of the done tasks from the index `from` up to, not including, `end`; both are multiples of 8. */
-  doneBits(from: number, end: number): Uint8Array {
-    return this.doneTasks.bytes.subarray(from / 8, end / 8);
+  /** Bitmap of the done tasks from `firstTask` up to, not including, `endTask`; both are multiples of 8. */
+  doneBits(firstTask: number, endTask: number): Uint8Array {
+    return this.doneTasks.bytes.subarray(firstTask / 8, endTask / 8);
   }
 
-  /** Takes over a stored part of the bitmap of done tasks that begins at the task `from`. */
-  restoreDoneBits(from: number, part: Uint8Array): void {
-    this.markRecorded(from, part);
-    const end = Math.min(part.length * 8, this.spec.tasks - from);
-    for (let i = 0; i < end; i++) if (hasBit(part, i)) this.setDone(from + i);
+  /**
+   * Marks the tasks of a stored bitmap segment as done and recorded; its first bit stands for `firstTask`.
+   */
+  restoreDoneBits(firstTask: number, segment: Uint8Array): void {
+    this.markRecorded(firstTask, segment);
+    const bitCount = Math.min(segment.length * 8, this.spec.tasks - firstTask);
+    for (let bit = 0; bit < bitCount; bit++) if (hasBit(segment, bit)) this.setDone(firstTask + bit);
   }
 
-  /** This part of the bitmap of done tasks is stored. */
-  markRecorded(from: number, part: Uint8Array): void {
+  /** Called when a segment of the bitmap of done tasks, beginning at `firstTask`, is stored. */
+  markRecorded(firstTask: number, segment: Uint8Array): void {
     this.recordedTasks ??= new TaskBitmap(this.spec.tasks);
-    this.recordedTasks.addAll(from, part);
+    this.recordedTasks.addAll(firstTask, segment);
   }
 
   /** Whether the task's result is stored. */
@@ -321,20 +330,24 @@
 
   // ---- status
 
-  /** Nobody needs the results of its tasks any more: it is cancelled, or its user has asked for that. */
+  /**
+   * Whether the job is cancelled or its user has requested that: results of its tasks are not needed any
+   * more.
+   */
   get isCancelling(): boolean {
     return this.cancelled || this.cancelRequested;
   }
 
   /**
-   * Its cancellation or its final state may be stored without this leader knowing it. Another controller may
-   * have read it and told the job's user, who must not be given an older status here.
+   * Whether its cancellation or its final state may be stored although this leader has had no reply to the
+   * write. Another controller may have read it and responded to the job's user, who must not get an older
+   * status from this leader.
    */
   get mayHaveEnded(): boolean {
     return this.terminalWrite !== null && this.terminalWrite.progress !== 'waiting';
   }
 
-  /** What a user is told of the job while it is open. */
+  /** The status that responses to users report while the job is open. */
   status(): JobStatus {
     if (this.cancelled) return 'cancelled';
     return this.runningTasks > 0 ? 'running' : 'queued';
--- a/src/core/jobs/placement-constraints.ts
+++ b/src/core/jobs/placement-constraints.ts
@@ -1,14 +1,15 @@
-// What the tasks of a job need, and where they may run, from its specification alone.
+// Resource needs of a job's tasks and constraints on where they may run, derived from its specification
+// alone.
 import type { JobSpec, MachineType } from '../base/model.ts';
 import { tasksFittingResource } from './task-capacity.ts';
 
-/** Of a type on which a task takes nothing that is limited, this many tasks are counted for one machine. */
-const UNLIMITED_TASKS = 1000;
+/** Number of tasks counted for one machine if a task needs no CPU, GPU or memory. */
+const MAX_TASKS_WITHOUT_NEEDS = 1000;
 
-/** Whether all tasks must run at once. */
+/** Whether the job has several tasks that must run at the same time. */
 export const isGang = (spec: JobSpec): boolean => spec.kind === 'gang' && spec.tasks > 1;
 
-/** Jobs with the same key may run on the same machines, as far as these are large enough. */
+/** Key that is equal for jobs with the same constraints on machine types, zone and spot machines. */
 export const placementKey = (spec: JobSpec): string =>
   `${spec.machineTypes?.join() ?? ''}|${spec.zone ?? ''}|${spec.spot}`;
 
@@ -16,14 +17,14 @@
 export const needsAtLeast = (spec: JobSpec, other: JobSpec): boolean =>
   spec.cpus >= other.cpus && spec.gpus >= other.gpus && spec.memoryGb >= other.memoryGb;
 
-/** How many of the job's tasks an empty machine of the type has capacity for. */
+/** Number of the job's tasks that fit on an empty machine of the type. */
 export function tasksPerMachine(type: MachineType, spec: JobSpec): number {
   const tasks = Math.min(
     tasksFittingResource(type.cpus, spec.cpus),
     tasksFittingResource(type.gpus, spec.gpus),
     tasksFittingResource(type.memoryGb, spec.memoryGb),
   );
-  return Number.isFinite(tasks) ? tasks : UNLIMITED_TASKS;
+  return Number.isFinite(tasks) ? tasks : MAX_TASKS_WITHOUT_NEEDS;
 }
 
 /** Whether an empty machine of any of the types could run a task of the job. */
@@ -32,16 +33,18 @@
   return false;
 };
 
-/** Whether the type is large enough for a task of the job, and allowed. */
+/** Whether the type is large enough for a task of the job, and allowed by its constraints. */
 export const typeFits = (type: MachineType, spec: JobSpec): boolean =>
   tasksPerMachine(type, spec) >= 1 && mayRunOnType(type, spec);
 
-/** Whether the job's constraints allow the type, and the type is offered in its zone. */
+/**
+ * Whether the job's constraints allow the type, and the type is offered in the zone that the job requires.
+ */
 export const mayRunOnType = (type: MachineType, spec: JobSpec): boolean =>
   (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
   (spec.zone === null || type.zones.includes(spec.zone));
 
-/** Whether a gang must be spread over zones but may run in one only: all tasks at once, it never can. */
+/** Whether a gang must be spread over zones but may run in only one zone, so that it can never run. */
 export const isBoundToOneZone = (types: Iterable<MachineType>, spec: JobSpec): boolean => {
   if (!isGang(spec) || !spec.spread) return false;
   if (spec.oneZone || spec.zone !== null) return true;
--- a/src/core/jobs/task-bitmap.ts
+++ b/src/core/jobs/task-bitmap.ts
@@ -1,6 +1,6 @@
-// A set of task indices of one job, one bit each; its bytes are what is stored of done tasks.
+// Bitmap of task indices of one job. The bitmap of done tasks is stored in this form.
 
-/** A set of tasks as a bitmap. */
+/** A set of tasks, with one bit for each. */
 export class TaskBitmap {
   /** Bit `i & 7` of byte `i >> 3` stands for task `i`. */
   readonly bytes: Uint8Array;
@@ -20,17 +20,17 @@
   }
 
   /**
-   * Adds the tasks of a part of another bitmap, of which the first bit stands for the task `from`, a multiple
+   * Adds the tasks of a bitmap segment. Its first bit stands for the task `firstTask`, which is a multiple
    * of 8.
    */
-  addAll(from: number, part: Uint8Array): void {
-    const start = from >> 3;
-    const end = Math.min(part.length, this.bytes.length - start);
-    for (let i = 0; i < end; i++) this.bytes[start + i] = this.bytes[start + i]! | part[i]!;
+  addAll(firstTask: number, segment: Uint8Array): void {
+    const start = firstTask >> 3;
+    const end = Math.min(segment.length, this.bytes.length - start);
+    for (let i = 0; i < end; i++) this.bytes[start + i] = this.bytes[start + i]! | segment[i]!;
   }
 }
 
-/** Whether the bit is set; false beyond the end. */
+/** Whether the bit is set; false for an index beyond the end. */
 export function hasBit(bytes: Uint8Array, index: number): boolean {
   return ((bytes[index >> 3] ?? 0) & (1 << (index & 7))) !== 0;
 }
