--- a/src/core/jobs/final-state-lookup.ts
+++ b/src/core/jobs/final-state-lookup.ts
@@ -76,7 +76,7 @@
     this.unresolved.delete(id);
   }
 
-  /** Queues a read of the job's final state, unless one is already queued or in flight. */
+  /** Queues a read of the job's final state, unless the job is unresolved already. */
   request(id: JobId): void {
     if (this.unresolved.has(id)) return;
     this.unresolved.add(id);
