--- a/src/core/scheduling/bin-packing.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -1,5 +1,6 @@
-// How well a task suits a machine: what other waiting work could no longer use the machine's capacity. The
-// choice among machines with equal scores stays random, as join-below-threshold demands.
+// Scores how well a machine suits a task, mainly by the value of the other work that could then no longer use
+// the machine's capacity. The choice among machines with about equal scores stays random, as
+// join-below-threshold requires.
 import type { TypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -7,15 +8,19 @@
 import type { Machine, MachinePool } from '../machines/machine.ts';
 import { type Capacity, ClassValues, freeCapacityOf, tasksFitting } from './class-values.ts';
 
-/** A task is not put where it displaces waiting work worth this many times as much. */
+/** A task is not placed where it displaces other work that is worth more than this many times as much. */
 const WASTEFUL_COST_RATIO = 1.6;
 /**
- * Expensive machines are left to fall idle, and be returned, before cheap ones: per factor e of the price.
+ * Penalty for each factor of e by which the price per task exceeds the lowest one: expensive machines become
+ * idle first and can be released.
  */
 const PRICE_WEIGHT = 0.4;
-/** Fuller machines are filled first: emptier ones drain, for tasks that need them whole or to be returned. */
+/**
+ * Penalty per fraction of a machine's CPUs that stay free: fuller machines are filled first, so that emptier
+ * ones drain for tasks that need whole machines, or can be released.
+ */
 const FREE_CPUS_WEIGHT = 1.5;
-/** The weight of a start that takes all slack of a job in a dependency chain, and its upper bound. */
+/** Penalty for a start delay that uses up all slack of a job in a dependency chain, and its upper bound. */
 const LATE_START_WEIGHT = 2;
 const MAX_LATE_START_PENALTY = 1;
 const MIN_FETCH_GB_PER_S = 1e-3;
@@ -25,8 +30,8 @@
   private readonly classValues: ClassValues;
 
   /**
-   * `shortestWaitS`: the shortest wait that an objective demands for a class, null if none does.
-   * `heartbeatDueInS`: how long a start command waits for the machine's next heartbeat.
+   * `shortestWaitS`: the shortest wait that an objective of the class allows, null if it has no such
+   * objective. `heartbeatDueInS`: how long a start command must wait for the next heartbeat of the machine.
    */
   constructor(
     types: Map<TypeName, MachineType>,
@@ -36,7 +41,7 @@
     this.classValues = new ClassValues(types);
   }
 
-  /** Brings the values of classes up to date with the open jobs; see `ClassValues.refresh`. */
+  /** Updates the values of the classes from the open jobs; see `ClassValues.refresh`. */
   refresh(
     jobs: Iterable<Job>,
     capacityIndex: CapacityIndex,
@@ -46,58 +51,58 @@
     this.classValues.refresh(jobs, capacityIndex, expectedTasks, allowedTasks);
   }
 
-  /** The priority of the least urgent class. */
-  get leastPriority(): number {
-    return this.classValues.leastPriority;
+  /** The lowest priority among the classes. */
+  get lowestPriority(): number {
+    return this.classValues.lowestPriority;
   }
 
-  /** What a task of the class is worth; 0 for a class without open jobs. */
+  /** The value of a task of the class; 0 for a class without open jobs. */
   valueOfClass(className: string): number {
     return this.classValues.valueOfClass(className);
   }
 
-  /** What a task of the least valuable class is worth. */
-  get leastValue(): number {
-    return this.classValues.leastValue;
+  /** The value of a task of the class with the lowest value. */
+  get lowestValue(): number {
+    return this.classValues.lowestValue;
   }
 
-  /** Whether the job's tasks do not suit the pool's machine type even on an empty machine. */
-  wasteful(job: Job, pool: MachinePool): boolean {
+  /** Whether a task of the job would displace too much other work even on an empty machine of the pool. */
+  isWasteful(job: Job, pool: MachinePool): boolean {
     return this.typeScore(job, pool) > WASTEFUL_COST_RATIO;
   }
 
-  /** The score for an empty machine of the pool: says how well its type suits. */
+  /** The score of an empty machine of the pool: how well its type suits the job; lower is better. */
   typeScore(job: Job, { type, spot }: MachinePool): number {
     return this.displacementCost(job, type, type, spot, job.priority);
   }
 
-  /** Lower is better; infinite when the task would displace work worth much more than itself. */
+  /** Lower is better; infinite if the task would displace work that is worth much more than itself. */
   score(job: Job, machine: Machine): number {
     const { type, spot } = machine;
     const capacity = freeCapacityOf(machine);
-    // Work is not kept from a machine for the sake of what is less urgent: services found 197 machines
-    // standing idle, each worth more to a gang of lower priority.
+    // Only work of at least the job's priority may exclude a machine. Otherwise urgent work waits beside idle
+    // machines: services did not use 197 idle machines, as each was worth more to a gang of lower priority.
     const costToUrgent = this.displacementCost(job, type, capacity, spot, job.priority);
     if (costToUrgent > WASTEFUL_COST_RATIO) return Number.POSITIVE_INFINITY;
-    // Among those it may use, still the one that is worth least to all others.
+    // Of the machines that are left, the one that is worth least to work of all priorities is best.
     const cost =
-      job.priority <= this.leastPriority
+      job.priority <= this.lowestPriority
         ? costToUrgent
-        : this.displacementCost(job, type, capacity, spot, this.leastPriority);
+        : this.displacementCost(job, type, capacity, spot, this.lowestPriority);
     const freeCpusAfter = Math.max(0, machine.freeCpus - job.spec.cpus) / type.cpus;
-    // Only penalties from here on, never infinite: a fetch displaces nobody, and however long it takes, it
-    // must not keep a task from a machine that stands idle.
-    const suitability =
+    // The terms below are finite penalties: fetching an image displaces no other work, so that even a long
+    // fetch must not exclude an idle machine.
+    const basePenalty =
       cost +
       this.fetchPenalty(job, machine) +
       freeCpusAfter * FREE_CPUS_WEIGHT +
       this.pricePenalty(job, machine);
-    return suitability + this.fetchDelayPenalty(job, machine) + this.lateStartPenalty(job, machine);
+    return basePenalty + this.fetchDelayPenalty(job, machine) + this.lateStartPenalty(job, machine);
   }
 
   /**
-   * What the capacity is worth less with the task in it, to work of at least this priority, in units of the
-   * task's own value.
+   * By how much the task lowers the value of the capacity to work of at least `minPriority`, as a multiple of
+   * the task's own value.
    */
   private displacementCost(
     job: Job,
@@ -109,24 +114,24 @@
     const { spec } = job;
     const ownValue = this.classValues.valueOfClass(spec.class);
     if (ownValue === 0) return 0;
-    const rest = {
+    const remaining = {
       cpus: capacity.cpus - spec.cpus,
       gpus: capacity.gpus - spec.gpus,
       memoryGb: capacity.memoryGb - spec.memoryGb,
     };
     const valueBefore = this.classValues.valueOfCapacity(capacity, type.name, spot, minPriority);
-    const valueAfter = this.classValues.valueOfCapacity(rest, type.name, spot, minPriority);
+    const valueAfter = this.classValues.valueOfCapacity(remaining, type.name, spot, minPriority);
     return (valueBefore - valueAfter) / ownValue;
   }
 
-  /** The fraction of the time from start to end that fetching the image would take. */
+  /** The fraction of the fetch time and run time together that fetching the image would take. */
   private fetchPenalty(job: Job, machine: Machine): number {
     if (machine.images.has(job.spec.image) || machine.type.fetchGbPerS <= 0) return 0;
     const fetchS = job.spec.imageGb / machine.type.fetchGbPerS;
     return fetchS / (fetchS + Math.max(1, job.spec.estimatedRunS));
   }
 
-  /** The fraction of the shortest wait in an objective that fetching the image would take. */
+  /** The fraction of the class's shortest wait objective that fetching the image would take; at most 1. */
   private fetchDelayPenalty(job: Job, machine: Machine): number {
     const objectiveS = this.shortestWaitS(job.spec.class);
     if (objectiveS === null) return 0;
@@ -143,8 +148,8 @@
   }
 
   /**
-   * The fraction of its slack that waiting for the machine's next heartbeat, and for the image, would take
-   * from a job in a dependency chain: a chain pays it for every job in it.
+   * Penalty for a job in a dependency chain, by the fraction of its slack that waiting for the machine's next
+   * heartbeat and for the image would take. The delays of all jobs in a chain add up.
    */
   private lateStartPenalty(job: Job, machine: Machine): number {
     if (!job.isInDependencyChain || job.slackS === null) return 0;
--- a/src/core/scheduling/capacity-search.ts
+++ b/src/core/scheduling/capacity-search.ts
@@ -1,8 +1,8 @@
-// Looks for machines with free capacity in the capacity index.
+// Helpers for searching the capacity index for machines with free capacity.
 import type { JobSpec } from '../base/model.ts';
 import type { CapacityBucket } from '../machines/machine.ts';
 
-/** Whether machines of the bucket may have the CPUs and GPUs that a task needs; cheaper than asking each. */
+/** Whether machines of the bucket may have enough CPUs and GPUs for a task; cheaper than checking each. */
 export const bucketMayFit = (bucket: CapacityBucket, spec: JobSpec): boolean =>
   bucket.cpusBelow > spec.cpus && bucket.gpusBelow > spec.gpus;
 
--- a/src/core/scheduling/class-values.ts
+++ b/src/core/scheduling/class-values.ts
@@ -1,5 +1,5 @@
-// What a task of each class is worth, by the price of the machines that it needs, and from that what free
-// capacity is worth to the work that waits or is expected.
+// Values a task of each class by the price of the machines that it needs, and free capacity by the value of
+// the waiting or expected tasks that fit into it.
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec, MachineType, Priority } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -13,11 +13,12 @@
   memoryGb: number;
 }
 
-/** The jobs of a class, as one typical task. */
+/** A task with the mean needs of the open jobs of a class. */
 interface ClassProfile extends Capacity {
-  types: TypeName[] | null;
+  /** Machine types that it may run on; null: any. */
+  allowedTypes: TypeName[] | null;
   value: number;
-  /** The highest priority among the class's jobs that wait; its own if none does. */
+  /** The highest priority among the waiting jobs of the class; that of one of its jobs if none is waiting. */
   priority: number;
   /** Whether it may run on spot machines. */
   spot: boolean;
@@ -25,30 +26,32 @@
 
 /** Sums over the open jobs of a class. */
 interface ClassTotals {
-  /** One of the jobs. */
-  spec: JobSpec;
+  /** Specification of one of the jobs. */
+  exampleSpec: JobSpec;
   jobs: number;
-  /** Tasks that wait and that their teams' quotas allow. */
+  /** Number of waiting tasks that the quotas of their teams allow. */
   waitingTasks: number;
+  /** The highest priority among the jobs with such tasks. */
   waitingPriority: number;
+  /** Sum over the jobs of what one task needs. */
   needed: Capacity;
 }
 
-/** Large tasks are harder to place, so capacity for them is worth keeping together. */
+/** Value bonus for large tasks: they are harder to place, so unfragmented capacity is worth keeping. */
 const SIZE_BONUS = 0.3;
-/** The fraction of its value that capacity for a class has while none of its tasks wait. */
+/** Fraction of its value that capacity has for a class whose tasks are expected, while none is waiting. */
 const EXPECTED_ONLY_WEIGHT = 0.3;
-/** The most urgent priority. */
+/** The highest priority. */
 const MAX_PRIORITY: Priority = 3;
 /** Tolerance for sums of fractional CPUs, GPUs and GB. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** Tasks that need none of a resource: as many as will ever be counted. */
+/** Number of tasks that fit if a task needs none of the resource; greater than any real count. */
 const UNLIMITED_TASKS = 1e6;
 
 /** The values of classes and of capacity. */
 export class ClassValues {
-  /** The priority of the least urgent class. */
-  leastPriority = 0;
+  /** The lowest priority among the classes. */
+  lowestPriority = 0;
   private profiles: ClassProfile[] = [];
   private readonly values = new Map<string, number>();
   private readonly cheapestPrices = new Map<string, number>();
@@ -56,9 +59,9 @@
   constructor(private readonly types: ReadonlyMap<TypeName, MachineType>) {}
 
   /**
-   * Makes one profile for each class of the open jobs: the mean of what its tasks need. Capacity is kept for
-   * a class of which none wait only as far as tasks of it are expected soon; kept beyond that, it would stand
-   * idle and be paid for.
+   * Computes a profile for each class of the open jobs, with the mean of what its tasks need. For a class
+   * without waiting tasks, free capacity has a value only up to the number of tasks that are expected soon:
+   * capacity kept free beyond that would be paid for and stay idle.
    */
   refresh(
     jobs: Iterable<Job>,
@@ -68,78 +71,81 @@
   ): void {
     const totalsByClass = sumByClass(jobs, allowedTasks);
     this.values.clear();
-    this.leastPriority = MAX_PRIORITY;
+    this.lowestPriority = MAX_PRIORITY;
     this.profiles = [];
     for (const [className, totals] of totalsByClass) {
-      const { spec } = totals;
+      const { exampleSpec: spec } = totals;
       const mean = meanOf(totals);
       const value = this.valueOfTask(mean, spec.machineTypes);
       this.cheapestPrices.set(className, this.cheapestPriceOfTask(mean, spec.machineTypes));
       this.values.set(className, value);
       const isWaiting = totals.waitingTasks > 0;
-      // While any of it waits all capacity counts: what was free beyond that was gone to small tasks before
-      // the next refresh.
+      // While tasks of the class wait, all capacity for it has its full value. If capacity beyond the waiting
+      // tasks had none, small tasks would take it before the next refresh.
       let weight = 1;
       if (!isWaiting)
-        weight = hasSlots(capacityIndex, spec, mean, expectedTasks(className)) ? 0 : EXPECTED_ONLY_WEIGHT;
+        weight = hasCapacityForMore(capacityIndex, spec, mean, expectedTasks(className))
+          ? 0
+          : EXPECTED_ONLY_WEIGHT;
       const priority = isWaiting ? totals.waitingPriority : spec.priority;
-      this.leastPriority = Math.min(this.leastPriority, priority);
-      const { machineTypes: types, spot } = spec;
-      this.profiles.push({ ...mean, types, spot, priority, value: value * weight });
+      this.lowestPriority = Math.min(this.lowestPriority, priority);
+      const { machineTypes: allowedTypes, spot } = spec;
+      this.profiles.push({ ...mean, allowedTypes, spot, priority, value: value * weight });
     }
   }
 
-  /** What a task of the class is worth; 0 for a class without open jobs. */
+  /** The value of a task of the class; 0 for a class without open jobs. */
   valueOfClass(className: string): number {
     return this.values.get(className) ?? 0;
   }
 
-  /** What a task of the least valuable class is worth; infinite if there is none. */
-  get leastValue(): number {
-    let least = Number.POSITIVE_INFINITY;
-    for (const value of this.values.values()) least = Math.min(least, value);
-    return least;
+  /** The value of a task of the class with the lowest value; infinite if there are no classes. */
+  get lowestValue(): number {
+    let lowest = Number.POSITIVE_INFINITY;
+    for (const value of this.values.values()) lowest = Math.min(lowest, value);
+    return lowest;
   }
 
-  /** The lowest price at which a task of the class could run; 0 if it could run nowhere. */
+  /** The lowest price at which a task of the class could run; 0 if it fits no machine type. */
   cheapestPriceOfClass(className: string): number {
     return this.cheapestPrices.get(className) ?? 0;
   }
 
   /**
-   * What capacity on such a machine is worth to the class, of at least this priority, that values it most.
+   * The value of the capacity, on a machine of this type, to the class that values it most; classes below
+   * `minPriority` do not count.
    */
   valueOfCapacity(capacity: Capacity, type: TypeName, spot: boolean, minPriority: number): number {
     let best = 0;
     for (const profile of this.profiles) {
       if (profile.priority < minPriority || (spot && !profile.spot)) continue;
-      if (profile.types !== null && !profile.types.includes(type)) continue;
+      if (profile.allowedTypes !== null && !profile.allowedTypes.includes(type)) continue;
       best = Math.max(best, tasksFitting(capacity, profile) * profile.value);
     }
     return best;
   }
 
   private cheapestPriceOfTask(needed: Capacity, allowedTypes: TypeName[] | null): number {
-    let best = Number.POSITIVE_INFINITY;
+    let lowest = Number.POSITIVE_INFINITY;
     for (const type of this.types.values()) {
       if (allowedTypes !== null && !allowedTypes.includes(type.name)) continue;
       const tasks = tasksFitting(type, needed);
-      if (tasks >= 1) best = Math.min(best, Math.min(type.price, type.spotPrice) / tasks);
+      if (tasks >= 1) lowest = Math.min(lowest, Math.min(type.price, type.spotPrice) / tasks);
     }
-    return Number.isFinite(best) ? best : 0;
+    return Number.isFinite(lowest) ? lowest : 0;
   }
 
-  /** The price of the cheapest machine for such a task, divided by the tasks that it holds. */
+  /** The lowest price per task among the machine types that fit, with the bonus for large tasks. */
   private valueOfTask(needed: Capacity, allowedTypes: TypeName[] | null): number {
-    let best = Number.POSITIVE_INFINITY;
+    let lowest = Number.POSITIVE_INFINITY;
     for (const type of this.types.values()) {
       if (allowedTypes !== null && !allowedTypes.includes(type.name)) continue;
       const tasks = tasksFitting(type, needed);
       if (tasks < 1) continue;
       const price = Math.min(type.price, type.spotPrice) / tasks;
-      best = Math.min(best, price * (1 + SIZE_BONUS / tasks));
+      lowest = Math.min(lowest, price * (1 + SIZE_BONUS / tasks));
     }
-    return Number.isFinite(best) ? best : 0;
+    return Number.isFinite(lowest) ? lowest : 0;
   }
 }
 
@@ -149,14 +155,14 @@
     if (job.isCancelling) continue;
     const { spec } = job;
     const totals = totalsByClass.get(spec.class) ?? {
-      spec,
+      exampleSpec: spec,
       jobs: 0,
       waitingTasks: 0,
       waitingPriority: 0,
       needed: { cpus: 0, gpus: 0, memoryGb: 0 },
     };
     totals.jobs++;
-    // What waits for its team's quota alone would not use the capacity.
+    // Tasks that their team's quota does not allow would not use the capacity.
     const waiting = job.unplacedTasks === 0 ? 0 : Math.min(job.unplacedTasks, allowedTasks(job));
     totals.waitingTasks += waiting;
     if (waiting > 0) totals.waitingPriority = Math.max(totals.waitingPriority, job.priority);
@@ -174,7 +180,7 @@
   memoryGb: needed.memoryGb / jobs,
 });
 
-/** What the machine has free after all that is on it and queued for it. */
+/** Capacity that is left after all tasks on the machine and in its queue. */
 export const freeCapacityOf = (machine: Machine): Capacity => ({
   cpus: machine.freeCpus,
   gpus: machine.freeGpus,
@@ -182,15 +188,20 @@
 });
 
 /** Whether there is free capacity now for more than `tasks` tasks of about this size. */
-function hasSlots(capacityIndex: CapacityIndex, spec: JobSpec, needed: Capacity, tasks: number): boolean {
-  let found = 0;
+function hasCapacityForMore(
+  capacityIndex: CapacityIndex,
+  spec: JobSpec,
+  needed: Capacity,
+  tasks: number,
+): boolean {
+  let slots = 0;
   for (const pool of capacityIndex.pools.values()) {
     if (!pool.admits(spec)) continue;
     for (const { members } of pool.buckets.values()) {
       const example = members[0];
-      if (example !== undefined) found += tasksFitting(freeCapacityOf(example), needed) * members.length;
+      if (example !== undefined) slots += tasksFitting(freeCapacityOf(example), needed) * members.length;
     }
-    if (found > tasks) return true;
+    if (slots > tasks) return true;
   }
   return false;
 }
@@ -198,11 +209,11 @@
 /** How many tasks fit into the capacity. */
 export function tasksFitting(capacity: Capacity, needed: Capacity): number {
   return Math.min(
-    fittingResource(capacity.cpus, needed.cpus),
-    fittingResource(capacity.gpus, needed.gpus),
-    fittingResource(capacity.memoryGb, needed.memoryGb),
+    tasksFittingAmount(capacity.cpus, needed.cpus),
+    tasksFittingAmount(capacity.gpus, needed.gpus),
+    tasksFittingAmount(capacity.memoryGb, needed.memoryGb),
   );
 }
 
-const fittingResource = (free: number, needed: number): number =>
+const tasksFittingAmount = (free: number, needed: number): number =>
   needed <= 0 ? UNLIMITED_TASKS : Math.max(0, Math.floor((free + ROUNDING_TOLERANCE) / needed));
--- a/src/core/scheduling/fair-share.ts
+++ b/src/core/scheduling/fair-share.ts
@@ -1,29 +1,28 @@
-// What each team, and each class of jobs, gets at least while capacity is short. Of the machines that its
-// work may use, a team that keeps asking gets at least `team` times, and a class at least `class` times, its
-// weighted max-min share in the dominant resource, whatever others of the same priority ask for. Those below
-// that floor go first until they reach it; beyond it the order is that of the jobs. While there is capacity
-// for all nothing is owed.
+// Fair-share floors: the capacity that each team and each job class gets at least while capacity is short. On
+// the machines that its jobs may use, a team with waiting tasks gets at least the fraction `team` of its
+// weighted max-min share of the dominant resource, and a class the fraction `class`, whatever other work of
+// the same priority demands. Tasks of teams and classes below their floor are placed first until the floor is
+// reached; above it, jobs are placed in the order of their ranking. While there is capacity for all tasks,
+// the floors do not apply.
 import type { Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { dominantShare, maxMinShares, type ShareDemand } from '../teams/max-min-fairness.ts';
 import { addResources, type ClassUsage, type Resources, resourcesOf, type Usage } from '../teams/usage.ts';
 import type { MachineSet } from './machine-sets.ts';
 
-/** Fractions of their fair share that teams, and classes, are never kept below; 0: no floor. */
+/** Fractions of their fair share that teams, and classes, get at least; 0: no floor. */
 export interface FairShareFloors {
   team: number;
   class: number;
 }
 
-/** A job with the number of its tasks that wait and that its team's quota allows. */
+/** A job with the number of its waiting tasks that its team's quota allows. */
 export interface WaitingTasks {
   job: Job;
   tasks: number;
 }
 
-/**
- * The floors of teams, or of classes, as dominant shares of a machine set, and what they use there, by name.
- */
+/** Floors of teams or classes as dominant shares of a machine set, and the resources used there, by name. */
 interface Shares {
   floors: Map<string, number>;
   used: Map<string, Resources>;
@@ -36,15 +35,16 @@
   classes: Shares;
 }
 
-/** What {@link computeShares} needs to know. */
+/** Parameters of {@link computeShares}; names are those of teams, or of classes. */
 interface ShareInputs {
   capacity: Resources;
-  /** What waits, and what is in use, by name. */
+  /** Resources that waiting tasks need, by name. */
   waiting: Map<string, Resources>;
+  /** Resources in use, by name. */
   usage: Map<string, ClassUsage>;
-  /** What is guaranteed, by name; null if nothing is. */
+  /** Guaranteed resources, by name; null if there are no guarantees. */
   guaranteed: ReadonlyMap<string, Resources> | null;
-  /** The fraction of its fair share that each gets at least. */
+  /** The fraction of its fair share that each name gets at least. */
   floor: number;
 }
 
@@ -52,7 +52,7 @@
 /** Tolerance for fractions of tasks. */
 const ROUNDING_TOLERANCE = 1e-6;
 
-/** Fair shares of teams and classes. */
+/** Computes the fair shares of teams and classes, and how many tasks they lack to reach their floors. */
 export class FairShare {
   private readonly shares = new Map<MachineSet, MachineSetShares>();
   private guaranteed = new Map<string, Resources>();
@@ -66,13 +66,16 @@
     this.floors = floors;
   }
 
-  /** At the start of a scheduling cycle: no shortage is known. */
+  /** Discards the shares of the previous cycle; called at the start of each scheduling cycle. */
   beginCycle(): void {
     this.shares.clear();
   }
 
-  /** The machine set has less capacity than waits for it. Work: the jobs, and n log n in the names. */
-  onShortage(machineSet: MachineSet, waiting: readonly WaitingTasks[]): void {
+  /**
+   * Computes the shares of a machine set whose free capacity is too small for its waiting tasks. The time is
+   * linear in the number of jobs, and n log n in the number of names.
+   */
+  recordShortage(machineSet: MachineSet, waiting: readonly WaitingTasks[]): void {
     const capacity: Resources = [0, 0, 0];
     for (const pool of machineSet.pools)
       for (let resource = 0; resource < capacity.length; resource++)
@@ -80,8 +83,8 @@
     const waitingByTeam = new Map<string, Resources>();
     const waitingByClass = new Map<string, Resources>();
     for (const { job, tasks } of waiting) {
-      addResources(sumOf(waitingByTeam, job.spec.team), job.spec, tasks);
-      addResources(sumOf(waitingByClass, job.spec.class), job.spec, tasks);
+      addResources(getOrCreateSum(waitingByTeam, job.spec.team), job.spec, tasks);
+      addResources(getOrCreateSum(waitingByClass, job.spec.class), job.spec, tasks);
     }
     const { types } = machineSet;
     const teams = computeShares({
@@ -101,44 +104,44 @@
     this.shares.set(machineSet, { capacity, teams, classes });
   }
 
-  /** How many tasks of the job go before others because its team or its class is below its floor. */
-  owedTasks(job: Job, machineSet: MachineSet): number {
+  /** How many tasks of the job are placed first because its team or its class is below its floor. */
+  tasksToReachFloor(job: Job, machineSet: MachineSet): number {
     const shares = this.shares.get(machineSet);
     if (shares === undefined) return 0;
     const { capacity, teams, classes } = shares;
-    const perTask = dominantShare(resourcesOf(job.spec), capacity);
-    if (perTask <= 0) return 0;
-    const missing = Math.max(
-      missingShare(teams, job.spec.team, capacity),
-      missingShare(classes, job.spec.class, capacity),
+    const sharePerTask = dominantShare(resourcesOf(job.spec), capacity);
+    if (sharePerTask <= 0) return 0;
+    const missingShare = Math.max(
+      shareBelowFloor(teams, job.spec.team, capacity),
+      shareBelowFloor(classes, job.spec.class, capacity),
     );
-    return Math.max(0, Math.floor(missing / perTask + ROUNDING_TOLERANCE));
+    return Math.max(0, Math.floor(missingShare / sharePerTask + ROUNDING_TOLERANCE));
   }
 
-  /** Tasks of the job have been placed since the shortage was noted. */
-  onPlaced(job: Job, machineSet: MachineSet, tasks: number): void {
+  /** Counts tasks of the job that have been placed since the shares were computed. */
+  recordPlacement(job: Job, machineSet: MachineSet, tasks: number): void {
     const shares = this.shares.get(machineSet);
     if (shares === undefined) return;
-    addResources(sumOf(shares.teams.used, job.spec.team), job.spec, tasks);
-    addResources(sumOf(shares.classes.used, job.spec.class), job.spec, tasks);
+    addResources(getOrCreateSum(shares.teams.used, job.spec.team), job.spec, tasks);
+    addResources(getOrCreateSum(shares.classes.used, job.spec.class), job.spec, tasks);
   }
 }
 
-/** How far the name is below its floor, as a dominant share; negative above it. */
-const missingShare = ({ floors, used }: Shares, name: string, capacity: Resources): number =>
+/** How far a team or class is below its floor, as a dominant share; negative if it is above. */
+const shareBelowFloor = ({ floors, used }: Shares, name: string, capacity: Resources): number =>
   (floors.get(name) ?? 0) - dominantShare(used.get(name) ?? NO_RESOURCES, capacity);
 
 function computeShares({ capacity, waiting, usage, guaranteed, floor }: ShareInputs): Shares {
   const floors = new Map<string, number>();
   const used = new Map([...usage].map(([name, { sum }]) => [name, sum]));
   if (floor <= 0) return { floors, used };
-  // What those use that ask for nothing more counts as their demand: it is not shared out.
+  // A name without waiting tasks demands what it uses, so that this capacity is not divided among the others.
   const names = [...new Set([...waiting.keys(), ...usage.keys()])];
   const demands: ShareDemand[] = names.map((name) => {
-    const wanted = waiting.get(name) ?? NO_RESOURCES;
+    const needed = waiting.get(name) ?? NO_RESOURCES;
     const inUse = used.get(name) ?? NO_RESOURCES;
     return {
-      demand: [wanted[0] + inUse[0], wanted[1] + inUse[1], wanted[2] + inUse[2]],
+      demand: [needed[0] + inUse[0], needed[1] + inUse[1], needed[2] + inUse[2]],
       guaranteed: guaranteed?.get(name) ?? NO_RESOURCES,
       weight: 1,
     };
@@ -152,8 +155,8 @@
   return { floors, used };
 }
 
-/** The sum kept under the name, which begins with nothing. */
-function sumOf(sums: Map<string, Resources>, name: string): Resources {
+/** The sum for the name; a new one starts at zero. */
+function getOrCreateSum(sums: Map<string, Resources>, name: string): Resources {
   let sum = sums.get(name);
   if (sum === undefined) {
     sum = [0, 0, 0];
--- a/src/core/scheduling/gang-scheduler.ts
+++ b/src/core/scheduling/gang-scheduler.ts
@@ -1,6 +1,6 @@
-// Gang scheduling: all tasks of a gang get their machines at once, under one attempt; a waiting gang that
-// lost a task gets a replacement under the same attempt. For a gang that finds no capacity, machines are
-// reserved in one zone.
+// Gang scheduling: places all tasks of a gang at once, under one attempt. If a gang loses a task before it
+// has begun to run, a replacement is placed under the same attempt. For a gang that finds too little
+// capacity, machines are reserved, in one zone if the gang is bound to one.
 import type { ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type Job, TaskPhase } from '../jobs/job.ts';
@@ -18,16 +18,16 @@
   score: number;
 }
 
-/** The zone that has the most slots; null where the search was over all zones. */
-interface BestZone {
+/** The number of slots found in a zone; the zone is null if the search was over all zones. */
+interface ZoneSlots {
   zone: ZoneName | null;
   slots: number;
 }
 
-/** Machines searched for in a pool, as a multiple of the missing tasks: the best of them are taken. */
+/** Number of machines to find in a pool for each missing task; the best of them are used. */
 const MACHINES_SEARCHED_PER_TASK = 3;
-/** Machines with the image that are examined for each missing task. */
-const IMAGE_HOLDERS_EXAMINED_PER_TASK = 30;
+/** Maximum number of machines with the image that are examined for each missing task. */
+const MACHINES_WITH_IMAGE_EXAMINED_PER_TASK = 30;
 
 /** What {@link GangScheduler} depends on. */
 export interface GangSchedulerDependencies {
@@ -55,12 +55,12 @@
   }
 
   /** Places every missing task of the gang, or none; returns how many were placed. */
-  placeGang(job: Job, allowed: number, mayReserve: boolean): number {
+  placeGang(job: Job, allowedTasks: number, mayReserve: boolean): number {
     if (job.unlocatedTasks > 0 || job.queuedTasks > 0) return 0;
-    // A gang that has run and lost a task is over: its other tasks exit, and the next attempt starts afresh.
+    // A gang that loses a task after it began to run cannot go on: its other tasks exit before a new attempt.
     if (job.assignedTasks > 0 && (job.gangHasRun || job.gangAttempt === null)) return 0;
     const missing = waitingTaskIndexes(job);
-    if (missing.length === 0 || missing.length > allowed) return 0;
+    if (missing.length === 0 || missing.length > allowedTasks) return 0;
     const slots = this.findSlots(job, missing.length, mayReserve);
     if (slots === null) return 0;
     const attempt = job.assignedTasks > 0 ? job.gangAttempt! : this.queuing.nextAttempt();
@@ -71,26 +71,26 @@
     return missing.length;
   }
 
-  /** Slots for so many tasks: in the best zone for gangs bound to one, else over all. */
+  /** Finds slots for all the tasks, or null; for a gang that is bound to one zone, in the best zone. */
   private findSlots(job: Job, tasks: number, mayReserve: boolean): Slot[] | null {
     const zones = this.zonesFor(job);
     const zoneGroups = job.spec.oneZone ? zones.map((zone) => [zone]) : [zones];
     let best: Slot[] | null = null;
-    let largest: BestZone | null = null;
+    let mostSlots: ZoneSlots | null = null;
     for (const group of zoneGroups) {
       const slots = this.findSlotsIn(job, tasks, group);
       if (slots.length === tasks && (best === null || totalScore(slots) < totalScore(best))) best = slots;
-      if (largest === null || slots.length > largest.slots)
-        largest = { zone: job.spec.oneZone ? group[0]! : null, slots: slots.length };
+      if (mostSlots === null || slots.length > mostSlots.slots)
+        mostSlots = { zone: job.spec.oneZone ? group[0]! : null, slots: slots.length };
     }
-    if (best === null && mayReserve) this.reserve(job, tasks, largest?.zone ?? null);
+    if (best === null && mayReserve) this.reserve(job, tasks, mostSlots?.zone ?? null);
     return best;
   }
 
   private reserve(job: Job, tasks: number, bestZone: ZoneName | null): void {
     let zone = bestZone;
-    // Once machines of a zone are reserved, further ones are reserved there.
-    if (zone !== null) for (const machine of this.reservations.of(job)) zone = machine.zone;
+    // If machines are reserved for the gang already, further ones are reserved in the same zone.
+    if (zone !== null) for (const machine of this.reservations.machinesFor(job)) zone = machine.zone;
     this.reservations.reserve(job, tasks, zone);
   }
 
@@ -99,21 +99,22 @@
     return [...new Set([...this.capacityIndex.pools.values()].map((pool) => pool.zone))];
   }
 
-  /** Up to so many slots in the zones, the best scores first. */
+  /** Returns up to `tasks` slots in the zones, the best scores first. */
   private findSlotsIn(job: Job, tasks: number, zones: readonly ZoneName[]): Slot[] {
     const slots: Slot[] = [];
-    const seen = new Set<Machine>();
+    const added = new Set<Machine>();
     const addMachine = (machine: Machine): boolean => {
-      if (seen.has(machine) || job.failedOn.has(machine.id)) return false;
-      if (this.reservations.isReservedAgainst(machine, job) || !hasCapacityAhead(machine, job)) return false;
+      if (added.has(machine) || job.failedOn.has(machine.id)) return false;
+      if (this.reservations.isReservedForOther(machine, job) || !hasCapacityAhead(machine, job)) return false;
       const score = this.binPacking.score(job, machine);
       if (!Number.isFinite(score)) return false;
-      seen.add(machine);
-      for (let count = slotsOn(machine, job); count > 0; count--) slots.push({ machine, score });
+      added.add(machine);
+      for (let count = slotsOnMachine(machine, job); count > 0; count--) slots.push({ machine, score });
       return true;
     };
-    for (const machine of this.reservations.of(job)) if (zones.includes(machine.zone)) addMachine(machine);
-    this.addImageHolders(job, tasks, zones, addMachine);
+    for (const machine of this.reservations.machinesFor(job))
+      if (zones.includes(machine.zone)) addMachine(machine);
+    this.addMachinesWithImage(job, tasks, zones, addMachine);
     for (const pool of this.capacityIndex.pools.values())
       if (zones.includes(pool.zone) && pool.admits(job.spec)) this.addFromPool(pool, job, tasks, addMachine);
     slots.sort((a, b) => a.score - b.score);
@@ -126,36 +127,36 @@
     tasks: number,
     addMachine: (machine: Machine) => boolean,
   ): void {
-    let wanted = tasks * MACHINES_SEARCHED_PER_TASK;
+    let remainingMachines = tasks * MACHINES_SEARCHED_PER_TASK;
     for (const bucket of pool.buckets.values()) {
       const { members } = bucket;
       if (members.length === 0 || !bucketMayFit(bucket, job.spec)) continue;
       const first = this.io.random.below(members.length);
-      for (let offset = 0; offset < members.length && wanted > 0; offset++) {
-        if (addMachine(members[(first + offset) % members.length]!)) wanted--;
+      for (let offset = 0; offset < members.length && remainingMachines > 0; offset++) {
+        if (addMachine(members[(first + offset) % members.length]!)) remainingMachines--;
       }
     }
   }
 
-  /** Machines that need not fetch the image would seldom be found by chance. */
-  private addImageHolders(
+  /** Adds machines that have the image cached, which a random search would seldom find. */
+  private addMachinesWithImage(
     job: Job,
     tasks: number,
     zones: readonly ZoneName[],
     addMachine: (machine: Machine) => boolean,
   ): void {
-    let wanted = tasks * MACHINES_SEARCHED_PER_TASK;
-    let remaining = tasks * IMAGE_HOLDERS_EXAMINED_PER_TASK;
+    let remainingMachines = tasks * MACHINES_SEARCHED_PER_TASK;
+    let remainingExaminations = tasks * MACHINES_WITH_IMAGE_EXAMINED_PER_TASK;
     for (const machine of this.capacityIndex.machinesWithImage(job.spec.image) ?? []) {
-      if (wanted <= 0 || remaining <= 0) return;
-      remaining--;
+      if (remainingMachines <= 0 || remainingExaminations <= 0) return;
+      remainingExaminations--;
       const isAdmitted = machine.indexPosition?.pool.admits(job.spec) === true;
-      if (isAdmitted && zones.includes(machine.zone) && addMachine(machine)) wanted--;
+      if (isAdmitted && zones.includes(machine.zone) && addMachine(machine)) remainingMachines--;
     }
   }
 }
 
-/** The first slots that the job may use together: with the spread constraint, not too many in one zone. */
+/** Selects the first slots that together satisfy the spread constraint, if the job has it. */
 function selectSlots(job: Job, slots: readonly Slot[], tasks: number): Slot[] {
   if (!job.spec.spread) return slots.slice(0, tasks);
   const zones = new Map(job.zones);
@@ -179,8 +180,8 @@
   return indexes;
 }
 
-/** How many tasks of the gang the machine has capacity for now. */
-function slotsOn(machine: Machine, { spec }: Job): number {
+/** Number of tasks of the gang that the machine has free capacity for now. */
+function slotsOnMachine(machine: Machine, { spec }: Job): number {
   return Math.min(
     spec.tasks,
     tasksFittingResource(machine.freeCpus, spec.cpus),
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,5 +1,6 @@
-// In which order waiting jobs are served: priority, then teams within their guarantee, then the slack to the
-// next deadline that can still be met; deferred jobs (late-job-selection.ts) come last.
+// Ranks waiting jobs by priority, then teams within their guarantee first, then by the slack to the next
+// deadline that can still be met. Within a group of equal priority and guarantee, deferred jobs
+// (late-job-selection.ts) come last.
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
 import { ageS, type JobOrdering, type RuntimeEstimates, slackOf } from '../jobs/job-ordering.ts';
@@ -10,38 +11,38 @@
 import { type Candidate, type Supply, selectLateJobs } from './late-job-selection.ts';
 import { amountOf, type MachineSet, type MachineSets } from './machine-sets.ts';
 
-/** The waiting jobs in the order in which they are served. */
+/** The waiting jobs in the order in which their tasks are placed. */
 export interface RankedJobs {
-  /** By priority and guarantee; the jobs of one group go before all of the next. */
+  /** Jobs by priority and guarantee; all jobs of a group rank before those of the next group. */
   groups: Job[][];
-  /**
-   * The machine sets of jobs for which capacity is short: among those, fair shares are kept (fair-share.ts).
-   */
+  /** Machine sets of jobs for which capacity is short; fair-share floors (fair-share.ts) apply to them. */
   machineSets: ReadonlyMap<Job, MachineSet>;
-  /** Jobs that cannot start in time. */
+  /** Jobs that cannot start by any of their deadlines. */
   deferred: ReadonlySet<Job>;
 }
 
 const MIN_DURATION_S = 1;
-/** Services have no estimate; one that competes with jobs of its priority counts as a long job. */
+/** Services have no run time estimate; one that competes with jobs of its priority counts as a long job. */
 const ASSUMED_SERVICE_RUN_S = 300;
 
-/** A machine set that lacks capacity for all that waits for it. */
+/** A machine set whose free capacity is too small for its waiting tasks. */
 interface Shortage {
   supply: Supply;
-  /** What the jobs of earlier groups use of the supply. */
+  /** The amount of the supply that the jobs of earlier groups use. */
   used: number;
 }
 
 interface WaitingJob {
   job: Job;
+  /** Number of waiting tasks that the team's quota allows. */
   tasks: number;
-  /** Lower goes first, whatever the slack. */
+  /** Jobs of a group with a lower number rank first, whatever their slack. */
   group: number;
   machineSet: MachineSet;
   ageS: number;
-  /** Seconds until each of its deadlines, and until the next of them. */
+  /** Seconds until its tasks should start, for each deadline that can still be met, earliest first. */
   deadlinesS: number[];
+  /** Seconds until the first of these; see `slackOf`. */
   slackS: number;
 }
 
@@ -80,11 +81,11 @@
     this.machineSets = dependencies.machineSets;
   }
 
-  /** Ranks all jobs that wait and are not backed off; notes each one's slack. */
+  /** Ranks all waiting jobs that are not backing off, and updates the slack of each. */
   rank(): RankedJobs {
     this.machineSets.beginCycle();
     this.fairShare.beginCycle();
-    const waiting = this.waitingJobs();
+    const waiting = this.collectWaitingJobs();
     const shortages = new Map<MachineSet, Shortage>();
     const machineSets = this.findShortages(waiting, shortages);
     const deferred = new Set<Job>();
@@ -98,8 +99,8 @@
     return { groups, machineSets, deferred };
   }
 
-  /** By group and slack. */
-  private waitingJobs(): WaitingJob[] {
+  /** Returns the waiting jobs sorted by group and slack. */
+  private collectWaitingJobs(): WaitingJob[] {
     const { now, wallTime } = this.io;
     const waiting: WaitingJob[] = [];
     for (const job of this.jobs.waitingJobs) {
@@ -110,13 +111,13 @@
       job.slackS = slackS;
       const tasks = Math.min(job.waitingTasks, this.quota.allowedTasks(job));
       const group = -2 * job.priority + (this.quota.withinGuarantee(job) ? 0 : 1);
-      const machineSet = this.machineSets.of(job);
+      const machineSet = this.machineSets.setFor(job);
       waiting.push({ job, tasks, group, machineSet, ageS: age, deadlinesS, slackS });
     }
     return waiting.sort((a, b) => a.group - b.group || a.slackS - b.slackS);
   }
 
-  /** Fills in the machine sets that lack capacity; returns the jobs that wait for them. */
+  /** Adds the machine sets that are short of capacity to `shortages`; returns the jobs that wait for them. */
   private findShortages(
     waiting: readonly WaitingJob[],
     shortages: Map<MachineSet, Shortage>,
@@ -126,15 +127,15 @@
     const machineSets = new Map<Job, MachineSet>();
     for (const [machineSet, jobs] of bySet) {
       const needed = jobs.reduce((sum, waitingJob) => sum + neededAmount(waitingJob), 0);
-      if (needed <= this.machineSets.free(machineSet)) continue;
+      if (needed <= this.machineSets.freeAmount(machineSet)) continue;
       shortages.set(machineSet, { supply: this.machineSets.supply(machineSet), used: 0 });
-      this.fairShare.onShortage(machineSet, jobs);
+      this.fairShare.recordShortage(machineSet, jobs);
       for (const { job } of jobs) machineSets.set(job, machineSet);
     }
     return machineSets;
   }
 
-  /** Jobs of one group: those that can be in time, by the deadlines they are kept for, then deferred ones. */
+  /** Ranks the jobs of a group: those that can start in time by their deadlines, then the deferred ones. */
   private rankGroup(
     group: readonly WaitingJob[],
     shortages: ReadonlyMap<MachineSet, Shortage>,
@@ -145,7 +146,7 @@
     for (const waitingJob of group) {
       const shortage = shortages.get(waitingJob.machineSet);
       if (shortage === undefined) inTime.push({ job: waitingJob.job, dueS: waitingJob.slackS });
-      else addToList(byShortage, shortage, this.candidate(waitingJob));
+      else addToList(byShortage, shortage, this.toCandidate(waitingJob));
     }
     const late: AgedCandidate[] = [];
     for (const [shortage, candidates] of byShortage) {
@@ -160,10 +161,10 @@
     return [...inTime, ...late].map(({ job }) => job);
   }
 
-  private candidate(waitingJob: WaitingJob): AgedCandidate {
+  private toCandidate(waitingJob: WaitingJob): AgedCandidate {
     const { job, deadlinesS } = waitingJob;
     const amount = neededAmount(waitingJob);
-    // A gang of which only some tasks are missing is using its machines already.
+    // A partly placed gang already uses its machines: it is due at once, and the last to be deferred.
     const isPartlyPlaced = isGang(job.spec) && job.assignedTasks > 0;
     const runS = job.spec.kind === 'service' ? ASSUMED_SERVICE_RUN_S : this.estimates.runS(job);
     const work = isPartlyPlaced ? 0 : amount * Math.max(MIN_DURATION_S, runS);
@@ -171,11 +172,11 @@
   }
 }
 
-/** What the job's waiting tasks need of the scarce resource. */
+/** The amount of the scarce resource that the job's waiting tasks need. */
 const neededAmount = ({ job, tasks, machineSet }: WaitingJob): number =>
   amountOf(machineSet.resource, job.spec) * tasks;
 
-/** The least work goes first, and the work of what has waited for long counts for less. */
+/** Sort key of late jobs, ascending: work per second of age, so that jobs move ahead as they wait. */
 const lateRank = (candidate: AgedCandidate): number =>
   candidate.work / Math.max(MIN_DURATION_S, candidate.ageS);
 
--- a/src/core/scheduling/lowest-scores.ts
+++ b/src/core/scheduling/lowest-scores.ts
@@ -1,17 +1,17 @@
-// Collects the machines whose score is, within a tolerance, the lowest of all that were offered.
+// Collects, of the machines that are offered, those with the lowest score, within a tolerance.
 import type { Machine } from '../machines/machine.ts';
 
 /** Scores closer than this count as equal, so that the choice among them is random. */
 const SCORE_TOLERANCE = 0.05;
 
-/** The machines with about the lowest score so far. */
+/** The machines whose scores are within the tolerance of the lowest score so far. */
 export class LowestScores {
   /** In the order in which they were offered. */
   machines: Machine[] = [];
   private scores: number[] = [];
   private lowest = Number.POSITIVE_INFINITY;
 
-  /** Considers a machine; one with an infinite score is never collected. */
+  /** Adds the machine if its score is low enough; a machine with an infinite score is never added. */
   offer(machine: Machine, score: number): void {
     if (score > this.lowest + SCORE_TOLERANCE || !Number.isFinite(score)) return;
     if (score < this.lowest) {
--- a/src/core/scheduling/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -1,5 +1,6 @@
-// Machine sets: the machines that a group of jobs waits for. What can be started in a set follows from what
-// is free there, what comes free, and what is booting. Sets may overlap; each is considered by itself.
+// Machine sets: the machines that jobs with the same scarce resource and the same allowed pools may use. How
+// much can be started in a set is estimated from its free capacity, the capacity that ending tasks free, and
+// the machines that are booting. Sets may overlap; each is considered separately.
 import type { TypeName } from '../../types/index.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -11,56 +12,56 @@
 import type { Supply } from './late-job-selection.ts';
 
 /**
- * The fraction of the capacity expected to come free that is counted on; the rest is lost to fragments that
- * nothing fits into, to reservations for larger tasks, and to work that goes first for other reasons.
- * Measured: 0.6 is better than 1 and 0.8 (docs/results.md).
+ * Fraction of the capacity expected to come free that is assumed to be usable. The rest is lost to fragments
+ * that no task fits into, to reservations for larger tasks, and to work that is placed first for other
+ * reasons. 0.8 and 1 gave worse results (docs/results.md).
  */
 const USABLE_FRACTION = 0.6;
-/** Boots take up to about this many times their usual time. */
+/** Machines boot within about this many times their usual boot time. */
 const BOOT_TIME_MARGIN = 1.5;
 const MIN_DURATION_S = 1;
 /** Tolerance for sums of fractional CPUs and GPUs. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** Positions of the resources in `Resources`. */
+/** Indexes of the resources in `Resources`. */
 const CPUS = 0;
 const GPUS = 1;
 
-/** The resource that a job's tasks run out of first, by its position in `Resources`. */
+/** The resource that limits a job's tasks, as an index into `Resources`: GPUs if they need any, else CPUs. */
 export type ScarceResource = typeof CPUS | typeof GPUS;
 
-/** How much of the resource something has or needs. */
-export const amountOf = (resource: ScarceResource, of: { cpus: number; gpus: number }): number =>
-  resource === CPUS ? of.cpus : of.gpus;
+/** The amount of the resource that a machine type has, or that a task needs. */
+export const amountOf = (resource: ScarceResource, amounts: { cpus: number; gpus: number }): number =>
+  resource === CPUS ? amounts.cpus : amounts.gpus;
 
-/** The machines that some jobs may use. */
+/** The machines that jobs with the same scarce resource and the same allowed pools may use. */
 export interface MachineSet {
   resource: ScarceResource;
   pools: MachinePool[];
-  /** The types of their machines. */
+  /** The machine types of the pools. */
   types: Set<TypeName>;
-  /** One of the jobs. */
-  spec: JobSpec;
-  /** The least of the resource that a task of any of the jobs needs. */
+  /** Specification of one of the jobs. */
+  exampleSpec: JobSpec;
+  /** The smallest amount of the resource that a task of any of the jobs needs. */
   smallestNeed: number;
 }
 
-/** The name of a job's machine set, valid while there are as many pools as when it was made. */
-interface CachedName {
-  pools: number;
-  name: string;
+/** The key of a job's machine set; valid while the number of pools is the same as when it was computed. */
+interface CachedKey {
+  poolCount: number;
+  key: string;
 }
 
-/** Machines on their way: their amount of a resource, and their mean boot time, weighted by it. */
+/** Ordered or booting machines: their amount of a resource, and their mean boot time, weighted by it. */
 interface BootingCapacity {
   amount: number;
-  bootS: number;
+  meanBootS: number;
 }
 
 /** The machine sets of the waiting jobs. */
 export class MachineSets {
-  private readonly byName = new Map<string, MachineSet>();
-  private readonly names = new WeakMap<Job, CachedName>();
+  private readonly byKey = new Map<string, MachineSet>();
+  private readonly cachedKeys = new WeakMap<Job, CachedKey>();
 
   constructor(
     private readonly capacityIndex: CapacityIndex,
@@ -69,41 +70,41 @@
     private readonly pendingCapacity: () => PendingCapacity,
   ) {}
 
-  /** At the start of a scheduling cycle: sets are made anew. */
+  /** Discards the sets of the previous cycle; called at the start of each scheduling cycle. */
   beginCycle(): void {
-    this.byName.clear();
+    this.byKey.clear();
   }
 
   /** The machine set of a job in this cycle. */
-  of(job: Job): MachineSet {
+  setFor(job: Job): MachineSet {
     const { spec } = job;
     const resource = spec.gpus > 0 ? GPUS : CPUS;
     const need = amountOf(resource, spec);
-    const name = this.nameOf(job, resource);
-    let machineSet = this.byName.get(name);
+    const key = this.keyOf(job, resource);
+    let machineSet = this.byKey.get(key);
     if (machineSet === undefined) {
       const pools = [...this.capacityIndex.pools.values()].filter((pool) => pool.admits(spec));
       const types = new Set(pools.map((pool) => pool.type.name));
-      machineSet = { resource, pools, types, spec, smallestNeed: need };
-      this.byName.set(name, machineSet);
+      machineSet = { resource, pools, types, exampleSpec: spec, smallestNeed: need };
+      this.byKey.set(key, machineSet);
     }
     machineSet.smallestNeed = Math.min(machineSet.smallestNeed, need);
     return machineSet;
   }
 
-  /** The resource, and for each pool whether the job may use it. */
-  private nameOf(job: Job, resource: ScarceResource): string {
+  /** Combines the resource with whether the job may use each pool. */
+  private keyOf(job: Job, resource: ScarceResource): string {
     const { pools } = this.capacityIndex;
-    const cached = this.names.get(job);
-    if (cached?.pools === pools.size) return cached.name;
-    let name = `${resource}`;
-    for (const pool of pools.values()) name += pool.admits(job.spec) ? '1' : '0';
-    this.names.set(job, { pools: pools.size, name });
-    return name;
+    const cached = this.cachedKeys.get(job);
+    if (cached?.poolCount === pools.size) return cached.key;
+    let key = `${resource}`;
+    for (const pool of pools.values()) key += pool.admits(job.spec) ? '1' : '0';
+    this.cachedKeys.set(job, { poolCount: pools.size, key });
+    return key;
   }
 
-  /** What is free now on machines that the smallest task of the set fits into. */
-  free({ resource, pools, smallestNeed }: MachineSet): number {
+  /** The amount that is free now on machines with enough free capacity for the smallest task of the set. */
+  freeAmount({ resource, pools, smallestNeed }: MachineSet): number {
     let free = 0;
     for (const pool of pools)
       for (const bucket of pool.buckets.values()) {
@@ -114,23 +115,19 @@
     return free;
   }
 
-  /**
-   * For a set without capacity for all: what is free now is left out, as it will be used in this very cycle.
-   */
+  /** The expected supply of a set with a shortage, without what is free now, as this cycle will use that. */
   supply(machineSet: MachineSet): Supply {
     const { resource, pools } = machineSet;
     let used = 0;
     for (const pool of pools) used += pool.total[resource] - pool.free[resource];
-    const freedPerS = used * this.completionRate(machineSet) * USABLE_FRACTION;
-    const { amount, bootS } = this.bootingCapacity(machineSet);
-    const allBootedS = Math.max(MIN_DURATION_S, bootS * BOOT_TIME_MARGIN);
+    const freedPerS = used * this.completionRatePerS(machineSet) * USABLE_FRACTION;
+    const { amount, meanBootS } = this.bootingCapacity(machineSet);
+    const allBootedS = Math.max(MIN_DURATION_S, meanBootS * BOOT_TIME_MARGIN);
     return (withinS) => freedPerS * withinS + amount * Math.min(1, withinS / allBootedS);
   }
 
-  /**
-   * The fraction of what the set's machines run that ends in a second, by the mean run time of each class.
-   */
-  private completionRate({ resource, types }: MachineSet): number {
+  /** The fraction of the used capacity that is freed per second, from the mean run time of each class. */
+  private completionRatePerS({ resource, types }: MachineSet): number {
     let endingPerS = 0;
     let used = 0;
     for (const [className, { sum, spec }] of this.usage.on(types, 'classes')) {
@@ -143,15 +140,15 @@
     return used > 0 ? endingPerS / used : 0;
   }
 
-  private bootingCapacity({ spec, resource }: MachineSet): BootingCapacity {
+  private bootingCapacity({ exampleSpec: spec, resource }: MachineSet): BootingCapacity {
     let amount = 0;
     let weightedBootS = 0;
     for (const [type, machines] of this.pendingCapacity()) {
       if (!typeFits(type, spec)) continue;
-      const ofType = amountOf(resource, type) * machines;
-      amount += ofType;
-      weightedBootS += ofType * type.bootS;
+      const typeAmount = amountOf(resource, type) * machines;
+      amount += typeAmount;
+      weightedBootS += typeAmount * type.bootS;
     }
-    return { amount, bootS: amount > 0 ? weightedBootS / amount : 0 };
+    return { amount, meanBootS: amount > 0 ? weightedBootS / amount : 0 };
   }
 }
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,63 +1,64 @@
-// Which running tasks are preempted for waiting work of a higher priority, and for nothing else (PROTOCOL,
-// "Preemption"): tasks of arrays that write checkpoints, have run for long enough that their start was worth
-// it, and would not end as soon by themselves. Chains of preemptions cannot form a cycle, since a victim
-// always has the lower priority.
+// Preempts running tasks for waiting work of a higher priority, and for nothing else (PROTOCOL,
+// "Preemption"). Only array tasks that write checkpoints and have run long enough to justify their start are
+// preempted, and only if they would not end soon anyway. Chains of preemptions cannot form a cycle, since a
+// victim always has the lower priority.
 import { elapsedMs, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
 import type { Machine } from '../machines/machine.ts';
 import { FreedCapacity } from './freed-capacity.ts';
 
-/** A start that is undone sooner than this helped nobody. */
-const MIN_RUN_MS: Millis = 30_000;
-/** Preemptions of a task in one term, so that a stream of urgent work does not keep it from ending. */
+/** A task that is preempted after less than this has not run long enough to justify its start. */
+const MIN_RUN_BEFORE_PREEMPTION_MS: Millis = 30_000;
+/** Limit for a task in one term, so that a stream of urgent work does not keep the task from ever ending. */
 const MAX_PREEMPTIONS_PER_TASK = 2;
-/** Preemptions under way at once: a fraction of the number of machines, and a few in any case. */
+/** Limit of preemptions in progress at once: a fraction of the number of machines, but at least a few. */
 const MAX_PREEMPTIONS_PER_MACHINE = 0.05;
 const MIN_PREEMPTIONS_ALLOWED = 8;
-/** The head of a queue waits so long for capacity that comes free by itself. */
-const QUEUE_HEAD_PATIENCE_MS: Millis = 1000;
-/** Added to the time that a checkpoint takes, for the task to exit. */
+/** How long the head of a queue waits for capacity to come free before tasks are preempted for it. */
+const MIN_QUEUE_HEAD_WAIT_MS: Millis = 1000;
+/** Time for the task to exit, in addition to the time that its checkpoint takes. */
 const EXIT_GRACE_S = 1;
 
 /** Chooses tasks to preempt, and marks them to be stopped with their machine's next heartbeat response. */
 export class Preemption {
-  /** Preempted tasks that are not known to be gone. */
-  private readonly underWay = new Set<TaskAssignment>();
+  /** Preempted tasks that may still be on their machines. */
+  private readonly inProgress = new Set<TaskAssignment>();
   /** Number of preemptions by job and task index. */
-  private readonly counts = new WeakMap<Job, Map<number, number>>();
+  private readonly preemptionCounts = new WeakMap<Job, Map<number, number>>();
   private remaining = MIN_PREEMPTIONS_ALLOWED;
 
   constructor(
     private readonly io: ControllerIo,
-    private readonly heartbeatS: number,
-    /** Whether every machine has sent a heartbeat and the lease is held: nothing is preempted on a guess. */
+    private readonly heartbeatIntervalS: number,
+    /** Whether every machine has sent a heartbeat and the lease is held; otherwise no task is preempted. */
     private readonly isStateCertain: () => boolean,
   ) {}
 
-  /** At the start of a scheduling cycle. */
-  beginCycle(machines: number): void {
-    for (const assignment of this.underWay) if (assignment.isGone === true) this.underWay.delete(assignment);
+  /** Starts a scheduling cycle: computes how many tasks may be preempted in it. */
+  beginCycle(machineCount: number): void {
+    for (const assignment of this.inProgress)
+      if (assignment.isGone === true) this.inProgress.delete(assignment);
     if (!this.isStateCertain()) {
       this.remaining = 0;
       return;
     }
-    const allowed = Math.max(MIN_PREEMPTIONS_ALLOWED, machines * MAX_PREEMPTIONS_PER_MACHINE);
-    this.remaining = allowed - this.underWay.size;
+    const allowed = Math.max(MIN_PREEMPTIONS_ALLOWED, machineCount * MAX_PREEMPTIONS_PER_MACHINE);
+    this.remaining = allowed - this.inProgress.size;
   }
 
   /** How many more tasks may be preempted in this cycle. */
-  get remainingStops(): number {
+  get remainingPreemptions(): number {
     return this.remaining;
   }
 
   /**
-   * Seconds until the task's capacity is free if it is told to stop with its machine's next heartbeat
-   * response; null if it may not be preempted for the job.
+   * Seconds until the task's capacity is free if the next heartbeat response of its machine carries the stop
+   * command; null if the task may not be preempted for the job.
    */
   secondsUntilFree(assignment: TaskAssignment, forJob: Job): number | null {
     if (!this.isPreemptible(assignment, forJob)) return null;
-    return this.heartbeatS + assignment.job.spec.checkpointDurationS + EXIT_GRACE_S;
+    return this.heartbeatIntervalS + assignment.job.spec.checkpointDurationS + EXIT_GRACE_S;
   }
 
   private isPreemptible(assignment: TaskAssignment, forJob: Job): boolean {
@@ -65,13 +66,13 @@
     if (job.priority >= forJob.priority || job.isCancelling) return false;
     if (job.spec.kind !== 'array' || job.spec.checkpointIntervalS <= 0) return false;
     if (assignment.state !== 'running' || assignment.stopping !== null || runningAt === null) return false;
-    if (elapsedMs(this.io.now, runningAt) < MIN_RUN_MS) return false;
-    return (this.counts.get(job)?.get(index) ?? 0) < MAX_PREEMPTIONS_PER_TASK;
+    if (elapsedMs(this.io.now, runningAt) < MIN_RUN_BEFORE_PREEMPTION_MS) return false;
+    return (this.preemptionCounts.get(job)?.get(index) ?? 0) < MAX_PREEMPTIONS_PER_TASK;
   }
 
   /**
-   * The tasks to preempt so that the machine has capacity for a task of the job, as few as possible; null if
-   * even all that may be preempted would not be enough.
+   * The tasks to preempt so that the machine has capacity for a task of the job, taken in the order of
+   * assignment until the capacity is enough; null if preempting every eligible task would not free enough.
    */
   findVictims(machine: Machine, job: Job): TaskAssignment[] | null {
     const capacity = new FreedCapacity(
@@ -83,30 +84,30 @@
     const victims: TaskAssignment[] = [];
     if (capacity.isEnough) return victims;
     for (const assignment of machine.assignments.values()) {
-      // What is stopping already frees its capacity as well.
+      // Tasks that are already stopping will free their capacity too.
       const isStopping = assignment.stopping !== null;
       if (!isStopping && !this.isPreemptible(assignment, job)) continue;
-      capacity.addTask(assignment.job.spec);
+      capacity.addEndedTask(assignment.job.spec);
       if (!isStopping) victims.push(assignment);
       if (capacity.isEnough) return victims;
     }
     return null;
   }
 
-  /** Preempts less urgent tasks on the machine if the head of its queue has waited for long enough. */
+  /** Preempts tasks of lower priority on the machine if the head of its queue has waited long enough. */
   preemptForQueueHead(machine: Machine): void {
     const head = machine.queue[0];
-    if (head === undefined || this.remainingStops <= 0) return;
-    if (elapsedMs(this.io.now, head.since) < QUEUE_HEAD_PATIENCE_MS) return;
+    if (head === undefined || this.remainingPreemptions <= 0) return;
+    if (elapsedMs(this.io.now, head.since) < MIN_QUEUE_HEAD_WAIT_MS) return;
     const victims = this.findVictims(machine, head.job);
-    if (victims === null || victims.length > this.remainingStops) return;
+    if (victims === null || victims.length > this.remainingPreemptions) return;
     for (const victim of victims) this.preempt(victim, head.job);
   }
 
   /** Marks a task to be stopped, with time for a checkpoint. */
   preempt(victim: TaskAssignment, forJob: Job): void {
     this.countPreemption(victim);
-    this.underWay.add(victim);
+    this.inProgress.add(victim);
     this.remaining--;
     victim.stopping = { graceS: victim.job.spec.checkpointDurationS + EXIT_GRACE_S };
     this.io.log('info', 'task preempted', {
@@ -117,8 +118,8 @@
   }
 
   private countPreemption({ job, index }: TaskAssignment): void {
-    const counts = this.counts.get(job) ?? new Map<number, number>();
-    this.counts.set(job, counts);
+    const counts = this.preemptionCounts.get(job) ?? new Map<number, number>();
+    this.preemptionCounts.set(job, counts);
     counts.set(index, (counts.get(index) ?? 0) + 1);
   }
 }
--- a/src/core/scheduling/queued-task-return.ts
+++ b/src/core/scheduling/queued-task-return.ts
@@ -1,5 +1,5 @@
-// Takes tasks back that have been queued for too long while another machine could start them, and all tasks
-// queued for machines that can start none.
+// Returns tasks from the queues of machines to the controller: tasks that have been queued for too long while
+// another machine could start them, and all tasks queued for machines that are not schedulable.
 import { addMs, type Instant, LONG_AGO, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -11,13 +11,13 @@
 import type { Preemption } from './preemption.ts';
 import { placementKind, UnplaceableJobs } from './unplaceable-jobs.ts';
 
-const RETURN_INTERVAL_MS = 500;
+const RUN_INTERVAL_MS = 500;
 
 /** Returns queued tasks to the controller. */
 export class QueuedTaskReturn {
-  /** How many machines were examined, for the tests that bound the work. */
+  /** Number of machines examined so far; read by tests that limit the work of a cycle. */
   machinesExamined = 0;
-  private nextReturn: Instant = LONG_AGO;
+  private nextRunAt: Instant = LONG_AGO;
   private readonly unplaceable = new UnplaceableJobs();
 
   constructor(
@@ -27,11 +27,14 @@
     private readonly preemption: Preemption,
   ) {}
 
-  /** Goes through all queues, when it is time; `dequeueAfterMs`: how long a task may be queued. */
+  /**
+   * Checks all queues, unless the last check was less than the interval ago. `dequeueAfterMs`: how long a
+   * task may be queued while another machine could start it.
+   */
   run(dequeueAfterMs: Millis): void {
     const { now } = this.io;
-    if (now < this.nextReturn) return;
-    this.nextReturn = addMs(now, RETURN_INTERVAL_MS);
+    if (now < this.nextRunAt) return;
+    this.nextRunAt = addMs(now, RUN_INTERVAL_MS);
     this.unplaceable.clear();
     for (const machine of this.machines.byId.values()) {
       if (machine.queue.length === 0) continue;
@@ -40,12 +43,12 @@
         continue;
       }
       this.preemption.preemptForQueueHead(machine);
-      this.returnLateTasks(machine, dequeueAfterMs);
+      this.dequeueOverdueTasks(machine, dequeueAfterMs);
     }
   }
 
-  /** A task that no other machine could start keeps its place in the queue. */
-  private returnLateTasks(machine: Machine, dequeueAfterMs: Millis): void {
+  /** Dequeues the tasks that are overdue, except those that no other machine could start. */
+  private dequeueOverdueTasks(machine: Machine, dequeueAfterMs: Millis): void {
     for (const queued of [...machine.queue]) {
       if (this.io.now - queued.since <= dequeueAfterMs) continue;
       if (this.couldStartElsewhere(machine, queued)) this.machines.dequeue(machine, queued);
@@ -56,12 +59,12 @@
     if (isGang(job.spec)) return false;
     const kind = placementKind(job.spec);
     if (this.unplaceable.covers(job, kind)) return false;
-    const found = this.hasOtherMachine(job, machine);
+    const found = this.canStartOnOtherMachine(job, machine);
     if (!found) this.unplaceable.add(job, kind);
     return found;
   }
 
-  private hasOtherMachine(job: Job, machine: Machine): boolean {
+  private canStartOnOtherMachine(job: Job, machine: Machine): boolean {
     let found = false;
     const examine = (other: Machine): void => {
       this.machinesExamined++;
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,5 +1,5 @@
-// Machines reserved for a large task or a gang while capacity for it comes free on them. Without
-// reservations, small tasks refill each gap as it opens, and a task that needs most of a machine starves.
+// Reserves machines for large tasks and gangs until enough capacity comes free on them. Without reservations,
+// small tasks refill each gap as it opens, and a task that needs most of a machine starves.
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -11,34 +11,34 @@
 import { FreedCapacity } from './freed-capacity.ts';
 import type { Preemption } from './preemption.ts';
 
-/** Machines are reserved for a job that has waited this long, and only where capacity is expected soon. */
+/** A job must have waited this long before machines are reserved for it. */
 const MIN_WAIT_MS: Millis = 1500;
+/** A machine is reserved only if its capacity is expected to come free within this time. */
 const MAX_EXPECTED_WAIT_S = 40;
-/** A reservation ends when the capacity has not come free this long after it was expected. */
-const PATIENCE_MS: Millis = 10_000;
-/**
- * Bounds on what stands idle for this: a fraction of a pool's machines, and machines reserved in one cycle.
- */
+/** A reservation expires this long after the time at which the capacity was expected to come free. */
+const EXPIRY_MARGIN_MS: Millis = 10_000;
+/** Limits on the capacity that reservations keep idle: a fraction of a pool, and machines per cycle. */
 const MAX_RESERVED_FRACTION = 0.25;
 const MAX_RESERVATIONS_PER_CYCLE = 24;
-/** Machines sampled in a pool for each one that is needed. */
+/** Machines sampled in each pool for each machine to be reserved. */
 const MACHINES_SAMPLED_PER_RESERVATION = 6;
-/** A job is large if its tasks are worth this many times those of the least valuable class. */
+/**
+ * A job is large if its tasks are worth at least this many times those of the class with the lowest value.
+ */
 const LARGE_VALUE_RATIO = 2;
-/** A preemption counts like so many seconds more, and must free capacity this much before the task's end. */
+/** Added to the expected wait for each preemption when machines are compared. */
 const PREEMPTION_PENALTY_S = 4;
+/** A preemption must free the capacity more than this much earlier than the end of the task. */
 const MIN_PREEMPTION_GAIN_S = 8;
 
 interface Reservation {
   job: Job;
-  until: Instant;
+  expiresAt: Instant;
 }
 
-/**
- * When a machine will have capacity for a task if it gets no more work, and the tasks to preempt for that.
- */
+/** When a machine that gets no further tasks has capacity for a task, and the tasks to preempt for it. */
 interface ExpectedCapacity {
-  inS: number;
+  availableInS: number;
   victims: TaskAssignment[];
 }
 
@@ -47,10 +47,10 @@
   pool: MachinePool;
 }
 
-/** When a task's capacity comes free, and whether because the task is preempted. */
+/** When a task frees its capacity, and whether it is preempted for that. */
 interface ExpectedEnd {
   assignment: TaskAssignment;
-  inS: number;
+  endsInS: number;
   isPreempted: boolean;
 }
 
@@ -68,9 +68,9 @@
 export class Reservations {
   private readonly byMachine = new Map<Machine, Reservation>();
   private readonly byJob = new Map<Job, Set<Machine>>();
-  /** Reserved machines of each pool, as of this cycle. */
-  private readonly countByPool = new Map<MachinePool, number>();
-  private remaining = 0;
+  /** Number of reserved machines in each pool, as of this cycle. */
+  private readonly reservedByPool = new Map<MachinePool, number>();
+  private remainingReservations = 0;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
   private readonly capacityIndex: CapacityIndex;
@@ -88,7 +88,7 @@
   }
 
   /** Whether the machine is reserved for another job. */
-  isReservedAgainst(machine: Machine, job: Job): boolean {
+  isReservedForOther(machine: Machine, job: Job): boolean {
     const reservation = this.byMachine.get(machine);
     return reservation !== undefined && reservation.job !== job;
   }
@@ -99,25 +99,23 @@
   }
 
   /** The machines reserved for the job. */
-  of(job: Job): Iterable<Machine> {
+  machinesFor(job: Job): Iterable<Machine> {
     return this.byJob.get(job) ?? [];
   }
 
-  /**
-   * At the start of a scheduling cycle: reservations that are no longer needed, or have waited in vain, end.
-   */
+  /** Starts a scheduling cycle: resets the limits, and releases expired and unneeded reservations. */
   beginCycle(): void {
-    this.remaining = MAX_RESERVATIONS_PER_CYCLE;
+    this.remainingReservations = MAX_RESERVATIONS_PER_CYCLE;
     this.preemption.beginCycle(this.machines.byId.size);
-    this.countByPool.clear();
-    for (const [machine, { job, until }] of this.byMachine) {
+    this.reservedByPool.clear();
+    for (const [machine, { job, expiresAt }] of this.byMachine) {
       const isNeeded = !job.isOver && !job.isCancelling && job.waitingTasks > 0;
-      if (!isNeeded || machine.indexPosition === null || this.io.now >= until) {
+      if (!isNeeded || machine.indexPosition === null || this.io.now >= expiresAt) {
         this.release(machine);
         continue;
       }
       const { pool } = machine.indexPosition;
-      this.countByPool.set(pool, (this.countByPool.get(pool) ?? 0) + 1);
+      this.reservedByPool.set(pool, (this.reservedByPool.get(pool) ?? 0) + 1);
     }
   }
 
@@ -126,65 +124,69 @@
     const reservation = this.byMachine.get(machine);
     if (reservation === undefined) return;
     this.byMachine.delete(machine);
-    const ofJob = this.byJob.get(reservation.job);
-    ofJob?.delete(machine);
-    if (ofJob?.size === 0) this.byJob.delete(reservation.job);
+    const jobMachines = this.byJob.get(reservation.job);
+    jobMachines?.delete(machine);
+    if (jobMachines?.size === 0) this.byJob.delete(reservation.job);
   }
 
-  /** Reserves machines for tasks of the job that found no place; in one zone if the job is bound to one. */
+  /** Reserves machines for up to `tasks` waiting tasks of the job, only in `zone` unless that is null. */
   reserve(job: Job, tasks: number, zone: ZoneName | null): void {
-    if (this.io.now - job.readyAt < MIN_WAIT_MS || this.remaining <= 0) return;
+    if (this.io.now - job.readyAt < MIN_WAIT_MS || this.remainingReservations <= 0) return;
     const isLarge = this.isLarge(job);
-    // Capacity for smaller tasks comes and goes by itself: for them only a preemption helps.
+    // Capacity for smaller tasks comes free often: for them, only a reservation with a preemption helps.
     if (!isLarge && !this.mayPreempt(job)) return;
-    const missing = Math.min(tasks - (this.byJob.get(job)?.size ?? 0), this.remaining);
+    const missing = Math.min(tasks - (this.byJob.get(job)?.size ?? 0), this.remainingReservations);
     if (missing <= 0) return;
-    this.remaining -= this.reserveBest(this.findCandidates(job, missing, zone, isLarge), job, missing);
+    const candidates = this.findCandidates(job, missing, zone, isLarge);
+    this.remainingReservations -= this.reserveBest(candidates, job, missing);
   }
 
   private isLarge(job: Job): boolean {
-    return this.binPacking.valueOfClass(job.spec.class) >= LARGE_VALUE_RATIO * this.binPacking.leastValue;
+    return this.binPacking.valueOfClass(job.spec.class) >= LARGE_VALUE_RATIO * this.binPacking.lowestValue;
   }
 
   private mayPreempt(job: Job): boolean {
-    return this.preemption.remainingStops > 0 && job.priority > this.binPacking.leastPriority;
+    return this.preemption.remainingPreemptions > 0 && job.priority > this.binPacking.lowestPriority;
   }
 
-  /** Machines on which capacity is expected soon, the best first. */
+  /** Finds machines on which capacity is expected soon, the best first. */
   private findCandidates(
     job: Job,
     missing: number,
     zone: ZoneName | null,
     isLarge: boolean,
   ): ReservationCandidate[] {
-    const found: ReservationCandidate[] = [];
+    const candidates: ReservationCandidate[] = [];
     for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec) || (zone !== null && pool.zone !== zone)) continue;
       if (!isZoneAllowed(job, pool.zone, job.zones)) continue;
-      if (this.binPacking.wasteful(job, pool)) continue;
+      if (this.binPacking.isWasteful(job, pool)) continue;
       sampleFrom(pool.usable, MACHINES_SAMPLED_PER_RESERVATION * missing, this.io.random, (machine) => {
         if (this.byMachine.has(machine) || job.failedOn.has(machine.id)) return;
-        const { inS, victims } = this.expectedCapacity(machine, job);
-        if (inS > MAX_EXPECTED_WAIT_S) return;
-        if (isLarge || victims.length > 0) found.push({ machine, pool, inS, victims });
+        const { availableInS, victims } = this.expectedCapacity(machine, job);
+        if (availableInS > MAX_EXPECTED_WAIT_S) return;
+        if (isLarge || victims.length > 0) candidates.push({ machine, pool, availableInS, victims });
       });
     }
-    return found.sort(
+    return candidates.sort(
       (a, b) =>
-        a.inS + a.victims.length * PREEMPTION_PENALTY_S - b.inS - b.victims.length * PREEMPTION_PENALTY_S,
+        a.availableInS +
+        a.victims.length * PREEMPTION_PENALTY_S -
+        b.availableInS -
+        b.victims.length * PREEMPTION_PENALTY_S,
     );
   }
 
   /** Reserves up to `missing` of the candidates; returns how many. */
   private reserveBest(candidates: readonly ReservationCandidate[], job: Job, missing: number): number {
     let reserved = 0;
-    for (const { machine, pool, inS, victims } of candidates) {
+    for (const { machine, pool, availableInS, victims } of candidates) {
       if (reserved >= missing) break;
-      const inPool = this.countByPool.get(pool) ?? 0;
-      if (inPool >= Math.max(1, pool.usable.length * MAX_RESERVED_FRACTION)) continue;
-      if (victims.length > this.preemption.remainingStops) continue;
-      this.countByPool.set(pool, inPool + 1);
-      this.reserveMachine(machine, job, inS * 1000);
+      const reservedInPool = this.reservedByPool.get(pool) ?? 0;
+      if (reservedInPool >= Math.max(1, pool.usable.length * MAX_RESERVED_FRACTION)) continue;
+      if (victims.length > this.preemption.remainingPreemptions) continue;
+      this.reservedByPool.set(pool, reservedInPool + 1);
+      this.reserveMachine(machine, job, availableInS * 1000);
       for (const victim of victims) this.preemption.preempt(victim, job);
       reserved++;
     }
@@ -192,36 +194,36 @@
   }
 
   private reserveMachine(machine: Machine, job: Job, expectedInMs: Millis): void {
-    this.byMachine.set(machine, { job, until: addMs(this.io.now, expectedInMs + PATIENCE_MS) });
-    const ofJob = this.byJob.get(job) ?? new Set();
-    ofJob.add(machine);
-    this.byJob.set(job, ofJob);
+    this.byMachine.set(machine, { job, expiresAt: addMs(this.io.now, expectedInMs + EXPIRY_MARGIN_MS) });
+    const jobMachines = this.byJob.get(job) ?? new Set();
+    jobMachines.add(machine);
+    this.byJob.set(job, jobMachines);
     for (const queued of [...machine.queue])
       if (queued.job.spec.kind !== 'gang') this.machines.dequeue(machine, queued);
   }
 
   private expectedCapacity(machine: Machine, job: Job): ExpectedCapacity {
     const capacity = new FreedCapacity(machine.freeCpus, machine.freeGpus, machine.freeMemory, job.spec);
-    if (capacity.isEnough) return { inS: 0, victims: [] };
+    if (capacity.isEnough) return { availableInS: 0, victims: [] };
     const ends = [...machine.assignments.values()].map((assignment) => this.expectedEnd(assignment, job));
-    ends.sort((a, b) => a.inS - b.inS);
+    ends.sort((a, b) => a.endsInS - b.endsInS);
     const victims: TaskAssignment[] = [];
-    for (const { assignment, inS, isPreempted } of ends) {
-      capacity.addTask(assignment.job.spec);
+    for (const { assignment, endsInS, isPreempted } of ends) {
+      capacity.addEndedTask(assignment.job.spec);
       if (isPreempted) victims.push(assignment);
-      if (capacity.isEnough) return { inS, victims };
+      if (capacity.isEnough) return { availableInS: endsInS, victims };
     }
-    return { inS: Number.POSITIVE_INFINITY, victims: [] };
+    return { availableInS: Number.POSITIVE_INFINITY, victims: [] };
   }
 
-  /** A task ends by itself, or sooner because it is preempted for the job. */
+  /** When the task frees its capacity: at its own end, or earlier if it is preempted for the job. */
   private expectedEnd(assignment: TaskAssignment, forJob: Job): ExpectedEnd {
-    const inS = this.remainingS(assignment.job, assignment.runningAt);
+    const endsInS = this.remainingS(assignment.job, assignment.runningAt);
     const preemptedInS =
-      this.preemption.remainingStops > 0 ? this.preemption.secondsUntilFree(assignment, forJob) : null;
-    if (preemptedInS === null || inS <= preemptedInS + MIN_PREEMPTION_GAIN_S)
-      return { assignment, inS, isPreempted: false };
-    return { assignment, inS: preemptedInS, isPreempted: true };
+      this.preemption.remainingPreemptions > 0 ? this.preemption.secondsUntilFree(assignment, forJob) : null;
+    if (preemptedInS === null || endsInS <= preemptedInS + MIN_PREEMPTION_GAIN_S)
+      return { assignment, endsInS, isPreempted: false };
+    return { assignment, endsInS: preemptedInS, isPreempted: true };
   }
 
   private remainingS(job: Job, runningAt: Instant | null): number {
--- a/src/core/scheduling/scheduler.ts
+++ b/src/core/scheduling/scheduler.ts
@@ -1,4 +1,5 @@
-// Scheduling cycles: places the tasks of waiting jobs by their ranking, what fair shares owe first.
+// Runs scheduling cycles: places the tasks of waiting jobs in the order of their ranking. In each group of
+// the ranking, teams and classes below their fair-share floors are served first.
 import { addMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -18,19 +19,19 @@
 
 /** Settings of the scheduler that operators may change. */
 export interface SchedulerOptions {
-  /** Queue length below which a machine without free capacity may be joined. */
+  /** Queue length below which another task may be queued on a machine without free capacity. */
   threshold: number;
-  /** How long a task may be queued for one machine while another could start it. */
+  /** How long a task may stay in the queue of one machine while another machine could start it. */
   dequeueAfterMs: Millis;
-  /** Fractions of their fair share that teams, and classes, are never kept below while capacity is short. */
+  /** Fractions of their fair share that teams, and classes, get at least while capacity is short. */
   teamFloor: number;
   classFloor: number;
 }
 
-/** Cycles are at least this far apart, and further with many jobs waiting. */
+/** Minimum interval between cycles; it grows with each waiting job and each machine, up to a maximum. */
 const CYCLE_INTERVAL_MS = 40;
 const CYCLE_INTERVAL_MS_PER_JOB = 0.4;
-/** In a large fleet something changes all the time; a cycle for each change would cost more than it finds. */
+/** A large fleet changes all the time: a cycle for each change would cost more than its placements gain. */
 const CYCLE_INTERVAL_MS_PER_MACHINE = 0.03;
 const MAX_CYCLE_INTERVAL_MS = 250;
 const MAX_TASKS_PER_CYCLE = 400;
@@ -51,10 +52,10 @@
   preemption: Preemption;
 }
 
-/** Runs a scheduling cycle when one has been requested and the last is long enough ago. */
+/** Runs a scheduling cycle when one has been requested and the minimum interval has passed. */
 export class Scheduler {
   private isCycleRequested = true;
-  private nextCycle: Instant = LONG_AGO;
+  private nextCycleAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
   private readonly machines: MachineTable;
@@ -88,35 +89,35 @@
     this.requestCycle();
   }
 
-  /** Asks for a scheduling cycle as soon as one is due. */
+  /** Requests a scheduling cycle, which runs as soon as the minimum interval has passed. */
   requestCycle(): void {
     this.isCycleRequested = true;
   }
 
-  /** Whether the next cycle may find a task for a machine with free capacity. */
+  /** Whether the next cycle may place tasks: a cycle is requested, and jobs are waiting. */
   get hasPendingCycle(): boolean {
     return this.isCycleRequested && this.jobs.waitingJobs.size > 0;
   }
 
-  /** How many machines were examined, for the tests that bound the work. */
+  /** Number of machines examined so far; read by tests that limit the work of a cycle. */
   get machinesExamined(): number {
     return this.placement.machinesExamined + this.queuedTaskReturn.machinesExamined;
   }
 
-  /** Runs a cycle over the waiting jobs if one is requested and due; returns whether it did. */
+  /** Runs a cycle over the waiting jobs if one is requested and due; returns whether it ran. */
   runCycle(): boolean {
-    if (!this.isCycleRequested || this.io.now < this.nextCycle) return false;
+    if (!this.isCycleRequested || this.io.now < this.nextCycleAt) return false;
     this.isCycleRequested = false;
-    this.nextCycle = addMs(this.io.now, this.cycleIntervalMs() * this.io.intervalFactor);
+    this.nextCycleAt = addMs(this.io.now, this.cycleIntervalMs() * this.io.intervalFactor);
     this.queuedTaskReturn.run(this.options.dequeueAfterMs);
     const ranked = this.ranking.rank();
     this.placement.beginCycle();
-    let remaining = MAX_TASKS_PER_CYCLE;
+    let remainingTasks = MAX_TASKS_PER_CYCLE;
     for (const group of ranked.groups) {
-      remaining -= this.placeOwedTasks(group, ranked, remaining);
-      remaining -= this.placeGroup(group, ranked, remaining);
+      remainingTasks -= this.placeTasksBelowFloors(group, ranked, remainingTasks);
+      remainingTasks -= this.placeGroup(group, ranked, remainingTasks);
     }
-    if (remaining <= 0) this.requestCycle();
+    if (remainingTasks <= 0) this.requestCycle();
     return true;
   }
 
@@ -127,16 +128,16 @@
     return Math.min(MAX_CYCLE_INTERVAL_MS, CYCLE_INTERVAL_MS + extraMs);
   }
 
-  /** Places what is owed to teams and classes below their floors; returns how many tasks were placed. */
-  private placeOwedTasks(group: readonly Job[], ranked: RankedJobs, maxTasks: number): number {
+  /** Places tasks of teams and classes that are below their floors; returns how many were placed. */
+  private placeTasksBelowFloors(group: readonly Job[], ranked: RankedJobs, maxTasks: number): number {
     let placed = 0;
     for (const job of group) {
       const machineSet = ranked.machineSets.get(job);
       if (machineSet === undefined) continue;
-      const owed = this.fairShare.owedTasks(job, machineSet);
-      if (placed >= maxTasks || owed <= 0) continue;
-      const tasks = this.placement.placeTasks(job, Math.min(maxTasks - placed, owed), true);
-      this.fairShare.onPlaced(job, machineSet, tasks);
+      const tasksToFloor = this.fairShare.tasksToReachFloor(job, machineSet);
+      if (placed >= maxTasks || tasksToFloor <= 0) continue;
+      const tasks = this.placement.placeTasks(job, Math.min(maxTasks - placed, tasksToFloor), true);
+      this.fairShare.recordPlacement(job, machineSet, tasks);
       placed += tasks;
     }
     return placed;
--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -1,5 +1,5 @@
-// Join-below-threshold for one job: each task goes to a random one of the best machines with free capacity,
-// else to one of those whose queue is below the threshold, else it waits in the controller.
+// Join-below-threshold placement of a job's tasks: each task goes to a random one of the best machines with
+// free capacity, else to one of those whose queue is below the threshold, else it waits in the controller.
 import type { MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -17,16 +17,19 @@
 import type { TaskQueuing } from './task-queuing.ts';
 import { placementKind, UnplaceableJobs } from './unplaceable-jobs.ts';
 
-/** Machines sampled in each pool for a queue below the threshold, and more of them for urgent jobs. */
+/** Machines sampled in each pool when searching for a queue below the threshold; urgent jobs sample more. */
 const QUEUES_SAMPLED_PER_POOL = 3;
-const QUEUES_SAMPLED_FOR_URGENT = 12;
-/** Machines examined among those that hold the job's image. */
-const IMAGE_HOLDERS_EXAMINED = 12;
-/** What an image holder without free capacity counts for among them: examining it is cheap, but not free. */
-const FULL_IMAGE_HOLDER_WEIGHT = 0.1;
-/** Taken off the score of a queue whose head preempts, so that it goes before any queue whose head waits. */
+const QUEUES_SAMPLED_PER_POOL_IF_URGENT = 12;
+/** Maximum number of machines examined among those that have the job's image in their caches. */
+const MAX_MACHINES_WITH_IMAGE_EXAMINED = 12;
+/** How much a machine that is skipped counts towards that maximum: skipping is cheap, but not free. */
+const SKIPPED_MACHINE_COST = 0.1;
+/**
+ * Subtracted from the score of a machine where the task could preempt others, so that such a machine ranks
+ * before any machine where the task would have to wait for running tasks to end.
+ */
 const PREEMPTION_BONUS = 10;
-/** A job that failed on so many machines may go to any of them again. */
+/** Machines on which a job failed are avoided only while there are fewer of them than this. */
 const MAX_AVOIDED_MACHINES = 3;
 /** Tolerance for sums of fractional CPUs. */
 const ROUNDING_TOLERANCE = 1e-9;
@@ -45,9 +48,9 @@
 
 /** Places the tasks of waiting jobs on machines. */
 export class TaskPlacement {
-  /** How many machines were examined, for the tests that bound the work. */
+  /** Number of machines examined so far; read by tests that limit the work of a cycle. */
   machinesExamined = 0;
-  /** Queue length below which a machine without free capacity may be joined. */
+  /** Queue length below which another task may be queued on a machine without free capacity. */
   threshold: number;
   private readonly unplaceable = new UnplaceableJobs();
   private readonly io: ControllerIo;
@@ -71,22 +74,22 @@
     this.threshold = threshold;
   }
 
-  /** At the start of a scheduling cycle. */
+  /** Resets the state of the previous cycle; called at the start of each scheduling cycle. */
   beginCycle(): void {
     this.unplaceable.clear();
     this.reservations.beginCycle();
   }
 
   /**
-   * Places up to `maxTasks` tasks of the job, of a gang all or none; returns how many were placed.
-   * `mayReserve`: machines may be reserved for what found no place.
+   * Places up to `maxTasks` waiting tasks of the job, or of a gang all missing tasks or none; returns how
+   * many were placed. `mayReserve`: whether machines may be reserved for tasks that found no machine.
    */
   placeTasks(job: Job, maxTasks: number, mayReserve: boolean): number {
     const allowed = this.quota.allowedTasks(job);
     if (allowed <= 0) return 0;
     if (isGang(job.spec)) return this.gangs.placeGang(job, allowed, mayReserve);
     const isZoneBound = hasZoneConstraint(job);
-    // Until all its tasks are located, it is not known which zones they are in.
+    // Until all its tasks are located, the zones that they run in are unknown.
     if (isZoneBound && job.unlocatedTasks > 0) return 0;
     const kind = placementKind(job.spec);
     if (!this.reservations.has(job) && this.unplaceable.covers(job, kind)) {
@@ -94,7 +97,7 @@
       return 0;
     }
     const limit = Math.min(allowed, maxTasks);
-    const placed = this.placeWhileFound(job, limit, isZoneBound);
+    const placed = this.placeOneByOne(job, limit, isZoneBound);
     const foundNoMachine = placed < limit && job.nextWaitingTask() >= 0;
     if (foundNoMachine) {
       if (mayReserve) this.reserve(job, allowed);
@@ -103,15 +106,15 @@
     return placed;
   }
 
-  /** Places up to `maxTasks` waiting tasks, one after the other, until no machine is found; returns how many. */
-  private placeWhileFound(job: Job, maxTasks: number, isZoneBound: boolean): number {
+  /** Places up to `maxTasks` waiting tasks until no machine is found; returns how many were placed. */
+  private placeOneByOne(job: Job, maxTasks: number, isZoneBound: boolean): number {
     let placed = 0;
     while (placed < maxTasks && job.nextWaitingTask() >= 0) {
       const machine = this.chooseMachine(job, isZoneBound);
       if (machine === null) return placed;
       this.enqueueNext(machine, job);
       placed++;
-      if (!isZoneBound) placed += this.placeOnSame(machine, job, maxTasks - placed);
+      if (!isZoneBound) placed += this.placeOnSameMachine(machine, job, maxTasks - placed);
     }
     return placed;
   }
@@ -124,8 +127,11 @@
     this.reservations.reserve(job, Math.min(allowedTasks, job.waitingTasks), null);
   }
 
-  /** Fuller machines score better, so a search for the job's next task would find the same machine again. */
-  private placeOnSame(machine: Machine, job: Job, maxTasks: number): number {
+  /**
+   * Places further tasks of the job on the machine just chosen. Fuller machines score better, so a search for
+   * the next task would find the same machine again.
+   */
+  private placeOnSameMachine(machine: Machine, job: Job, maxTasks: number): number {
     let placed = 0;
     while (placed < maxTasks && this.isSuitable(machine, job) && job.nextWaitingTask() >= 0) {
       this.enqueueNext(machine, job);
@@ -137,33 +143,33 @@
   private isSuitable(machine: Machine, job: Job): boolean {
     return (
       hasCapacityAhead(machine, job) &&
-      !this.reservations.isReservedAgainst(machine, job) &&
+      !this.reservations.isReservedForOther(machine, job) &&
       Number.isFinite(this.binPacking.score(job, machine))
     );
   }
 
-  /** Random among the best machines with free capacity, else among the best queues below the threshold. */
+  /** Picks at random among the best machines with free capacity, else the best queues below the threshold. */
   private chooseMachine(job: Job, isZoneBound: boolean): Machine | null {
-    // A job that failed on one machine tries others; one that failed on many may go anywhere again.
+    // After failures on a few machines the job tries others; after failures on many it may use any again.
     const avoided = job.failedOn.size < MAX_AVOIDED_MACHINES ? job.failedOn : null;
     const best = new LowestScores();
     const examine = (machine: Machine): void => {
       this.machinesExamined++;
       if (avoided?.has(machine.id)) return;
-      if (this.reservations.isReservedAgainst(machine, job) || !hasCapacityAhead(machine, job)) return;
+      if (this.reservations.isReservedForOther(machine, job) || !hasCapacityAhead(machine, job)) return;
       best.offer(machine, this.binPacking.score(job, machine));
     };
     const pools = this.samplePools(job, isZoneBound, examine);
-    this.examineImageHolders(job, pools, examine);
-    // Reserved before another task of the job used up the limit of its zone, a machine may be in a zone that
-    // is no longer allowed.
-    for (const machine of this.reservations.of(job))
+    this.examineMachinesWithImage(job, pools, examine);
+    // A machine may have been reserved before other tasks of the job used up the limit of its zone; its zone
+    // is no longer allowed then.
+    for (const machine of this.reservations.machinesFor(job))
       if (!isZoneBound || isZoneAllowed(job, machine.zone, job.zones)) examine(machine);
     if (best.machines.length > 0) return this.pickRandom(best.machines);
     return this.chooseQueueBelowThreshold(job, pools, avoided);
   }
 
-  /** Examines a sample of each bucket that may have free capacity; returns the pools that the job may use. */
+  /** Examines a sample of each bucket that may have capacity; returns the pools that the job may use. */
   private samplePools(job: Job, isZoneBound: boolean, examine: (machine: Machine) => void): MachinePool[] {
     const pools: MachinePool[] = [];
     for (const pool of this.capacityIndex.pools.values()) {
@@ -177,23 +183,27 @@
     return pools;
   }
 
-  /** Machines that need not fetch the image first are few among many and would seldom be sampled. */
-  private examineImageHolders(job: Job, pools: MachinePool[], examine: (machine: Machine) => void): void {
-    const holders = this.capacityIndex.machinesWithImage(job.spec.image);
-    if (holders === undefined) return;
-    let remaining = IMAGE_HOLDERS_EXAMINED;
-    for (const machine of holders) {
+  /** Examines machines that have the image cached: they are few, and random samples seldom contain them. */
+  private examineMachinesWithImage(
+    job: Job,
+    pools: MachinePool[],
+    examine: (machine: Machine) => void,
+  ): void {
+    const machines = this.capacityIndex.machinesWithImage(job.spec.image);
+    if (machines === undefined) return;
+    let remainingExaminations = MAX_MACHINES_WITH_IMAGE_EXAMINED;
+    for (const machine of machines) {
       if (
         machine.indexPosition === null ||
         machine.freeCpus + ROUNDING_TOLERANCE < job.spec.cpus ||
         !pools.includes(machine.indexPosition.pool)
       ) {
-        remaining -= FULL_IMAGE_HOLDER_WEIGHT;
+        remainingExaminations -= SKIPPED_MACHINE_COST;
       } else {
         examine(machine);
-        remaining--;
+        remainingExaminations--;
       }
-      if (remaining <= 0) return;
+      if (remainingExaminations <= 0) return;
     }
   }
 
@@ -204,17 +214,17 @@
   ): Machine | null {
     const best = new LowestScores();
     for (const pool of pools) {
-      if (this.binPacking.wasteful(job, pool)) continue;
+      if (this.binPacking.isWasteful(job, pool)) continue;
       const score = this.binPacking.typeScore(job, pool);
-      const isUrgent = job.priority > this.binPacking.leastPriority;
-      const sampleSize = isUrgent ? QUEUES_SAMPLED_FOR_URGENT : QUEUES_SAMPLED_PER_POOL;
+      const isUrgent = job.priority > this.binPacking.lowestPriority;
+      const sampleSize = isUrgent ? QUEUES_SAMPLED_PER_POOL_IF_URGENT : QUEUES_SAMPLED_PER_POOL;
       sampleFrom(pool.usable, sampleSize, this.io.random, (machine) => {
         this.machinesExamined++;
         if (machine.queue.length >= this.threshold || avoided?.has(machine.id)) return;
-        if (this.reservations.isReservedAgainst(machine, job) || hasCapacityAhead(machine, job)) return;
-        // Where less urgent work can be preempted the task starts sooner than where it waits for an end.
-        const preempts = isUrgent && this.preemption.findVictims(machine, job) !== null;
-        best.offer(machine, preempts ? score - PREEMPTION_BONUS : score);
+        if (this.reservations.isReservedForOther(machine, job) || hasCapacityAhead(machine, job)) return;
+        // By preempting less urgent tasks the task starts sooner than by waiting for running tasks to end.
+        const canPreempt = isUrgent && this.preemption.findVictims(machine, job) !== null;
+        best.offer(machine, canPreempt ? score - PREEMPTION_BONUS : score);
       });
     }
     return this.pickRandom(best.machines);
@@ -225,5 +235,5 @@
   }
 }
 
-/** Whether the zones of the job's other tasks limit where a task may go. */
+/** Whether the zones of the job's other tasks limit the zones that a task may run in. */
 const hasZoneConstraint = ({ spec }: Job): boolean => isSpread(spec) || isBoundToSameZone(spec);
--- a/src/core/scheduling/unplaceable-jobs.ts
+++ b/src/core/scheduling/unplaceable-jobs.ts
@@ -1,9 +1,9 @@
-// Jobs for which a search found no machine, so that it is not repeated for jobs that need as much.
+// Records jobs for which a search found no machine, so that it is not repeated for jobs that need as much.
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { needsAtLeast, placementKey } from '../jobs/placement-constraints.ts';
 
-/** Jobs of the same kind differ, for the choice of a machine, only in how much their tasks need. */
+/** Key of jobs for which the same machines are eligible, except for how much capacity their tasks need. */
 export const placementKind = (spec: JobSpec): string => `${spec.class}|${placementKey(spec)}`;
 
 interface UnplaceableJob {
@@ -13,23 +13,24 @@
 
 /** The jobs that found no machine since the last `clear`. */
 export class UnplaceableJobs {
-  private readonly entries: UnplaceableJob[] = [];
+  private readonly jobs: UnplaceableJob[] = [];
 
-  /** Forgets all, as capacity may have come free. */
+  /** Removes all jobs, as capacity may have come free. */
   clear(): void {
-    this.entries.length = 0;
+    this.jobs.length = 0;
   }
 
-  /** No machine was found for a task of the job; `kind` is its `placementKind`. */
+  /** Records that no machine was found for a task of the job; `kind` is its `placementKind`. */
   add(job: Job, kind: string): void {
-    this.entries.push({ kind, job });
+    this.jobs.push({ kind, job });
   }
 
-  /** Whether a job of this kind, no more urgent and with tasks no larger, has found no machine. */
+  /** Whether no machine was found for a job of this kind that is at least as urgent and needs no more. */
   covers(job: Job, kind: string): boolean {
-    for (const entry of this.entries) {
-      if (entry.kind !== kind) continue;
-      if (needsAtLeast(job.spec, entry.job.spec) && job.priority <= entry.job.priority) return true;
+    for (const unplaceable of this.jobs) {
+      if (unplaceable.kind !== kind) continue;
+      if (needsAtLeast(job.spec, unplaceable.job.spec) && job.priority <= unplaceable.job.priority)
+        return true;
     }
     return false;
   }
--- a/test/fair-share.test.ts
+++ b/test/fair-share.test.ts
@@ -255,7 +255,7 @@
       });
     const machineSets = new MachineSets(capacityIndex, usage, new RuntimeEstimates(), () => new Map());
     usage.add(jobOf('watch', 'service', 0), 20, box.name);
-    const machineSet = machineSets.of(jobOf('plain', 'array', 10));
+    const machineSet = machineSets.setFor(jobOf('plain', 'array', 10));
     assert.equal(machineSets.supply(machineSet)(100), 0);
     usage.add(jobOf('plain', 'array', 10), 20, box.name);
     const within10S = machineSets.supply(machineSet)(10);
