--- a/test/fair-share.test.ts
+++ b/test/fair-share.test.ts
@@ -1,4 +1,5 @@
-// Short capacity: which jobs go first, which are deferred, and the floors that no team or class is kept below.
+// Scheduling while capacity is short: max-min shares, the selection of late jobs, and the floors of teams and
+// classes; usage accounting, and throttling of submissions by team.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
@@ -19,14 +20,17 @@
 const SEED = { seed: 5, numRuns: 300 };
 const amounts = fc.tuple(fc.nat(40), fc.nat(8), fc.nat(60));
 
-/** Divides in small steps: every share that demands more, and nothing that is used up, gets a little more. */
+/**
+ * Reference implementation that divides the capacity in small steps: in each round, every share grows a
+ * little unless its demand is met or it needs an exhausted resource.
+ */
 function divideInSteps(shares: ShareDemand[], capacity: readonly number[]): number[] {
   const fractions = shares.map(() => 0);
   const dominant = shares.map(({ demand }) => dominantShare(demand, capacity));
   const remaining = [...capacity];
   const step = 0.002;
-  for (let moved = true; moved; ) {
-    moved = false;
+  for (let hasGrown = true; hasGrown; ) {
+    hasGrown = false;
     for (let i = 0; i < shares.length; i++) {
       const { demand, weight } = shares[i]!;
       if (fractions[i]! >= 1 || dominant[i]! <= 0) continue;
@@ -41,7 +45,7 @@
         remaining[resource] = remaining[resource]! - amount * growth;
       });
       fractions[i] = fractions[i]! + growth;
-      moved = true;
+      hasGrown = true;
     }
   }
   return fractions;
@@ -60,7 +64,9 @@
   work: amount,
 });
 
-/** A fleet of 10 machines of 8 CPUs that is too small for the demand of one team, or of one class. */
+/**
+ * A fleet of 10 machines with 8 CPUs each, which is too small for the demand of one team, or of one class.
+ */
 function scarceFleet(): SimulatedWorld {
   const world = new SimulatedWorld({
     teams: ['hot', 'cool', 'open'].map((name) => ({
@@ -84,12 +90,12 @@
     .length;
 
 describe('max-min fairness', () => {
-  it('computes weighted max-min shares like a division in small steps, and shares out no more than the capacity', () => {
-    const drawnShare = fc.record({ demand: amounts, weight: fc.integer({ min: 1, max: 3 }) });
+  it('computes the same weighted max-min shares as a division in small steps, and allocates no more than the capacity', () => {
+    const shareArbitrary = fc.record({ demand: amounts, weight: fc.integer({ min: 1, max: 3 }) });
     fc.assert(
-      fc.property(fc.array(drawnShare, { minLength: 1, maxLength: 6 }), (drawn) => {
+      fc.property(fc.array(shareArbitrary, { minLength: 1, maxLength: 6 }), (generated) => {
         const capacity = [50, 10, 100];
-        const shares: ShareDemand[] = drawn.map((share) => ({ ...share, guaranteed: [0, 0, 0] }));
+        const shares: ShareDemand[] = generated.map((share) => ({ ...share, guaranteed: [0, 0, 0] }));
         const fractions = maxMinShares(shares, capacity);
         const inSteps = divideInSteps(shares, capacity);
         for (let resource = 0; resource < 3; resource++) {
@@ -98,7 +104,7 @@
         }
         shares.forEach(({ demand }, i) => {
           const dominant = dominantShare(demand, capacity);
-          // Steps are given one share after the other, so the last ones may be missing.
+          // The reference grows one share after the other, so the last shares may lack a step.
           const difference = Math.abs(fractions[i]! - inSteps[i]!) * dominant;
           assert.ok(difference < 0.03, `${i}: ${fractions} for ${inSteps}`);
         });
@@ -107,13 +113,13 @@
     );
   });
 
-  it('gives guarantees first, and shrinks them all alike when capacity is below their sum', () => {
+  it('allocates guarantees first, and reduces them by the same factor when capacity is below their sum', () => {
     const share = (cpus: number, guaranteed: number): ShareDemand => ({
       demand: [cpus, 0, 0],
       guaranteed: [guaranteed, 0, 0],
       weight: 1,
     });
-    // 60 of 100 are guaranteed to the second, the rest is shared: 20 each.
+    // The second share is guaranteed 60 of 100; the rest is divided equally, 20 each.
     assert.deepEqual(
       maxMinShares([share(100, 0), share(100, 60)], [100, 0, 0]).map((fraction) =>
         Math.round(fraction * 100),
@@ -130,13 +136,16 @@
 });
 
 describe('selection of late jobs', () => {
-  it('keeps the most jobs in time that any selection could, with one deadline each', () => {
-    const drawn = fc.array(fc.tuple(fc.integer({ min: 1, max: 9 }), fc.integer({ min: 1, max: 30 })), {
-      minLength: 1,
-      maxLength: 9,
-    });
+  it('keeps as many jobs in time as any selection could, with one deadline each', () => {
+    const jobsArbitrary = fc.array(
+      fc.tuple(fc.integer({ min: 1, max: 9 }), fc.integer({ min: 1, max: 30 })),
+      {
+        minLength: 1,
+        maxLength: 9,
+      },
+    );
     fc.assert(
-      fc.property(drawn, (jobs) => {
+      fc.property(jobsArbitrary, (jobs) => {
         const all = jobs.map(([amount, due]) => candidate(amount, [due]));
         const { inTime, late } = selectLateJobs(all, (withinS) => withinS);
         assert.equal(inTime.length + late.length, all.length);
@@ -162,7 +171,7 @@
     );
   });
 
-  it('keeps a deferred job for its next deadline, and defers none with capacity for all', () => {
+  it('moves a deferred job to its next deadline, and defers none while there is capacity for all', () => {
     const [large, small] = [candidate(10, [11, 30]), candidate(4, [12])];
     const selection = selectLateJobs([large, small], (withinS) => withinS);
     assert.deepEqual(
@@ -194,12 +203,12 @@
 });
 
 describe('fair shares while capacity is short', () => {
-  it('leaves a team with little demand its share beside the flood of a hot team, also after a failover', () => {
+  it('gives a team its fair share while another team floods the cluster, also after a failover', () => {
     const world = scarceFleet();
     const team = (name: string) => ({ team: name as TeamName, tasks: 40, cpus: 1 });
     for (let i = 0; i < 30; i++) world.submit(job(`run-hot-${i}`, { ...team('hot'), deadlineS: 400 }));
     world.run(20);
-    // Its deadline is far off: by slack alone it would go last.
+    // The deadline of this job is far off: by slack alone it would be placed last.
     world.submit(job('run-cool-1', { ...team('cool'), tasks: 600, deadlineS: 900 }));
     world.run(12);
     assert.ok(liveTasks(world, 'run-cool') >= 30, `${liveTasks(world, 'run-cool')} of 80 CPUs`);
@@ -215,7 +224,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('leaves a class past all its deadlines a good part of its fair share beside one that can still meet its own', () => {
+  it('gives a class past all its deadlines a good part of its fair share beside a class that can still meet its deadlines', () => {
     const world = scarceFleet();
     world.submit(job('run-past-1', { class: 'past', tasks: 300, cpus: 1 }));
     world.run(20);
@@ -227,7 +236,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('does not count on the capacity of services to come free', () => {
+  it('does not expect the capacity of services to come free', () => {
     const capacityIndex = new CapacityIndex();
     const usage = new Usage();
     const box = {
@@ -264,7 +273,7 @@
 });
 
 describe('usage accounting', () => {
-  it('reports usage by team and class, and continues it after a failover', () => {
+  it('reports usage by team and class, and keeps the sums after a failover', () => {
     const world = scarceFleet();
     world.runS = 2;
     for (let i = 0; i < 4; i++) world.submit(job(`run-a-${i}`, { team: 'hot' as TeamName, tasks: 3 }));
@@ -272,11 +281,11 @@
     for (let i = 0; i < 4; i++) assert.ok(world.until(() => world.doneOnRecord(`run-a-${i}`)));
     world.run(25);
     const before = world.nodes.get(world.owner!)!.leaderTerm!;
-    const hotTeam = (term: typeof before) =>
+    const hotTeamRow = (term: typeof before) =>
       term.usageAccounting
         .summarize(term.jobs.openJobs.values())
         .find((row) => row.team === 'hot' && row.class === 'plain');
-    assert.equal(hotTeam(before)?.done, 4);
+    assert.equal(hotTeamRow(before)?.done, 4);
     world.crash(world.owner!);
     assert.ok(
       world.until(
@@ -286,7 +295,7 @@
     );
     world.run(2);
     const after = world.nodes.get(world.owner!)!.leaderTerm!;
-    assert.deepEqual(hotTeam(after), hotTeam(before));
+    assert.deepEqual(hotTeamRow(after), hotTeamRow(before));
     const rows = after.usageAccounting.summarize(after.jobs.openJobs.values());
     const long = rows.find((row) => row.class === 'long');
     assert.deepEqual([long?.services, long?.replicasUp, long?.started, long?.jobs], [1, 1, 1, 0]);
@@ -296,7 +305,7 @@
 });
 
 describe('throttling of submissions by team', () => {
-  it('throttles the submissions of a flooding team for longer and longer, and accepts those of others within a second', () => {
+  it('throttles a flooding team with increasing retry delays, and accepts the submissions of others within a second', () => {
     const world = scarceFleet();
     world.submit(job('run-0', { team: 'open' as TeamName }));
     const leader = world.owner!;
@@ -314,7 +323,7 @@
     );
     assert.ok(retryAfterS.length >= 200, `${retryAfterS.length} throttled`);
     assert.ok(flood.some(({ answer }) => answer === null || answer.kind === 'accepted'));
-    // Once more, while others submit too.
+    // The same team floods again after the other team has submitted.
     const again = Array.from({ length: 300 }, (_, i) =>
       world.ask(leader, { op: 'submit', spec: job(`run-more-${i}`, { team: 'hot' as TeamName }) }),
     );
@@ -328,7 +337,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('throttles none of many teams that submit little, whoever else floods', () => {
+  it('throttles none of many teams that submit little while another team floods', () => {
     const io = new ControllerIo(seededRandom(1));
     const throttle = new TeamThrottle(io);
     const advanceTo = (ms: number): void => io.beginStep(ms as Instant, 0 as WallTime);
@@ -341,7 +350,7 @@
     assert.ok(throttle.isThrottled('flood' as TeamName));
     for (const name of names) assert.ok(!throttle.isThrottled(name), name);
     assert.ok(throttle.retryAfterS('flood' as TeamName, 1) > throttle.retryAfterS(names[0]!, 1));
-    // A minute later its flood has been forgotten, and it submits like the others.
+    // A minute later the flood no longer counts, and the team submits like the others.
     advanceTo(70_000);
     for (const name of names) throttle.recordSubmission(name);
     advanceTo(71_500);
@@ -349,7 +358,7 @@
     assert.ok(!throttle.isThrottled('flood' as TeamName));
   });
 
-  it('leaves team names that are not configured no part of the admission', () => {
+  it('gives team names that are not configured no share of the admission', () => {
     const world = scarceFleet();
     const teams = ['hot', 'cool', 'open'] as TeamName[];
     const submit = (id: string, team: TeamName) =>
@@ -362,7 +371,7 @@
     world.run(1.5);
     assert.ok(unknown.some(({ answer }) => answer?.kind === 'impossible'));
     assert.ok(unknown.every(({ answer }) => answer?.kind !== 'accepted'));
-    // More than the first bound on what waits, and evenly among the teams: no team submits too much.
+    // More submissions than the lower backlog limit allows, but even among the teams: none is throttled.
     const evenly = Array.from({ length: 120 }, (_, i) =>
       teams.map((team) => submit(`run-${team}-${i}`, team)),
     ).flat();
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -8,8 +8,11 @@
 const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
 const BOX = 'box' as TypeName;
 const NORTH = 'north' as ZoneName;
-/** Four machines, no more to be had, filled with an array of the lowest priority that has run for so long. */
-const fullFleet = (over: Partial<JobSpec> = {}, runningForS = 35): SimulatedWorld => {
+/**
+ * A fleet of four machines that cannot grow, filled with tasks of an array job of the lowest priority that
+ * have run for `runningForS` seconds.
+ */
+const fullFleet = (overrides: Partial<JobSpec> = {}, runningForS = 35): SimulatedWorld => {
   const world = new SimulatedWorld();
   world.cloud.capacity = 0;
   world.runS = 400;
@@ -22,24 +25,24 @@
       checkpointIntervalS: 10,
       checkpointDurationS: 2,
       estimatedRunS: 400,
-      ...over,
+      ...overrides,
     }),
   );
   assert.ok(world.until(() => world.holders('run-0').length === 4, 20));
   world.run(runningForS);
   return world;
 };
-const stopsIn = (world: SimulatedWorld) => [...world.workers.values()].flatMap((worker) => worker.stops);
+const stopCommands = (world: SimulatedWorld) => [...world.workers.values()].flatMap((worker) => worker.stops);
 const liveTasks = (world: SimulatedWorld, id: string): number =>
   [...world.workers.values()].flatMap((worker) => worker.live()).filter((task) => task.job === id).length;
 
 describe('preemption', () => {
-  it('preempts as many tasks with checkpoints as a service of a higher priority needs; they go on elsewhere later', () => {
+  it('preempts as many tasks with checkpoints as a service of a higher priority needs; they resume later', () => {
     const world = fullFleet();
     world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 3, priority: 3 }));
     assert.ok(world.until(() => liveTasks(world, 'run-1') === 3, 15));
-    assert.equal(stopsIn(world).length, 3);
-    assert.ok(stopsIn(world).every(({ graceS, task }) => graceS >= 2 && task.startsWith('run-0/')));
+    assert.equal(stopCommands(world).length, 3);
+    assert.ok(stopCommands(world).every(({ graceS, task }) => graceS >= 2 && task.startsWith('run-0/')));
     world.insist({ op: 'cancel', id: 'run-1' as JobId });
     assert.ok(world.until(() => liveTasks(world, 'run-0') === 16, 30));
     assertNoRuleBroken(world);
@@ -49,18 +52,18 @@
     const samePriority = fullFleet();
     samePriority.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 3, priority: 1 }));
     samePriority.run(15);
-    assert.equal(stopsIn(samePriority).length, 0);
+    assert.equal(stopCommands(samePriority).length, 0);
     const withoutCheckpoints = fullFleet({ checkpointIntervalS: 0 });
     withoutCheckpoints.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 3, priority: 3 }));
     withoutCheckpoints.run(15);
-    assert.equal(stopsIn(withoutCheckpoints).length, 0);
+    assert.equal(stopCommands(withoutCheckpoints).length, 0);
   });
 
-  it('preempts no task that has only begun', () => {
+  it('preempts no task that has just started', () => {
     const world = fullFleet({}, 3);
     world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 3, priority: 3 }));
     world.run(15);
-    assert.equal(stopsIn(world).length, 0);
+    assert.equal(stopCommands(world).length, 0);
     assertNoRuleBroken(world);
   });
 
@@ -81,7 +84,7 @@
     assertNoRuleBroken(world);
   });
 
-  it('runs nothing twice when the leader crashes during preemptions, and the urgent work starts', () => {
+  it('runs no task twice when the leader crashes during preemptions, and starts the urgent work', () => {
     for (const crashAfterS of [0.3, 1.2, 2.5]) {
       const world = fullFleet();
       world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
@@ -98,11 +101,11 @@
     }
   });
 
-  it('preempts for a spread service no more than what it may have in a zone', () => {
+  it('preempts for a service with the spread constraint no more tasks than it may place in one zone', () => {
     const world = fullFleet();
     world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 2, priority: 3, spread: true }));
     world.run(25);
-    // All machines are in one zone, and half of two is one.
+    // All machines are in one zone, which may hold half of the two replicas.
     assert.equal(liveTasks(world, 'run-1'), 1);
     assertNoRuleBroken(world);
   });
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -54,7 +54,7 @@
     assert.deepEqual(world.holders('run-1'), []);
   });
 
-  it('queues no task on a machine beyond the threshold; what finds no machine waits in the controller', () => {
+  it('queues no task on a machine beyond the threshold; tasks that find no machine wait in the controller', () => {
     const world = new SimulatedWorld();
     world.runS = 30;
     world.cloud.capacity = 2;
@@ -89,7 +89,7 @@
     assert.ok(world.now - before <= 600, `${world.now - before} ms`);
   });
 
-  it('backs off a job that fails everywhere, and does not release the fleet for it', () => {
+  it('backs off a job that fails on every machine, and does not release the machines because of it', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-0', { kind: 'service', tasks: 3, cpus: 6 }));
     assert.ok(world.until(() => world.holders('run-0').length === 3));
@@ -115,7 +115,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('gives a machine with a preemption notice no more work; its tasks run on and write checkpoints just in time', () => {
+  it('places no more tasks on a machine with a preemption notice; its tasks run on and write checkpoints just in time', () => {
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { spot: true, checkpointIntervalS: 5, checkpointDurationS: 2 }));
@@ -138,7 +138,7 @@
       ['run-1/0'],
     );
     const [stop] = worker.stops;
-    // With enough time for a checkpoint, and not before it must.
+    // The stop command leaves enough time for a checkpoint, and is not sent earlier than necessary.
     assert.equal(stop!.graceS >= 2, true);
     assert.equal(
       noticeEndsAt - stop!.at >= 2000 && noticeEndsAt - stop!.at <= 8000,
@@ -154,14 +154,14 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('gives a machine without heartbeats no work, long before its lease expires', () => {
+  it('places no tasks on a machine without heartbeats, long before its lease expires', () => {
     const world = new SimulatedWorld();
     world.runS = 0.4;
     world.cloud.capacity = 2;
     world.submit(job('run-0', { tasks: 4, cpus: 4 }));
     assert.ok(world.until(() => world.isDone('run-0'), 40));
-    const [silent, reachable] = [...world.workers.values()];
-    for (const node of world.nodeNames) world.cut(silent!.id, node, 'hold');
+    const [unreachable, reachable] = [...world.workers.values()];
+    for (const node of world.nodeNames) world.cut(unreachable!.id, node, 'hold');
     world.run(3);
     const before = reachable!.starts;
     for (let i = 1; i < 6; i++) {
@@ -174,7 +174,7 @@
 });
 
 describe('autoscaling', () => {
-  it('releases idle machines, though not before their first minute is over', () => {
+  it('releases idle machines, but not within their first minute', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     assert.ok(world.until(() => world.isDone('run-1')));
@@ -184,7 +184,7 @@
     assert.equal(world.workers.size, 0);
   });
 
-  it('computes the quantile that sizes spare capacity for shares as in objectives', () => {
+  it('computes the normal quantile that determines spare capacity, for shares as in objectives', () => {
     for (const [share, expected] of [
       [0.5, 0],
       [0.78, 0.772],
@@ -194,14 +194,15 @@
       assert.ok(Math.abs(quantile(share) - expected) < 0.03, `${share}: ${quantile(share)}`);
   });
 
-  // signet-tas-grown: machines marked for release at 100 s were released at 415 s, idle beside waiting gangs.
-  it('keeps an idle machine in use until the call that releases it, when cloud calls are few', () => {
+  // When cloud calls are limited, a machine marked for release must wait for its call. Taken out of use at
+  // once, machines were idle from 100 s to 415 s while gangs were waiting.
+  it('keeps an idle machine in use until the cloud call that releases it, when the rate of calls is limited', () => {
     const world = new SimulatedWorld({ cloud: { requestsPerS: 0.1, listLagS: 2 } });
     world.cloud.capacity = 3;
     world.submit(job('run-1', { tasks: 3, cpus: 8 }));
     assert.ok(world.until(() => world.isDone('run-1')));
     world.run(45);
-    // Asked for in vain, this uses up the next call.
+    // The cloud has no machine for these tasks, so that the request for one uses up the next call.
     world.submit(job('run-2', { kind: 'service', tasks: 6, gpus: 2, cpus: 1 }));
     for (let i = 0; i < 120; i++) {
       world.run(0.5);
@@ -215,7 +216,7 @@
     assert.ok(world.cloud.released.length > 0);
   });
 
-  it('requests no machine in an unreachable zone, while it does in others', () => {
+  it('requests machines in the reachable zones only', () => {
     const world = new SimulatedWorld();
     world.runS = 200;
     world.cloud.types = world.cloud.types.slice(0, 1);
@@ -237,7 +238,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('sends one request at a time for machines that the cloud has run out of', () => {
+  it('has at most one request at a time for the same machines, when the cloud has run out of them', () => {
     const world = new SimulatedWorld();
     world.cloud.capacity = 60;
     world.run(4);
