--- a/src/core/machines/capacity-checks.ts
+++ b/src/core/machines/capacity-checks.ts
@@ -1,27 +1,29 @@
-// Whether a task's demand fits the free capacity of a machine, and whether its job may use a zone.
+// Checks whether a task's demand fits the free capacity of a machine, and whether its job may use a zone.
 import type { ZoneName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { maxTasksPerZone } from '../jobs/zone-constraints.ts';
 import type { QueuedTask } from './machine-tasks.ts';
 
-/** Sums of fractions drift; a demand that exceeds the capacity by no more than this still fits. */
+/** Rounding errors accumulate in sums of fractions; a demand that exceeds capacity by at most this fits. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** The part of a machine that the capacity checks read. */
+/** The fields of a machine that the capacity checks read. */
 export interface MachineCapacity {
   readonly type: MachineType;
   readonly usedCpus: number;
   readonly usedGpus: number;
+  /** In GB. */
   readonly usedMemory: number;
-  /** Capacity after all that runs on the machine and is queued for it. */
+  /** Capacity that neither tasks on the machine nor queued tasks use. */
   readonly freeCpus: number;
   readonly freeGpus: number;
+  /** In GB. */
   readonly freeMemory: number;
   readonly queue: readonly QueuedTask[];
 }
 
-/** Whether one task of the job fits the given capacity; memory in GB. */
+/** Whether one task of the job fits the given capacity. */
 export function fitsCapacity(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): boolean {
   return (
     cpus + ROUNDING_TOLERANCE >= spec.cpus &&
@@ -30,8 +32,8 @@
   );
 }
 
-/** Whether a task of the job can start now: beside what runs on the machine, whatever is queued for it. */
-export function hasFreeCapacity(machine: MachineCapacity, job: Job): boolean {
+/** Whether a task of the job fits beside the tasks on the machine and can start now; ignores the queue. */
+export function hasUnusedCapacity(machine: MachineCapacity, job: Job): boolean {
   const { type } = machine;
   return fitsCapacity(
     job.spec,
@@ -42,7 +44,8 @@
 }
 
 /**
- * Whether a task of the job fits after what runs on the machine and those queued tasks that go ahead of it.
+ * Whether a task of the job fits beside the tasks on the machine and the queued tasks that would start before
+ * it, which are those of the same or a higher priority.
  */
 export function hasCapacityAhead(machine: MachineCapacity, job: Job): boolean {
   let cpus = machine.freeCpus;
@@ -58,12 +61,12 @@
 }
 
 /**
- * Whether a further task of the job may go to the zone; `used` counts its tasks by zone. A job with `oneZone`
- * stays in the zone that it has begun in, and one with `spread` puts at most half of its tasks into a zone.
+ * Whether another task of the job may be placed in the zone. All tasks of a job with `oneZone` must be in the
+ * same zone; a job with `spread` may have at most half of its tasks in one zone.
  */
-export function isZoneAllowed(job: Job, zone: ZoneName, used: ReadonlyMap<ZoneName, number>): boolean {
+export function isZoneAllowed(job: Job, zone: ZoneName, tasksByZone: ReadonlyMap<ZoneName, number>): boolean {
   if (job.spec.oneZone) {
-    for (const usedZone of used.keys()) if (usedZone !== zone) return false;
+    for (const usedZone of tasksByZone.keys()) if (usedZone !== zone) return false;
   }
-  return !job.spec.spread || (used.get(zone) ?? 0) < maxTasksPerZone(job.spec);
+  return !job.spec.spread || (tasksByZone.get(zone) ?? 0) < maxTasksPerZone(job.spec);
 }
--- a/src/core/machines/capacity-index.ts
+++ b/src/core/machines/capacity-index.ts
@@ -1,62 +1,61 @@
-// Schedulable machines by free capacity, so that a place is found without a scan of all machines. Kept up to
-// date as assignments change: the work for a change or for a choice does not grow with the number of
-// machines.
+// Index of schedulable machines by free capacity. It is updated whenever an assignment changes, so that
+// neither an update nor the search for a machine takes time proportional to the number of machines.
 import type { Random } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
 import { type CapacityBucket, type IndexPosition, type Machine, MachinePool } from './machine.ts';
 
-/** Up to this many free CPUs or accelerators every whole number has a level of its own. */
+/** Below this number of free CPUs or accelerators, each whole number is a level of its own. */
 const EXACT_LEVELS = 128;
-/** Beyond that, levels for each doubling of the free capacity. */
+/** From that number on, the levels grow exponentially: this many for each doubling of the free capacity. */
 const LEVELS_PER_DOUBLING = 8;
-/** Sums of fractions drift; capacity this little below a whole number counts as that number. */
+/** Rounding errors accumulate in sums of fractions; capacity this close below a whole number counts as it. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** More than there are accelerator levels: keeps the keys of buckets apart. */
-const GPU_LEVELS = 4096;
+/** Distance between the bucket keys of two CPU levels; larger than the number of accelerator levels. */
+const BUCKET_KEY_STRIDE = 4096;
 
-/** Machines that are ordered or booting, by type. */
+/** Number of ordered and booting machines by type. */
 export type PendingCapacity = ReadonlyMap<MachineType, number>;
 
 /** Index of schedulable machines by pool and free capacity, and of machines by the images in their caches. */
 export class CapacityIndex {
-  /** By machine type, zone and whether they are spot instances. */
+  /** Pools by machine type, zone, and whether the machines are spot instances. */
   readonly pools = new Map<string, MachinePool>();
   private readonly byImage = new Map<string, Set<Machine>>();
 
-  /** Moves the machine to where its free capacity belongs, or removes it if it is not schedulable. */
+  /** Moves the machine to the bucket of its free capacity, or removes it if it is not schedulable. */
   update(machine: Machine): void {
     const position = machine.indexPosition;
     if (!machine.isSchedulable) {
       if (position !== null) this.remove(machine, position);
       return;
     }
-    const pool = this.poolOf(machine);
-    const bucket = bucketIn(pool, machine);
+    const pool = this.getOrCreatePool(machine);
+    const bucket = getOrCreateBucket(pool, machine);
     if (position === null) {
       insert(machine, pool, bucket);
       return;
     }
-    countFree(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+    updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
     if (position.bucket === bucket) return;
-    leaveBucket(position);
+    removeFromBucket(position);
     position.bucket = bucket;
     position.at = bucket.members.push(machine) - 1;
   }
 
   private remove(machine: Machine, position: IndexPosition): void {
-    const { pool, usableAt } = position;
-    countTotal(pool, machine.type, -1);
-    countFree(position, 0, 0, 0);
-    leaveBucket(position);
+    const { pool, indexInPool } = position;
+    adjustTotal(pool, machine.type, -1);
+    updateFreeSum(position, 0, 0, 0);
+    removeFromBucket(position);
     const last = pool.usable.pop()!;
     if (last !== machine) {
-      pool.usable[usableAt] = last;
-      last.indexPosition!.usableAt = usableAt;
+      pool.usable[indexInPool] = last;
+      last.indexPosition!.indexInPool = indexInPool;
     }
     machine.indexPosition = null;
   }
 
-  private poolOf(machine: Machine): MachinePool {
+  private getOrCreatePool(machine: Machine): MachinePool {
     const key = `${machine.type.name}/${machine.zone}/${machine.spot ? 1 : 0}`;
     let pool = this.pools.get(key);
     if (pool === undefined) {
@@ -66,7 +65,7 @@
     return pool;
   }
 
-  /** The image is in the machine's cache. */
+  /** Records that the image is in the machine's cache. */
   addImage(machine: Machine, image: string): void {
     let machines = this.byImage.get(image);
     if (machines === undefined) {
@@ -76,7 +75,7 @@
     machines.add(machine);
   }
 
-  /** The image has been evicted from the machine's cache. */
+  /** Records that the image has been evicted from the machine's cache. */
   removeImage(machine: Machine, image: string): void {
     const machines = this.byImage.get(image);
     if (machines === undefined) return;
@@ -84,7 +83,7 @@
     if (machines.size === 0) this.byImage.delete(image);
   }
 
-  /** The machine is removed, and its cache with it. */
+  /** Removes the machine, which is being deleted, from the sets of all its images. */
   removeAllImages(machine: Machine): void {
     for (const image of machine.images.keys()) this.removeImage(machine, image);
   }
@@ -95,19 +94,19 @@
   }
 }
 
-/** Calls `each` for up to `limit` members, in a row from a random one on. */
+/** Calls `visit` for up to `limit` consecutive members, beginning with a random one and wrapping around. */
 export function sampleFrom(
   members: Machine[],
   limit: number,
   random: Random,
-  each: (machine: Machine) => void,
+  visit: (machine: Machine) => void,
 ): void {
   const size = members.length;
   if (size === 0) return;
-  let at = random.below(size);
+  let index = random.below(size);
   for (let remaining = Math.min(limit, size); remaining > 0; remaining--) {
-    each(members[at]!);
-    at = at + 1 === size ? 0 : at + 1;
+    visit(members[index]!);
+    index = index + 1 === size ? 0 : index + 1;
   }
 }
 
@@ -116,16 +115,16 @@
     pool,
     bucket,
     at: bucket.members.push(machine) - 1,
-    usableAt: pool.usable.push(machine) - 1,
+    indexInPool: pool.usable.push(machine) - 1,
     free: [0, 0, 0],
   };
   machine.indexPosition = position;
-  countTotal(pool, machine.type, 1);
-  countFree(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+  adjustTotal(pool, machine.type, 1);
+  updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
 }
 
-/** The last member takes the place of the one that leaves. */
-function leaveBucket(position: IndexPosition): void {
+/** Removes the machine from its bucket; the last member of the bucket takes over its index. */
+function removeFromBucket(position: IndexPosition): void {
   const { members } = position.bucket;
   const last = members.pop()!;
   if (position.at === members.length) return;
@@ -133,14 +132,14 @@
   last.indexPosition!.at = position.at;
 }
 
-function countTotal({ total }: MachinePool, type: MachineType, by: 1 | -1): void {
-  total[0] += type.cpus * by;
-  total[1] += type.gpus * by;
-  total[2] += type.memoryGb * by;
+function adjustTotal({ total }: MachinePool, type: MachineType, sign: 1 | -1): void {
+  total[0] += type.cpus * sign;
+  total[1] += type.gpus * sign;
+  total[2] += type.memoryGb * sign;
 }
 
-/** Brings the pool's sum up to date with the machine's free capacity. */
-function countFree({ pool, free }: IndexPosition, cpus: number, gpus: number, memoryGb: number): void {
+/** Updates the pool's sum of free capacity with the current free capacity of one machine. */
+function updateFreeSum({ pool, free }: IndexPosition, cpus: number, gpus: number, memoryGb: number): void {
   pool.free[0] += cpus - free[0];
   pool.free[1] += gpus - free[1];
   pool.free[2] += memoryGb - free[2];
@@ -149,26 +148,26 @@
   free[2] = memoryGb;
 }
 
-function bucketIn(pool: MachinePool, machine: Machine): CapacityBucket {
+function getOrCreateBucket(pool: MachinePool, machine: Machine): CapacityBucket {
   const cpuLevel = levelOf(machine.freeCpus);
   const gpuLevel = levelOf(machine.freeGpus);
-  const key = cpuLevel * GPU_LEVELS + gpuLevel;
+  const key = cpuLevel * BUCKET_KEY_STRIDE + gpuLevel;
   let bucket = pool.buckets.get(key);
   if (bucket === undefined) {
-    bucket = { cpusBelow: boundOf(cpuLevel), gpusBelow: boundOf(gpuLevel), members: [] };
+    bucket = { cpusBelow: upperBoundOf(cpuLevel), gpusBelow: upperBoundOf(gpuLevel), members: [] };
     pool.buckets.set(key, bucket);
   }
   return bucket;
 }
 
 function levelOf(free: number): number {
-  const whole = Math.max(0, Math.floor(free + ROUNDING_TOLERANCE));
-  if (whole < EXACT_LEVELS) return whole;
-  return EXACT_LEVELS + Math.floor(Math.log2(whole / EXACT_LEVELS) * LEVELS_PER_DOUBLING);
+  const wholeUnits = Math.max(0, Math.floor(free + ROUNDING_TOLERANCE));
+  if (wholeUnits < EXACT_LEVELS) return wholeUnits;
+  return EXACT_LEVELS + Math.floor(Math.log2(wholeUnits / EXACT_LEVELS) * LEVELS_PER_DOUBLING);
 }
 
-/** What every free capacity of the level stays below. */
-function boundOf(level: number): number {
+/** Exclusive upper bound of the free capacities in the level. */
+function upperBoundOf(level: number): number {
   if (level < EXACT_LEVELS) return level + 1;
   return EXACT_LEVELS * 2 ** ((level - EXACT_LEVELS + 1) / LEVELS_PER_DOUBLING) + 1;
 }
--- a/src/core/machines/heartbeat-processor.ts
+++ b/src/core/machines/heartbeat-processor.ts
@@ -1,4 +1,5 @@
-// Takes in heartbeats of machines: agent epochs, the state of the machine, reconciliation of its tasks.
+// Processes the heartbeats of machines: detects new agent epochs, updates the state of the machine and
+// reconciles its tasks.
 import { addMs, type FencingToken } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat } from '../base/model.ts';
@@ -8,7 +9,7 @@
 import { CordonReason, type MachineStateUpdater } from './machine-state-updater.ts';
 import type { TaskReconciler } from './task-reconciler.ts';
 
-/** What {@link HeartbeatProcessor} depends on. */
+/** Dependencies of {@link HeartbeatProcessor}. */
 export interface HeartbeatProcessorDependencies {
   io: ControllerIo;
   fencingToken: FencingToken;
@@ -18,7 +19,7 @@
   listener: CycleRequester;
 }
 
-/** Brings a machine's state up to date with its heartbeats. */
+/** Updates the state of machines from their heartbeats. */
 export class HeartbeatProcessor {
   private readonly io: ControllerIo;
   private readonly fencingToken: FencingToken;
@@ -36,7 +37,7 @@
     this.listener = dependencies.listener;
   }
 
-  /** Takes a heartbeat in; false, and nothing is changed, if it is older than what is known. */
+  /** Processes a heartbeat; returns false without any change if the heartbeat is stale. */
   process(machine: Machine, heartbeat: Heartbeat, isProbeReply: boolean): boolean {
     if (isStale(machine, heartbeat)) return false;
     if (heartbeat.agentEpoch > machine.agentEpoch) this.beginEpoch(machine, heartbeat.agentEpoch);
@@ -49,13 +50,13 @@
       this.reconciler.reconcile(machine, tasks, heartbeat.seq);
     if (!machine.isEmpty) machine.idleSince = this.io.now;
     machine.lastTaskList = tasks;
-    machine.answeredProbe = isProbeReply;
+    machine.isLastHeartbeatProbeReply = isProbeReply;
     if (heartbeat.fencingToken === this.fencingToken && !machine.isReconciled) this.onReconciled(machine);
     this.updater.updateIndexes(machine);
     return true;
   }
 
-  /** An epoch begins with nothing on the machine, and no command of an earlier epoch is carried out. */
+  /** Removes all tasks: a new epoch begins without any, and its agent executes no earlier command. */
   private beginEpoch(machine: Machine, agentEpoch: number): void {
     if (machine.assignments.size > 0)
       this.io.log('info', 'tasks lost: agent epoch ended', {
@@ -74,7 +75,7 @@
     machine.isUp = true;
     machine.lastHeartbeat = this.io.now;
     machine.isOverdue = false;
-    machine.expectedBackBy = null;
+    machine.reconnectDeadline = null;
   }
 
   private recordPreemptionNotice(machine: Machine, noticeS: number | null): void {
@@ -97,7 +98,7 @@
   const { agentEpoch, seq } = heartbeat;
   if (agentEpoch < machine.agentEpoch) return true;
   if (agentEpoch === machine.agentEpoch && seq <= machine.seq) return true;
-  // Delayed by a network partition: of an epoch that is over for certain, it lists tasks that have long
-  // ended.
+  // The lease of the epoch has expired, so all its tasks have been stopped: a heartbeat of it that a network
+  // partition has delayed lists tasks that no longer run.
   return agentEpoch <= machine.expiredEpoch;
 }
--- a/src/core/machines/lease-monitor.ts
+++ b/src/core/machines/lease-monitor.ts
@@ -1,4 +1,4 @@
-// Leases of machines: how long one lasts, and what happens to machines that are late or whose lease has
+// Computes the leases of machines, and handles machines whose heartbeat is overdue or whose lease has
 // expired.
 import { addMs, elapsedMs, type Instant, LONG_AGO, NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -8,18 +8,21 @@
 import type { MachineRegistry } from './machine-registry.ts';
 import { CordonReason, type MachineStateUpdater } from './machine-state-updater.ts';
 
-/** How far apart the steady clocks of a node and of an agent may drift, as a part of the time that passes. */
-const CLOCK_DRIFT = 0.001;
+/** Maximum drift between the monotonic clocks of a node and an agent, as a fraction of elapsed time. */
+const MAX_CLOCK_DRIFT = 0.001;
 const LEASE_MARGIN_MS = 500;
-/** Heartbeats are up to this many heartbeat intervals apart. */
+/** Maximum time between two heartbeats of an agent, in heartbeat intervals. */
 export const MAX_HEARTBEAT_INTERVALS = 1.25;
-/** A heartbeat and its response may be on their way for this long. */
+/** Maximum time in transit of a heartbeat and its response. */
 export const HEARTBEAT_TRANSIT_MS = 1500;
-/** Agents without a response try all nodes in turn; they are back within these intervals and this time. */
-const RETURN_HEARTBEATS = 3;
-const RETURN_MARGIN_MS = 10_000;
+/**
+ * Agents that get no response try all nodes in turn; they have reconnected after this many heartbeat
+ * intervals plus `RECONNECT_MARGIN_MS`.
+ */
+const RECONNECT_HEARTBEAT_INTERVALS = 3;
+const RECONNECT_MARGIN_MS = 10_000;
 
-/** What {@link LeaseMonitor} depends on. */
+/** Dependencies of {@link LeaseMonitor}. */
 export interface LeaseMonitorDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -29,7 +32,7 @@
   listener: CycleRequester;
 }
 
-/** Watches for machines whose heartbeat is late and for leases that expire. */
+/** Detects overdue heartbeats and expired leases. */
 export class LeaseMonitor {
   private readonly io: ControllerIo;
   private readonly assignments: MachineAssignments;
@@ -38,10 +41,11 @@
   private readonly listener: CycleRequester;
   private readonly leaseMs: number;
   private readonly overdueAfterMs: number;
-  /** How long after commands are allowed again all machines that exist have sent a heartbeat. */
-  private readonly returnWithinMs: number;
-  /** No machine may be commanded at present; and when that was last over. */
-  private commandsSuspended = false;
+  /** All existing machines have sent a heartbeat this long after commands were allowed again. */
+  private readonly reconnectTimeoutMs: number;
+  /** Whether this leader may not command machines at present. */
+  private areCommandsSuspended = false;
+  /** When the last suspension of commands ended. */
   private commandsResumedAt: Instant = LONG_AGO;
 
   constructor(dependencies: LeaseMonitorDependencies) {
@@ -51,38 +55,41 @@
     this.registry = dependencies.registry;
     this.updater = dependencies.updater;
     this.listener = dependencies.listener;
-    this.leaseMs = leaseS * 1000 * (1 + CLOCK_DRIFT) + LEASE_MARGIN_MS;
+    this.leaseMs = leaseS * 1000 * (1 + MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
     this.overdueAfterMs = heartbeatS * 1000 * MAX_HEARTBEAT_INTERVALS + HEARTBEAT_TRANSIT_MS;
-    this.returnWithinMs = RETURN_HEARTBEATS * heartbeatS * 1000 + RETURN_MARGIN_MS;
+    this.reconnectTimeoutMs = RECONNECT_HEARTBEAT_INTERVALS * heartbeatS * 1000 + RECONNECT_MARGIN_MS;
   }
 
-  /** When nothing runs on a machine that is answered now for certain, unless it is answered again. */
+  /** Expiry of a lease that is renewed now: no task runs on the machine after it without another renewal. */
   get leaseExpiryFromNow(): Instant {
     return addMs(this.io.now, this.leaseMs);
   }
 
   /**
-   * `isSoleLeader`: no other leader can exist; `mayCommand`: whether machines may be commanded at present.
+   * Checks the heartbeats and leases of the machines. `isSoleLeader`: whether no other leader can exist;
+   * `mayCommand`: whether this leader may command machines at present.
    */
   tick(machines: Iterable<Machine>, isSoleLeader: boolean, mayCommand: boolean): void {
-    this.noteCommandsAllowed(mayCommand);
+    this.updateCommandSuspension(mayCommand);
     for (const machine of machines) {
-      const silentMs = this.io.now - machine.lastHeartbeat;
-      if (machine.isUp && !machine.isOverdue && silentMs > this.overdueAfterMs) this.markOverdue(machine);
-      if (machine.expectedBackBy !== null && this.io.now > machine.expectedBackBy) this.giveUp(machine);
+      const sinceHeartbeatMs = this.io.now - machine.lastHeartbeat;
+      if (machine.isUp && !machine.isOverdue && sinceHeartbeatMs > this.overdueAfterMs)
+        this.markOverdue(machine);
+      if (machine.reconnectDeadline !== null && this.io.now > machine.reconnectDeadline)
+        this.cordonAsSilent(machine);
       if (isSoleLeader && this.io.now >= machine.leaseExpiresAt) this.expireLease(machine);
     }
   }
 
-  private noteCommandsAllowed(mayCommand: boolean): void {
-    if (!mayCommand) this.commandsSuspended = true;
-    else if (this.commandsSuspended) {
-      this.commandsSuspended = false;
+  private updateCommandSuspension(mayCommand: boolean): void {
+    if (!mayCommand) this.areCommandsSuspended = true;
+    else if (this.areCommandsSuspended) {
+      this.areCommandsSuspended = false;
       this.commandsResumedAt = this.io.now;
     }
   }
 
-  /** What was on the machine is free to start elsewhere. */
+  /** Unassigns the tasks of the machine, so that they can start elsewhere. */
   private expireLease(machine: Machine): void {
     if (machine.assignments.size > 0)
       this.io.log('info', 'tasks lost: lease expired', {
@@ -92,35 +99,39 @@
     machine.leaseExpiresAt = NEVER;
     machine.expiredEpoch = machine.agentEpoch;
     this.assignments.removeAll(machine);
-    // Empty for certain: the next leader need not wait for it, and it is recorded anew if it comes back.
+    // No task can be on the machine any more, so the next leader need not wait for it. If it reconnects, it
+    // is registered again.
     this.registry.unregister(machine);
-    if (elapsedMs(this.io.now, this.commandsResumedAt) < this.returnWithinMs) this.awaitReturn(machine);
-    else this.giveUp(machine);
+    if (elapsedMs(this.io.now, this.commandsResumedAt) < this.reconnectTimeoutMs)
+      this.awaitReconnect(machine);
+    else this.cordonAsSilent(machine);
   }
 
   /**
-   * It was this leader that answered no heartbeat, for as long as the store was unavailable; its machines
-   * exist, with nothing on them, and come back in a new agent epoch. Released for silence, the whole fleet
-   * would have to be rented and booted anew.
+   * Waits for the machine to reconnect instead of cordoning it. While the store was unavailable, this leader
+   * answered no heartbeats, so the leases of machines that still exist have expired; they reconnect without
+   * tasks in a new agent epoch. If they were cordoned as silent, the whole fleet would be released, rented
+   * and booted again.
    */
-  private awaitReturn(machine: Machine): void {
+  private awaitReconnect(machine: Machine): void {
     machine.isReconciled = false;
     machine.isOverdue = false;
     machine.lastHeartbeat = this.io.now;
-    machine.expectedBackBy = addMs(this.commandsResumedAt, this.returnWithinMs);
+    machine.reconnectDeadline = addMs(this.commandsResumedAt, this.reconnectTimeoutMs);
     this.updater.updateIndexes(machine);
   }
 
-  private giveUp(machine: Machine): void {
-    machine.expectedBackBy = null;
+  /** Cordons a machine whose agent has sent no heartbeat in time. */
+  private cordonAsSilent(machine: Machine): void {
+    machine.reconnectDeadline = null;
     machine.isReconciled = true;
     this.updater.updateIndexes(machine);
     this.updater.cordon(machine, CordonReason.silent);
   }
 
   /**
-   * Its queued tasks could start only with its next heartbeat, which may never come: they go where they can
-   * start now.
+   * Returns the queued tasks of the machine to the scheduler: they could start only in response to its next
+   * heartbeat, which may never arrive.
    */
   private markOverdue(machine: Machine): void {
     machine.isOverdue = true;
--- a/src/core/machines/machine-assignments.ts
+++ b/src/core/machines/machine-assignments.ts
@@ -1,5 +1,5 @@
-// Which tasks are queued for machines and assigned to them, and the sums that follow from it: used and queued
-// capacity, tasks of a job by zone, usage by team.
+// Maintains the queues and assignments of machines, and the sums that depend on them: used and queued
+// capacity, tasks of a job by zone, and usage by team.
 import { type Attempt, taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type Job, type TaskAssignment, TaskPhase } from '../jobs/job.ts';
@@ -8,13 +8,13 @@
 import type { Machine } from './machine.ts';
 import { assignmentKey, type QueuedTask } from './machine-tasks.ts';
 
-/** Who looks for places for tasks. */
+/** Requests scheduling cycles. */
 export interface CycleRequester {
-  /** Something has changed that the scheduler should look at. */
+  /** Requests a scheduling cycle after a change that may allow tasks to be placed. */
   requestCycle(): void;
 }
 
-/** What {@link MachineAssignments} depends on. */
+/** Dependencies of {@link MachineAssignments}. */
 export interface MachineAssignmentsDependencies {
   io: ControllerIo;
   quota: Quota;
@@ -22,7 +22,7 @@
   listener: CycleRequester;
 }
 
-/** Queues and assignments of all machines; every change of them goes through here. */
+/** Queues and assignments of all machines; every change to them is made by this class. */
 export class MachineAssignments {
   private readonly io: ControllerIo;
   private readonly quota: Quota;
@@ -36,38 +36,39 @@
     this.listener = dependencies.listener;
   }
 
-  /**
-   * Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served.
-   */
+  /** Adds a task to the machine's queue, which is ordered by descending priority, then time of arrival. */
   enqueue(machine: Machine, queued: QueuedTask): void {
     let position = machine.queue.length;
     while (position > 0 && machine.queue[position - 1]!.job.priority < queued.job.priority) position--;
     machine.queue.splice(position, 0, queued);
     queued.job.setPhase(queued.index, TaskPhase.Queued);
-    this.countQueued(machine, queued.job, 1);
+    this.adjustQueuedCapacity(machine, queued.job, 1);
     this.capacityIndex.update(machine);
   }
 
-  /** The task waits for a place again; nothing happens if it is not in the queue. */
+  /** Returns a queued task to waiting for placement; no-op if it is not in the machine's queue. */
   dequeue(machine: Machine, queued: QueuedTask): void {
     const position = machine.queue.indexOf(queued);
     if (position < 0) return;
     machine.queue.splice(position, 1);
-    this.onDequeued(machine, queued);
+    this.returnToWaiting(machine, queued);
   }
 
-  /** All tasks in the machine's queue wait for a place again. */
+  /** Returns all tasks in the machine's queue to waiting for placement. */
   dequeueAll(machine: Machine): void {
-    for (const queued of machine.queue.splice(0)) this.onDequeued(machine, queued);
+    for (const queued of machine.queue.splice(0)) this.returnToWaiting(machine, queued);
   }
 
-  /** Takes the first task out of the queue to start it; the caller assigns it next. */
+  /** Removes the first task from the queue in order to start it; the caller must assign it next. */
   takeQueueHead(machine: Machine): void {
     const { job } = machine.queue.shift()!;
-    this.countQueued(machine, job, -1);
+    this.adjustQueuedCapacity(machine, job, -1);
   }
 
-  /** The task is on the machine, or may be from now on; `sentSeq`: the heartbeat whose response starts it. */
+  /**
+   * Records that the task is on the machine or may be from now on. `sentSeq`: sequence number of the
+   * heartbeat whose response starts the task; -1 for a task that the machine listed.
+   */
   assign(machine: Machine, job: Job, index: number, attempt: Attempt, sentSeq: number): TaskAssignment {
     const assignment: TaskAssignment = {
       job,
@@ -80,33 +81,33 @@
       runningAt: null,
       stopping: null,
     };
-    const earlier = job.assignments.get(index);
-    if (earlier !== undefined) {
+    const existing = job.assignments.get(index);
+    if (existing !== undefined) {
       this.io.log('info', 'task listed by a second machine', {
         task: taskId(job.id, index),
-        machines: [earlier.machine, machine.id],
+        machines: [existing.machine, machine.id],
       });
     }
     job.addAssignment(assignment);
     machine.isTaskListSettled = false;
     machine.assignments.set(assignmentKey(taskId(job.id, index), attempt), assignment);
-    this.countUsed(machine, job, 1);
+    this.adjustUsedCapacity(machine, job, 1);
     this.capacityIndex.update(machine);
     return assignment;
   }
 
-  /** The task is certainly off the machine. */
+  /** Removes an assignment once it is certain that the task is no longer on the machine. */
   unassign(machine: Machine, assignment: TaskAssignment): void {
     const { job, index } = assignment;
     const key = assignmentKey(taskId(job.id, index), assignment.attempt);
     if (!machine.assignments.delete(key)) return;
     machine.isTaskListSettled = false;
     assignment.isGone = true;
-    // Reconciled under this term, the machine had listed the task or was sent it, since no other leader could
-    // assign it.
+    // On a machine that is reconciled in this term, this leader has started the task or seen it listed: no
+    // other leader can have assigned it meanwhile.
     job.removeAssignment(assignment, machine.isReconciled);
     if (assignment.runningAt !== null) job.runningTasks--;
-    this.countUsed(machine, job, -1);
+    this.adjustUsedCapacity(machine, job, -1);
     this.capacityIndex.update(machine);
     if (job.assignedTasks === 0) {
       job.gangAttempt = null;
@@ -115,49 +116,50 @@
     this.listener.requestCycle();
   }
 
-  /** No task is on the machine any more, for certain. */
+  /** Removes all tasks, queued ones included, once it is certain that none is on the machine any more. */
   removeAll(machine: Machine): void {
     for (const assignment of [...machine.assignments.values()]) this.unassign(machine, assignment);
-    // No agent is left to forget them; kept, they would keep a lost machine from being released.
+    // No agent is left to execute forget commands for them; if they were kept, a lost machine would not be
+    // released.
     for (const exited of machine.exitedTasks.values()) exited.isGone = true;
     machine.exitedTasks.clear();
     this.dequeueAll(machine);
     this.listener.requestCycle();
   }
 
-  private onDequeued(machine: Machine, queued: QueuedTask): void {
-    this.countQueued(machine, queued.job, -1);
+  private returnToWaiting(machine: Machine, queued: QueuedTask): void {
+    this.adjustQueuedCapacity(machine, queued.job, -1);
     queued.job.setPhase(queued.index, TaskPhase.Waiting);
     this.capacityIndex.update(machine);
   }
 
-  private countQueued(machine: Machine, job: Job, by: 1 | -1): void {
-    machine.queuedCpus += job.spec.cpus * by;
-    machine.queuedGpus += job.spec.gpus * by;
-    machine.queuedMemory += job.spec.memoryGb * by;
-    // Sums of fractions drift; an empty queue is a chance to start from zero.
+  private adjustQueuedCapacity(machine: Machine, job: Job, sign: 1 | -1): void {
+    machine.queuedCpus += job.spec.cpus * sign;
+    machine.queuedGpus += job.spec.gpus * sign;
+    machine.queuedMemoryGb += job.spec.memoryGb * sign;
+    // Rounding errors accumulate in sums of fractions; an empty queue allows them to be reset.
     if (machine.queue.length === 0) {
       machine.queuedCpus = 0;
       machine.queuedGpus = 0;
-      machine.queuedMemory = 0;
+      machine.queuedMemoryGb = 0;
     }
-    this.countUsage(machine, job, by);
+    this.adjustUsage(machine, job, sign);
   }
 
-  private countUsed(machine: Machine, job: Job, by: 1 | -1): void {
-    machine.usedCpus += job.spec.cpus * by;
-    machine.usedGpus += job.spec.gpus * by;
-    machine.usedMemory += job.spec.memoryGb * by;
+  private adjustUsedCapacity(machine: Machine, job: Job, sign: 1 | -1): void {
+    machine.usedCpus += job.spec.cpus * sign;
+    machine.usedGpus += job.spec.gpus * sign;
+    machine.usedMemory += job.spec.memoryGb * sign;
     if (machine.assignments.size === 0) {
       machine.usedCpus = 0;
       machine.usedGpus = 0;
       machine.usedMemory = 0;
     }
-    this.countUsage(machine, job, by);
+    this.adjustUsage(machine, job, sign);
   }
 
-  private countUsage(machine: Machine, job: Job, by: 1 | -1): void {
-    job.countInZone(machine.zone, by);
-    this.quota.add(job, by, machine.type.name);
+  private adjustUsage(machine: Machine, job: Job, sign: 1 | -1): void {
+    job.countInZone(machine.zone, sign);
+    this.quota.add(job, sign, machine.type.name);
   }
 }
--- a/src/core/machines/machine-commands.ts
+++ b/src/core/machines/machine-commands.ts
@@ -1,20 +1,20 @@
-// The commands in a heartbeat response: forget what is recorded, stop what must not run, start what is
-// queued.
+// Determines the commands in heartbeat responses: forget exited tasks whose results are stored, stop tasks
+// that must not run, and start queued tasks.
 import { taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command, Settings } from '../base/model.ts';
 import { type TaskAssignment, TaskPhase } from '../jobs/job.ts';
 import type { JobTable } from '../jobs/job-table.ts';
-import { hasFreeCapacity } from './capacity-checks.ts';
+import { hasUnusedCapacity } from './capacity-checks.ts';
 import { HEARTBEAT_TRANSIT_MS, MAX_HEARTBEAT_INTERVALS } from './lease-monitor.ts';
 import type { Machine } from './machine.ts';
 import type { MachineAssignments } from './machine-assignments.ts';
 import type { ExitedTask, QueuedTask } from './machine-tasks.ts';
 
-/** Added to the time that a task needs for its checkpoint when it is stopped with grace. */
+/** Added to the checkpoint duration of a task in the grace period of its stop command. */
 const CHECKPOINT_MARGIN_S = 1;
 
-/** Decides on the commands to a machine. */
+/** Determines the commands to a machine. */
 export class MachineCommands {
   constructor(
     private readonly io: ControllerIo,
@@ -23,11 +23,12 @@
     private readonly assignments: MachineAssignments,
   ) {}
 
-  /** Commands that follow from what is known of the machine; each may be sent repeatedly. */
+  /** Forget and stop commands that the machine's state requires; each may be sent repeatedly. */
   commandsFor(machine: Machine): Command[] {
     const commands: Command[] = [];
     for (const exited of machine.exitedTasks.values()) {
-      if (this.mayForget(exited)) commands.push({ op: 'forget', task: exited.task, attempt: exited.attempt });
+      if (this.maySendForget(exited))
+        commands.push({ op: 'forget', task: exited.task, attempt: exited.attempt });
     }
     for (const orphan of machine.orphans)
       commands.push({ op: 'stop', task: orphan.task, attempt: orphan.attempt, graceS: 0 });
@@ -35,12 +36,12 @@
     return commands;
   }
 
-  /** Starts queued tasks, head first, as far as the machine's last heartbeat shows free capacity. */
+  /** Starts queued tasks in order until the next one does not fit on the machine or may not start. */
   startQueued(machine: Machine, mayStart: (queued: QueuedTask) => boolean): Command[] {
     const commands: Command[] = [];
     while (machine.queue.length > 0 && machine.isSchedulable) {
       const queued = machine.queue[0]!;
-      if (!hasFreeCapacity(machine, queued.job) || !mayStart(queued)) break;
+      if (!hasUnusedCapacity(machine, queued.job) || !mayStart(queued)) break;
       commands.push(this.startQueueHead(machine, queued));
     }
     if (!machine.isEmpty) machine.idleSince = this.io.now;
@@ -55,8 +56,8 @@
     return { op: 'start', task, attempt };
   }
 
-  /** The machine is the only one that knows the result of a task until it is recorded. */
-  private mayForget(exited: ExitedTask): boolean {
+  /** Until the result of a completed task is stored, its machine holds the only copy. */
+  private maySendForget(exited: ExitedTask): boolean {
     if (exited.exitReason !== 'done') return true;
     return this.jobs.isResultRecorded(this.jobs.openJobs.get(exited.job), exited.index);
   }
@@ -68,21 +69,21 @@
       assignment.stopping = { graceS: job.spec.checkpointDurationS + CHECKPOINT_MARGIN_S };
     if (assignment.stopping === null || assignment.state === 'sent') return;
     const { graceS } = assignment.stopping;
-    // A task goes on saving undisturbed; only a stop without grace is repeated over it.
+    // A task that is saving its checkpoint is not sent the command again, except for a stop without grace.
     if (assignment.state === 'saving' && graceS > 0) return;
     commands.push({ op: 'stop', task: taskId(job.id, index), attempt, graceS });
   }
 
   /**
-   * Whether this is the last heartbeat whose response can still stop a task in time for its checkpoint before
-   * the preemption.
+   * Whether the task must be stopped now to save its checkpoint before the preemption, as the response to the
+   * next heartbeat may arrive too late.
    */
   private mustCheckpointNow(machine: Machine, assignment: TaskAssignment): boolean {
     const { checkpointIntervalS, checkpointDurationS } = assignment.job.spec;
     if (machine.preemptedAt === null || checkpointIntervalS === 0 || assignment.state !== 'running')
       return false;
-    const leftS = (machine.preemptedAt - this.io.now) / 1000;
+    const untilPreemptionS = (machine.preemptedAt - this.io.now) / 1000;
     const nextHeartbeatS = this.settings.workers.heartbeatS * MAX_HEARTBEAT_INTERVALS;
-    return leftS < checkpointDurationS + nextHeartbeatS + HEARTBEAT_TRANSIT_MS / 1000;
+    return untilPreemptionS < checkpointDurationS + nextHeartbeatS + HEARTBEAT_TRANSIT_MS / 1000;
   }
 }
--- a/src/core/machines/machine-record.ts
+++ b/src/core/machines/machine-record.ts
@@ -1,12 +1,12 @@
-// The stored form of registered machines, under keys that begin with `m/`: many machines share one record, a
-// line each.
+// Encodes and decodes the stored records of registered machines, under keys that begin with `m/`. A record
+// has one line for each of its machines.
 import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
 import type { Machine } from './machine.ts';
 
 /** Prefix of the keys of machine records. */
 export const MACHINE_PREFIX = 'm/';
 
-/** A machine as it is registered: all that the next leader needs to ask for it. */
+/** A registered machine: the fields that the next leader needs to reconcile it. */
 export interface RegisteredMachine {
   id: MachineId;
   type: TypeName;
@@ -14,15 +14,15 @@
   spot: boolean;
 }
 
-/** A machine as it is stored: id, type, zone, and 1 if it is a spot instance. */
+/** A stored machine: id, type, zone, and 1 if it is a spot instance, else 0. */
 export type MachineRecordLine = [MachineId, TypeName, ZoneName, 0 | 1];
 
-/** A machine record as it is stored, without the fields that all shared records have. */
+/** A stored machine record, without the fields that all shared records have. */
 export interface MachineRecordValue extends Record<string, unknown> {
   m: MachineRecordLine[];
 }
 
-/** The stored line of a machine. */
+/** Encodes a machine as a line of a record. */
 export const encodeMachineLine = (machine: Machine): MachineRecordLine => [
   machine.id,
   machine.type.name,
@@ -30,13 +30,13 @@
   machine.spot ? 1 : 0,
 ];
 
-/** The machine that a stored line names. */
+/** Decodes a line of a record. */
 export function decodeMachineLine([id, type, zone, spot]: MachineRecordLine): RegisteredMachine {
   return { id, type, zone, spot: spot === 1 };
 }
 
-/** The stored value of a record with these lines. */
+/** Encodes the stored value of a record. */
 export const encodeMachineRecord = (lines: MachineRecordLine[]): MachineRecordValue => ({ m: lines });
 
-/** The lines of a stored record; its version has been checked by the caller. */
+/** Decodes the stored value of a record; the caller has checked its version. */
 export const decodeMachineRecord = (value: unknown): MachineRecordLine[] => (value as MachineRecordValue).m;
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -1,5 +1,6 @@
-// Machines recorded in the store, so that the next leader knows all that tasks may be on. Many machines share
-// a record: at a write each, a boot wave of a thousand would take half a minute before anything could start.
+// Registers machines in the store, so that the next leader knows every machine that tasks may be on. One
+// record lists many machines: with one write for each, 1000 machines that boot at the same time would take
+// half a minute to register, and no task can start on a machine before that.
 import { type Instant, LONG_AGO, type MachineId, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem } from '../base/model.ts';
@@ -20,57 +21,58 @@
 export { MACHINE_PREFIX, type RegisteredMachine } from './machine-record.ts';
 
 /**
- * New pages are begun no more often than this; machines that come up meanwhile share the next one. While much
- * else waits to be written, less often, as they go before it.
+ * Minimum interval between new records; machines to be registered meanwhile share the next record. The
+ * interval grows with the writer's backlog, because new records are written before most other writes and
+ * would delay them.
  */
 const BATCH_INTERVAL_MS = 200;
 const BATCH_INTERVAL_MS_PER_WRITE = 10;
 const BATCH_INTERVAL_MAX_MS = 700;
-/** Machines that are unregistered leave the stored record after this time. */
+/** Delay between a change to a record's machines and the write that stores it. */
 const REWRITE_DELAY_MS = 1000;
-/** Bytes of a stored value that are not lines of machines. */
+/** Upper bound of the bytes of a stored value besides the lines of its machines. */
 const RECORD_OVERHEAD_BYTES = 128;
 
-interface Member {
+interface RecordMember {
   line: MachineRecordLine;
   machine: Machine;
 }
 
-/** One stored record with the machines that it lists. */
+/** One stored record and the machines that it lists. */
 export class RegistryPage {
-  readonly members = new Map<MachineId, Member>();
-  /** Since when the stored record differs from `members`; null if it does not. */
+  readonly members = new Map<MachineId, RecordMember>();
+  /** Time since which the stored record has differed from `members`; null if it does not. */
   dirtySince: Instant | null = null;
-  /** Another page that takes over some of the members is being written. */
+  /** A new record for some of the members is being written. */
   isSplitting = false;
 
-  constructor(readonly record: SharedRecord) {}
+  constructor(readonly sharedRecord: SharedRecord) {}
 
-  /** Takes a machine off the page; the stored record follows. */
+  /** Removes a machine from the record; the stored value is rewritten later. */
   removeMember(id: MachineId, now: Instant): void {
     this.members.delete(id);
     this.dirtySince ??= now;
   }
 
-  /** The value to be stored. */
+  /** Encodes the value to be stored. */
   encode(): MachineRecordValue {
     return encodeMachineRecord([...this.members.values()].map((member) => member.line));
   }
 }
 
-/** The pages of all machines that tasks may be on, of this term and of earlier ones. */
+/** The records of all machines that tasks may be on, from this term and earlier ones. */
 export class MachineRegistry {
-  private readonly pages = new Set<RegistryPage>();
-  /** Machines that go onto the next new page. */
-  private pending: Machine[] = [];
+  private readonly records = new Set<RegistryPage>();
+  /** Machines to be listed by the next new record. */
+  private pendingMachines: Machine[] = [];
   private lastBatchAt: Instant = LONG_AGO;
-  /** Pages made in this term; numbers their keys. */
-  private pagesCreated = 0;
+  /** Number of records created in this term; part of their keys. */
+  private recordsCreated = 0;
   private readonly maxLineBytes: number;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly term: Revision;
-  /** Called when a machine is on record. */
+  /** Called when a record that lists the machine has been stored. */
   onRegistered: (machine: Machine) => void = () => {};
 
   constructor(io: ControllerIo, writer: FencedWriter, term: Revision) {
@@ -81,69 +83,69 @@
   }
 
   /**
-   * Reads a page of an earlier term; `found` is called for its machines, except for those known from another
-   * page.
+   * Restores a record of an earlier term; `onFound` is called for each of its machines, except for those
+   * known from another record.
    */
   load(
     item: StoreItem,
     isKnown: (id: MachineId) => boolean,
-    found: (machine: RegisteredMachine, page: RegistryPage) => Machine,
+    onFound: (machine: RegisteredMachine, record: RegistryPage) => Machine,
   ): void {
-    const page = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
-    this.pages.add(page);
+    const record = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
+    this.records.add(record);
     for (const line of decodeMachineRecord(item.value)) {
       const registered = decodeMachineLine(line);
-      if (isKnown(registered.id)) page.dirtySince = this.io.now;
-      else page.members.set(registered.id, { line, machine: found(registered, page) });
+      if (isKnown(registered.id)) record.dirtySince = this.io.now;
+      else record.members.set(registered.id, { line, machine: onFound(registered, record) });
     }
   }
 
-  /** Puts the machine on record; `onRegistered` is called when it is there. */
+  /** Adds the machine to the next new record; `onRegistered` is called when that record has been stored. */
   register(machine: Machine): void {
     if (machine.registryPage !== null || machine.isRegistering) return;
     machine.isRegistering = true;
-    this.pending.push(machine);
+    this.pendingMachines.push(machine);
     this.writePending();
   }
 
-  /** Nothing is on the machine for certain: the next leader need not ask for it. */
+  /** Removes a machine on which no task can be any more, so that the next leader need not reconcile it. */
   unregister(machine: Machine): void {
-    const page = machine.registryPage;
+    const record = machine.registryPage;
     machine.registryPage = null;
-    page?.removeMember(machine.id, this.io.now);
+    record?.removeMember(machine.id, this.io.now);
   }
 
-  /** Writes what is due. */
+  /** Writes new records for pending machines, and rewrites changed records, when their delays have passed. */
   tick(): void {
     this.writePending();
-    for (const page of this.pages) {
-      if (page.dirtySince === null || page.record.isWriting) continue;
-      if (this.io.now - page.dirtySince >= REWRITE_DELAY_MS) this.rewrite(page);
+    for (const record of this.records) {
+      if (record.dirtySince === null || record.sharedRecord.isWriting) continue;
+      if (this.io.now - record.dirtySince >= REWRITE_DELAY_MS) this.rewrite(record);
     }
   }
 
   private writePending(): void {
-    const interval = Math.min(
+    const intervalMs = Math.min(
       BATCH_INTERVAL_MAX_MS,
       BATCH_INTERVAL_MS + this.writer.backlog * BATCH_INTERVAL_MS_PER_WRITE,
     );
-    if (this.pending.length === 0 || this.io.now - this.lastBatchAt < interval) return;
+    if (this.pendingMachines.length === 0 || this.io.now - this.lastBatchAt < intervalMs) return;
     this.lastBatchAt = this.io.now;
-    const members = this.pending.map((machine) => ({ line: encodeMachineLine(machine), machine }));
-    const batch = this.firstThatFit(members);
-    this.pending.splice(0, batch.length);
-    this.createPage(batch, WritePriority.machineRegistry, (written, page) => {
+    const members = this.pendingMachines.map((machine) => ({ line: encodeMachineLine(machine), machine }));
+    const batch = this.longestFittingPrefix(members);
+    this.pendingMachines.splice(0, batch.length);
+    this.createRecord(batch, WritePriority.machineRegistry, (isWritten, record) => {
       for (const { machine } of batch) {
         machine.isRegistering = false;
-        if (!written) continue;
-        machine.registryPage = page;
+        if (!isWritten) continue;
+        machine.registryPage = record;
         this.onRegistered(machine);
       }
     });
   }
 
-  /** As many of the members, from the first on, as one stored value holds; at least one. */
-  private firstThatFit(members: Member[]): Member[] {
+  /** The longest prefix of the members that fits into one stored value, with at least one member. */
+  private longestFittingPrefix(members: RecordMember[]): RecordMember[] {
     let bytes = 0;
     const end = members.findIndex((member, index) => {
       bytes += jsonBytes(member.line) + 1;
@@ -152,49 +154,50 @@
     return end < 0 ? members : members.slice(0, end);
   }
 
-  private createPage(
-    batch: Member[],
+  private createRecord(
+    batch: RecordMember[],
     priority: number,
-    onWritten: (written: boolean, page: RegistryPage) => void,
+    onWritten: (isWritten: boolean, record: RegistryPage) => void,
   ): void {
-    const key = `${MACHINE_PREFIX}${this.term}.${++this.pagesCreated}`;
-    const page = new RegistryPage(new SharedRecord(this.writer, key, 0 as Revision));
-    for (const member of batch) page.members.set(member.machine.id, member);
-    this.pages.add(page);
-    page.record.write(page.encode(), priority, (written) => {
-      if (!written) this.pages.delete(page);
-      onWritten(written, page);
+    const key = `${MACHINE_PREFIX}${this.term}.${++this.recordsCreated}`;
+    const record = new RegistryPage(new SharedRecord(this.writer, key, 0 as Revision));
+    for (const member of batch) record.members.set(member.machine.id, member);
+    this.records.add(record);
+    record.sharedRecord.write(record.encode(), priority, (isWritten) => {
+      if (!isWritten) this.records.delete(record);
+      onWritten(isWritten, record);
     });
   }
 
   /**
-   * A page of an earlier term may be larger than a value may be by now: what does not fit is recorded on a
-   * new page before this one is written without it, so that no machine is missing in between.
+   * Moves members from a record that has become too large to a new record; happens if the maximum size of a
+   * stored value was larger in an earlier term. The new record is written before the old one is rewritten
+   * without these members, so that each machine is in the store at all times.
    */
-  private split(page: RegistryPage, keep: number): void {
-    page.isSplitting = true;
-    const moved = this.firstThatFit([...page.members.values()].slice(keep));
-    this.createPage(moved, WritePriority.sharedRecord, (written, newPage) => {
-      page.isSplitting = false;
-      page.dirtySince = this.io.now;
-      if (!written) return;
+  private split(record: RegistryPage, keptCount: number): void {
+    record.isSplitting = true;
+    const moved = this.longestFittingPrefix([...record.members.values()].slice(keptCount));
+    this.createRecord(moved, WritePriority.sharedRecord, (isWritten, newRecord) => {
+      record.isSplitting = false;
+      record.dirtySince = this.io.now;
+      if (!isWritten) return;
       for (const { machine } of moved) {
-        // Unregistered meanwhile, a machine leaves the new page as it left the old one.
-        if (page.members.delete(machine.id)) machine.registryPage = newPage;
-        else newPage.removeMember(machine.id, this.io.now);
+        // A machine that was unregistered during the write must be removed from the new record too.
+        if (record.members.delete(machine.id)) machine.registryPage = newRecord;
+        else newRecord.removeMember(machine.id, this.io.now);
       }
     });
   }
 
-  private rewrite(page: RegistryPage): void {
-    if (page.isSplitting) return;
-    const keep = this.firstThatFit([...page.members.values()]).length;
-    if (keep < page.members.size) return this.split(page, keep);
-    page.dirtySince = null;
-    const isEmpty = page.members.size === 0;
-    page.record.write(isEmpty ? null : page.encode(), WritePriority.sharedRecord, (written) => {
-      if (!written) page.dirtySince ??= this.io.now;
-      else if (isEmpty && page.members.size === 0) this.pages.delete(page);
+  private rewrite(record: RegistryPage): void {
+    if (record.isSplitting) return;
+    const keptCount = this.longestFittingPrefix([...record.members.values()]).length;
+    if (keptCount < record.members.size) return this.split(record, keptCount);
+    record.dirtySince = null;
+    const isEmpty = record.members.size === 0;
+    record.sharedRecord.write(isEmpty ? null : record.encode(), WritePriority.sharedRecord, (isWritten) => {
+      if (!isWritten) record.dirtySince ??= this.io.now;
+      else if (isEmpty && record.members.size === 0) this.records.delete(record);
     });
   }
 }
--- a/src/core/machines/machine-state-updater.ts
+++ b/src/core/machines/machine-state-updater.ts
@@ -1,15 +1,15 @@
-// What the parts of the machine table ask of the table itself.
+// Interface for updates of a machine by the components of the machine table; reasons for cordoning machines.
 import type { Machine } from './machine.ts';
 
-/** Changes to a machine that concern more than one part of the machine table; `MachineTable` makes them. */
+/** Changes to a machine that affect several components of the table; implemented by `MachineTable`. */
 export interface MachineStateUpdater {
-  /** Brings the sums and the capacity index up to date with the machine; due after every change to it. */
+  /** Updates the sums and the capacity index for the machine; must be called after every change to it. */
   updateIndexes(machine: Machine): void;
-  /** No new work for the machine; what runs there goes on. The reason is shown to operators. */
+  /** Excludes the machine from new work; its running tasks continue. The reason is shown to operators. */
   cordon(machine: Machine, reason: string): void;
 }
 
-/** Why machines are cordoned, as operators read it. */
+/** Reasons for cordoning machines, as shown to operators. */
 export const CordonReason = {
   preemptionNotice: 'spot notice',
   silent: 'silent',
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -1,4 +1,4 @@
-// The machines of a leader's term: which there are, what runs on them, and until when it may.
+// The table of machines in a leader's term: their state, their tasks and their leases.
 import type { FencingToken, Instant, MachineId, Revision, ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command, Heartbeat, MachineType, Settings } from '../base/model.ts';
@@ -16,10 +16,10 @@
 import { type TaskListener, TaskReconciler } from './task-reconciler.ts';
 import { Tombstones } from './tombstones.ts';
 
-/** Is notified of what happens to tasks and machines. */
+/** Is notified of changes to tasks and machines. */
 export interface MachineTableListener extends TaskListener, CycleRequester {}
 
-/** What {@link MachineTable} depends on. */
+/** Dependencies of {@link MachineTable}. */
 export interface MachineTableDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -31,12 +31,12 @@
   term: Revision;
 }
 
-/** All machines of a term, and the only way to change what is known of one. */
+/** All machines of a term. The state of a machine is to be changed through this class only. */
 export class MachineTable implements MachineStateUpdater {
   readonly byId = new Map<MachineId, Machine>();
-  /** Machines that were removed for good; lists of the cloud may still show them. */
+  /** Machines that were removed permanently; the cloud may still list them. */
   readonly tombstones: Tombstones;
-  /** The term's token; commands under an older one are refused by the agents. */
+  /** Fencing token of the term; agents reject commands with an older one. */
   readonly fencingToken: FencingToken;
   private readonly io: ControllerIo;
   private readonly registry: MachineRegistry;
@@ -74,7 +74,7 @@
     registry.onRegistered = (machine) => this.onRegistered(machine);
   }
 
-  /** Adds a machine of the cloud or of the registry under its id. */
+  /** Adds a machine known from the cloud or the registry. */
   addMachine(
     id: MachineId,
     type: MachineType,
@@ -87,10 +87,10 @@
     return machine;
   }
 
-  /** The machine has been released, is listed as failed, or its lease has expired: nothing of it is left. */
+  /** Removes a machine that was released, has failed or has lost its lease, together with its tasks. */
   remove(machine: Machine, reason: string): void {
     if (!machine.isEmpty)
-      this.io.log('info', 'tasks lost with their machine', {
+      this.io.log('info', 'tasks lost: machine removed', {
         machine: machine.id,
         reason,
         tasks: machine.assignments.size,
@@ -104,7 +104,7 @@
     this.updateIndexes(machine);
   }
 
-  /** Brings the sums and the index up to date with the machine; called after every change to it. */
+  /** Updates the sums and the capacity index for the machine; must be called after every change to it. */
   updateIndexes(machine: Machine): void {
     const isUncertain =
       !machine.isReconciled && machine.registryPage !== null && this.byId.get(machine.id) === machine;
@@ -115,7 +115,7 @@
     this.capacityIndex.update(machine);
   }
 
-  /** Records a machine so that the next leader knows that tasks may be on it. */
+  /** Records the machine in the store, so that the next leader knows that tasks may be on it. */
   register(machine: Machine): void {
     this.registry.register(machine);
   }
@@ -126,16 +126,14 @@
     this.listener.requestCycle();
   }
 
-  /** The machine is on its way back to the cloud. */
+  /** Marks the machine as being released to the cloud, and removes all tasks from its queue. */
   beginRelease(machine: Machine): void {
     machine.isReleasing = true;
     this.dequeueAll(machine);
     this.updateIndexes(machine);
   }
 
-  /**
-   * No new work for the machine; what runs there goes on. A machine that is cordoned keeps its first reason.
-   */
+  /** Excludes the machine from new work; its running tasks continue. The first reason is kept. */
   cordon(machine: Machine, reason: string): void {
     if (machine.drainReason !== null) return;
     machine.drainReason = reason;
@@ -146,63 +144,63 @@
   }
 
   /**
-   * Processes a heartbeat, or one that is the reply to a probe; returns the commands that answer it, or null
-   * if it is older than what is known.
+   * Processes a heartbeat, or a probe reply if `isProbeReply`; returns the commands for the response, or null
+   * if the heartbeat is stale.
    */
   onHeartbeat(machine: Machine, heartbeat: Heartbeat, isProbeReply = false): Command[] | null {
     return this.heartbeats.process(machine, heartbeat, isProbeReply) ? this.commandsFor(machine) : null;
   }
 
-  /** Commands that follow from what is known of the machine; each may be sent repeatedly. */
+  /** Forget and stop commands that the machine's state requires; each may be sent repeatedly. */
   commandsFor(machine: Machine): Command[] {
     return this.commands.commandsFor(machine);
   }
 
-  /** Starts queued tasks, head first, as far as the machine's last heartbeat shows free capacity. */
+  /** Starts queued tasks in order until the next one does not fit on the machine or may not start. */
   startQueued(machine: Machine, mayStart: (queued: QueuedTask) => boolean): Command[] {
     return this.commands.startQueued(machine, mayStart);
   }
 
-  /** When nothing runs on a machine that is answered now for certain, unless it is answered again. */
+  /** Expiry of a lease that is renewed now: no task runs on the machine after it without another renewal. */
   get leaseExpiryFromNow(): Instant {
     return this.leases.leaseExpiryFromNow;
   }
 
   /**
-   * The agent is answered with this node's fencing token: its lease runs from this heartbeat at the latest.
+   * Renews the machine's lease; to be called when a heartbeat is answered with this leader's fencing token.
+   * The agent's own lease began no later than now, as it counts from the heartbeat.
    */
   renewLease(machine: Machine): void {
     machine.leaseExpiresAt = this.leaseExpiryFromNow;
   }
 
   /**
-   * Once the lease of a silent machine has expired, what was on it is free to start elsewhere. Only while no
-   * other leader can exist (`isSoleLeader`): one that took over meanwhile gets the machine's heartbeats and
-   * renews the lease, and its tasks go on.
+   * Checks heartbeats and leases. Once the lease of a machine has expired, its tasks can start elsewhere, but
+   * only while no other leader can exist (`isSoleLeader`): a leader that has taken over would receive the
+   * machine's heartbeats and renew its lease, so that the tasks continue to run. `mayCommand`: whether this
+   * leader may command machines at present.
    */
   tick(isSoleLeader: boolean, mayCommand: boolean): void {
     this.leases.tick(this.byId.values(), isSoleLeader, mayCommand);
     this.tombstones.expire();
   }
 
-  /**
-   * Binds a task to the machine's queue: more urgent tasks go ahead; among equals first come, first served.
-   */
+  /** Adds a task to the machine's queue, which is ordered by descending priority, then time of arrival. */
   enqueue(machine: Machine, queued: QueuedTask): void {
     this.assignments.enqueue(machine, queued);
   }
 
-  /** The task waits for a place again; nothing happens if it is not in the queue. */
+  /** Returns a queued task to waiting for placement; no-op if it is not in the machine's queue. */
   dequeue(machine: Machine, queued: QueuedTask): void {
     this.assignments.dequeue(machine, queued);
   }
 
-  /** All tasks in the machine's queue wait for a place again. */
+  /** Returns all tasks in the machine's queue to waiting for placement. */
   dequeueAll(machine: Machine): void {
     this.assignments.dequeueAll(machine);
   }
 
-  /** No task is on the machine any more, for certain. */
+  /** Removes all tasks, queued ones included, once it is certain that none is on the machine any more. */
   removeAllTasks(machine: Machine): void {
     this.assignments.removeAll(machine);
   }
--- a/src/core/machines/machine-tasks.ts
+++ b/src/core/machines/machine-tasks.ts
@@ -1,36 +1,34 @@
-// The tasks of a machine beside its assignments: queued ones, exited ones and orphans.
+// Types for the tasks of a machine that are not assignments: queued tasks, exited tasks and orphans.
 import type { Attempt, Instant, JobId, TaskId } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 
-/** A task bound to a machine's queue; it starts there as soon as there is free capacity. */
+/** A task in a machine's queue; it starts on the machine as soon as there is free capacity. */
 export interface QueuedTask {
   job: Job;
   index: number;
   attempt: Attempt;
-  /** When it joined the queue. */
+  /** When the task was added to the queue. */
   since: Instant;
 }
 
-/** An exited task that its machine still lists, until it is commanded to forget it. */
+/** An exited task that its machine lists until it executes a `forget` command. */
 export interface ExitedTask {
   task: TaskId;
   attempt: Attempt;
   job: JobId;
   index: number;
   exitReason: string;
-  /** Sequence number of the last heartbeat that listed it. */
+  /** Sequence number of the last heartbeat that listed the task. */
   seenSeq: number;
-  /** The machine no longer lists it. */
+  /** Whether the task has been removed from the machine's exited tasks. */
   isGone?: boolean;
 }
 
-/**
- * A task that a machine lists although it belongs to no open job; it is stopped, and the machine forgets it.
- */
+/** A listed task that belongs to no open job; its machine is sent `stop` and then `forget` commands. */
 export interface OrphanTask {
   task: TaskId;
   attempt: Attempt;
 }
 
-/** Key of one attempt of a task in the maps of a machine. */
+/** Key of one attempt of a task in a machine's maps. */
 export const assignmentKey = (task: string, attempt: number): string => `${task}@${attempt}`;
--- a/src/core/machines/machine-type-catalog.ts
+++ b/src/core/machines/machine-type-catalog.ts
@@ -1,5 +1,6 @@
-// The cloud's machine types: every node asks the cloud for them, and the leader keeps them in the store under
-// keys that begin with `t/`, so that the next leader can begin while the cloud's API is down.
+// Catalog of the cloud's machine types. Every node requests them from the cloud, and the leader stores them
+// under keys that begin with `t/`, so that the next leader can start work during an outage of the
+// cloud's API.
 import { addMs, type Instant, LONG_AGO, type Revision, type TypeName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply, MachineType } from '../base/model.ts';
@@ -7,21 +8,21 @@
 
 /** Prefix of the keys of stored machine types. */
 export const MACHINE_TYPE_PREFIX = 't/';
-/** At least this long, and up to twice as long, after a request that failed. */
+/** Minimum delay after a failed request; the actual delay is random, up to twice as long. */
 const RETRY_DELAY_MS = 1500;
-/** Spot prices move; the leader asks again this often. */
+/** Interval at which the leader requests the types again, as spot prices change. */
 const REFRESH_INTERVAL_MS = 60_000;
 
-/** A machine type as it is stored: the type, and the id of the write. */
+/** Stored record of a machine type: the type, and the id of the write. */
 export interface MachineTypeRecord {
   v: MachineType;
   w: string;
 }
 
-/** The machine types that are known to this node. */
+/** The machine types known to this node. */
 export class MachineTypeCatalog {
   readonly types = new Map<TypeName, MachineType>();
-  private readonly recorded = new Set<TypeName>();
+  private readonly storedTypes = new Set<TypeName>();
   private isRequestPending = false;
   private nextRequestAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
@@ -30,12 +31,12 @@
     this.io = io;
   }
 
-  /** Whether any type is known; without one nothing can be decided about jobs. */
+  /** Whether any type is known; until then, no decision about jobs is possible. */
   get isLoaded(): boolean {
     return this.types.size > 0;
   }
 
-  /** Asks the cloud until it has answered once; the leader goes on asking for the prices. */
+  /** Requests the types until the cloud has returned them once; the leader repeats it to update prices. */
   tick(isLeader: boolean): void {
     if (this.isRequestPending || this.io.now < this.nextRequestAt) return;
     if (this.isLoaded && !isLeader) return;
@@ -53,24 +54,24 @@
     for (const type of reply.types) this.update(type);
   }
 
-  /** Machines keep the object of their type, so that a new price must reach them through the same object. */
+  /** Updates a known type in place, because machines hold a reference to its object. */
   private update(type: MachineType): void {
-    const known = this.types.get(type.name);
-    if (known === undefined) this.types.set(type.name, type);
-    else Object.assign(known, type);
+    const existing = this.types.get(type.name);
+    if (existing === undefined) this.types.set(type.name, type);
+    else Object.assign(existing, type);
   }
 
-  /** Takes a type from the store; one that the cloud has listed prevails. */
+  /** Adds a type read from the store, unless the cloud has listed it already. */
   restore(name: TypeName, type: MachineType): void {
-    this.recorded.add(name);
+    this.storedTypes.add(name);
     if (!this.types.has(name)) this.types.set(name, type);
   }
 
   /** Writes the types that are not in the store yet. */
   persist(writer: FencedWriter): void {
     for (const type of this.types.values()) {
-      if (this.recorded.has(type.name)) continue;
-      this.recorded.add(type.name);
+      if (this.storedTypes.has(type.name)) continue;
+      this.storedTypes.add(type.name);
       const writeId = writer.nextWriteId();
       const key = MACHINE_TYPE_PREFIX + type.name;
       const value: MachineTypeRecord = { v: type, w: writeId };
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -1,5 +1,5 @@
-// One machine: what is known of its agent, the tasks on it and queued for it, and its place in the capacity
-// index. The pools of that index are here too, as machines and pools refer to one another.
+// A machine's state: its agent, the tasks on it and queued for it, and its position in the capacity index.
+// The pools of that index are defined here too, because machines and pools refer to each other.
 import type { Instant, MachineId, ZoneName } from '../../types/index.ts';
 import type { Heartbeat, JobSpec, MachineType, TaskStatus } from '../base/model.ts';
 import { diffTaskLists } from '../heartbeats/task-list-delta.ts';
@@ -11,13 +11,13 @@
 export { hasCapacityAhead, isZoneAllowed } from './capacity-checks.ts';
 export type { QueuedTask } from './machine-tasks.ts';
 
-/** The stored record that lists the machine; see machine-registry.ts. */
-export interface MachineRecordPage {
-  /** Takes a machine off the page; the stored record follows. */
+/** The stored registry record that lists a machine; implemented in machine-registry.ts. */
+export interface RegistryRecordHandle {
+  /** Removes a machine from the record; the stored value is rewritten later. */
   removeMember(id: MachineId, now: Instant): void;
 }
 
-/** What a {@link Machine} begins with. */
+/** Constructor arguments of {@link Machine}. */
 export interface MachineInit {
   id: MachineId;
   type: MachineType;
@@ -27,63 +27,66 @@
   leaseExpiresAt: Instant;
 }
 
-/** A machine as the leader knows it. `MachineTable` and its parts change it; others only read it. */
+/** The leader's view of a machine. To be changed by `MachineTable` and its components only. */
 export class Machine implements MachineCapacity {
-  /** Where its agent answers probes; null before the first heartbeat. */
+  /** Address at which the agent answers probes; null before the first heartbeat. */
   addr: string | null = null;
-  /** The newest epoch of its agent; each begins with no task on the machine. */
+  /** The latest epoch of the agent; each epoch begins without tasks on the machine. */
   agentEpoch = 0;
-  /** The epoch whose lease has expired. */
+  /** The last epoch whose lease has expired. */
   expiredEpoch = 0;
-  /** Sequence number of the last heartbeat of the epoch. */
+  /** Sequence number of the last heartbeat that was processed. */
   seq = -1;
-  /** The tasks of that heartbeat, as it listed them. */
+  /** Task list of that heartbeat; null before the first heartbeat of the epoch. */
   lastTaskList: readonly TaskStatus[] | null = null;
-  /** That heartbeat was the reply to a probe. */
-  answeredProbe = false;
+  /** Whether that heartbeat was the reply to a probe. */
+  isLastHeartbeatProbeReply = false;
   /**
-   * All that was listed is known, and nothing has come or gone since: the same list again needs no
-   * reconciliation.
+   * Whether the assignments match the last task list exactly, without exited tasks or orphans, and have not
+   * changed since. The same list then needs no reconciliation.
    */
   isTaskListSettled = false;
-  /**
-   * The agent has seen this term's fencing token, and a heartbeat that it made after that has been processed.
-   */
+  /** Whether a heartbeat sent by the agent after it saw this term's fencing token has been processed. */
   isReconciled = false;
-  /** It has sent a heartbeat, or the cloud lists it as running. */
+  /** Whether the machine has sent a heartbeat, or the cloud lists it as running. */
   isUp = false;
   /**
-   * Set once it is recorded in the store, so that the next leader knows to ask it. Nothing is started before.
+   * The stored record that lists the machine; null until it has been stored. No task is started before,
+   * because the next leader would not know that it has to reconcile the machine.
    */
-  registryPage: MachineRecordPage | null = null;
-  /** The write that records it is under way. */
+  registryPage: RegistryRecordHandle | null = null;
+  /** Whether the machine is yet to be stored in a registry record. */
   isRegistering = false;
-  /** It is being returned to the cloud. */
+  /** Whether the machine is being released to the cloud. */
   isReleasing = false;
-  /** Its lease expired while no agent could be answered: it counts as lost if it is silent until then. */
-  expectedBackBy: Instant | null = null;
-  /** Its heartbeat is late: nothing can be started on it before the next one. */
+  /**
+   * Set if the lease expired while this leader could not answer heartbeats: a machine that sends no heartbeat
+   * until then is cordoned.
+   */
+  reconnectDeadline: Instant | null = null;
+  /** Whether the next heartbeat is overdue; no task can be started before it arrives. */
   isOverdue = false;
-  /** Tasks on it, as far as is known or cannot be ruled out, by `assignmentKey`. */
+  /** Tasks that are, or may be, on the machine, by `assignmentKey`. */
   readonly assignments = new Map<string, TaskAssignment>();
+  /** Orphans in the last task list. */
   orphans: OrphanTask[] = [];
-  /** Tasks bound to it that have not started, in the order in which they will. */
+  /** Tasks that wait to be started on the machine, in the order in which they will be started. */
   readonly queue: QueuedTask[] = [];
-  /** Exited tasks that it is commanded to forget once their results are recorded, by `assignmentKey`. */
+  /** Exited tasks for which a `forget` command is sent once their results are stored, by `assignmentKey`. */
   readonly exitedTasks = new Map<string, ExitedTask>();
   lastHeartbeat: Instant;
-  /** When nothing runs on it for certain, unless a heartbeat of it is answered before. */
+  /** From then on, no task runs on the machine, unless a heartbeat of it is answered before. */
   leaseExpiresAt: Instant;
-  /** When the cloud takes it back, by its preemption notice. */
+  /** When the cloud preempts the machine, according to its preemption notice. */
   preemptedAt: Instant | null = null;
-  /** Why it gets no more work; null while it may. */
+  /** Why the machine is cordoned, that is, excluded from new work; null if it is not. */
   drainReason: string | null = null;
   idleSince: Instant;
-  /** Images in its cache with their sizes in GB, least recently used first. */
+  /** Images in the machine's cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** The image that was used last: most heartbeats name no other. */
+  /** The image that was used last; `images` needs no update for further tasks with this image. */
   lastImage: string | null = null;
-  /** Failed tasks since the last success. */
+  /** Number of failed tasks since the last completed one. */
   consecutiveFailures = 0;
   usedCpus = 0;
   usedGpus = 0;
@@ -92,10 +95,10 @@
   queuedCpus = 0;
   queuedGpus = 0;
   /** In GB. */
-  queuedMemory = 0;
-  /** Its place in the capacity index; null while it is not schedulable. */
+  queuedMemoryGb = 0;
+  /** Position in the capacity index; null while the machine is not schedulable. */
   indexPosition: IndexPosition | null = null;
-  /** Counted in full against every team's limit, as it is unknown what runs on it. */
+  /** Whether the full machine is counted against every team's limit, as it is unknown what runs on it. */
   countsAsUncertain = false;
   readonly id: MachineId;
   readonly type: MachineType;
@@ -116,20 +119,21 @@
   }
 
   /**
-   * Whether a heartbeat that is not newer than the last processed one may be answered all the same: the very
-   * same one that came by another path, or one that the reply to a probe has overtaken. Any other is a late
-   * copy that nobody waits for, or comes from an agent that was restarted and counts from the beginning. An
-   * answer would renew the lease of that agent while its tasks are taken to be running, and the node that
-   * forwards its heartbeats would send the next one as a delta to this one.
+   * Whether a heartbeat that is not newer than the last processed one may still be answered. This holds for
+   * the same heartbeat received by another path, and for one that the reply to a probe has overtaken. Any
+   * other heartbeat is a late copy whose response no agent waits for, or comes from a restarted agent, whose
+   * sequence numbers begin anew. A response would renew the lease of the restarted agent while its former
+   * tasks are assumed to be running, and the node that forwards its heartbeats would send the next one as a
+   * delta to this one.
    */
   mayRespondTo(heartbeat: Heartbeat): boolean {
     if (heartbeat.agentEpoch !== this.agentEpoch) return false;
-    if (heartbeat.seq < this.seq) return this.answeredProbe;
+    if (heartbeat.seq < this.seq) return this.isLastHeartbeatProbeReply;
     if (this.lastTaskList === null) return false;
     return diffTaskLists(this.lastTaskList, heartbeat.tasks).tasks === this.lastTaskList;
   }
 
-  /** Whether tasks can be started on it. */
+  /** Whether tasks can be placed and started on the machine. */
   get isSchedulable(): boolean {
     return (
       this.isReconciled &&
@@ -142,28 +146,28 @@
     );
   }
 
-  /** Nothing is on it or queued for it. */
+  /** Whether the machine has no assignments, queued tasks or orphans. */
   get isEmpty(): boolean {
     return this.assignments.size === 0 && this.queue.length === 0 && this.orphans.length === 0;
   }
 
-  /** CPUs left after all that is on it and queued for it. */
+  /** CPUs that neither tasks on the machine nor queued tasks use. */
   get freeCpus(): number {
     return this.type.cpus - this.usedCpus - this.queuedCpus;
   }
 
-  /** Accelerators left after all that is on it and queued for it. */
+  /** Accelerators that neither tasks on the machine nor queued tasks use. */
   get freeGpus(): number {
     return this.type.gpus - this.usedGpus - this.queuedGpus;
   }
 
-  /** Memory in GB left after all that is on it and queued for it. */
+  /** Memory in GB that neither tasks on the machine nor queued tasks use. */
   get freeMemory(): number {
-    return this.type.memoryGb - this.usedMemory - this.queuedMemory;
+    return this.type.memoryGb - this.usedMemory - this.queuedMemoryGb;
   }
 }
 
-/** Machines of one pool with about the same free capacity. */
+/** Machines of one pool with free CPUs and accelerators in the same levels of the capacity index. */
 export interface CapacityBucket {
   /** Every member has fewer free CPUs than this. */
   cpusBelow: number;
@@ -172,13 +176,14 @@
   members: Machine[];
 }
 
-/** Machines of one type in one zone, either all spot or none: alike but for what is on them. */
+/** Machines of one type in one zone, all spot instances or none; they differ only in what is on them. */
 export class MachinePool {
   readonly buckets = new Map<number, CapacityBucket>();
-  /** Those that are schedulable. */
+  /** The schedulable machines of the pool. */
   readonly usable: Machine[] = [];
-  /** Capacity of the schedulable machines, and what of it is free. */
+  /** Total capacity of the schedulable machines. */
   readonly total: Resources = [0, 0, 0];
+  /** Free capacity of the schedulable machines. */
   readonly free: Resources = [0, 0, 0];
 
   constructor(
@@ -187,7 +192,7 @@
     readonly spot: boolean,
   ) {}
 
-  /** Whether a job's description lets its tasks run here. */
+  /** Whether the job's spec allows its tasks to run on machines of this pool. */
   admits(spec: JobSpec): boolean {
     const { type } = this;
     if (spec.machineTypes !== null && !spec.machineTypes.includes(type.name)) return false;
@@ -197,16 +202,14 @@
   }
 }
 
-/**
- * Where a machine stands in the capacity index; kept with the machine so that its removal takes no search.
- */
+/** Position of a machine in the capacity index; stored in the machine so that its removal needs no search. */
 export interface IndexPosition {
   pool: MachinePool;
   bucket: CapacityBucket;
-  /** Its index in the bucket's `members`. */
+  /** Index of the machine in the bucket's `members`. */
   at: number;
-  /** Its index in the pool's `usable`. */
-  usableAt: number;
-  /** Its free capacity as counted in the pool's sum. */
+  /** Index of the machine in the pool's array of schedulable machines. */
+  indexInPool: number;
+  /** Free capacity of the machine as included in the pool's sum. */
   free: Resources;
 }
--- a/src/core/machines/task-reconciler.ts
+++ b/src/core/machines/task-reconciler.ts
@@ -1,5 +1,5 @@
-// Reconciles a machine's task list with what the leader knows: which tasks are on the machine, which have
-// ended and why, and what follows for their jobs and for the machine.
+// Reconciles a machine's task list with the leader's state: updates its assignments, records which tasks have
+// exited and why, and applies the consequences to their jobs and to the machine.
 import { addMs, parseTaskId, taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { TaskStatus } from '../base/model.ts';
@@ -11,31 +11,31 @@
 import { CordonReason, type MachineStateUpdater } from './machine-state-updater.ts';
 import { assignmentKey, type ExitedTask } from './machine-tasks.ts';
 
-/** Failures in a row on a machine after which it is taken to be faulty. */
-const FAILURES_OF_FAULTY_MACHINE = 3;
-/** Machines on which a job has failed after which the job is taken to be faulty, and not the machines. */
-const MACHINES_OF_FAULTY_JOB = 3;
+/** Consecutive task failures after which a machine counts as faulty. */
+const FAULTY_MACHINE_FAILURES = 3;
+/** Number of machines on which a job has failed after which the job itself counts as faulty. */
+const FAULTY_JOB_MACHINES = 3;
 const BACKOFF_MS = 1000;
 const BACKOFF_MAX_MS = 20_000;
 const BACKOFF_MAX_DOUBLINGS = 10;
 
-/** A listed task with what it was found to be, so that the same object listed again takes no lookup. */
+/** A listed task with its reconciliation result; if the same object is listed again, no lookup is needed. */
 export interface ListedTask extends TaskStatus {
-  /** The reconciler that set the fields below; one of an earlier term knew other assignments. */
+  /** The reconciler that set the fields below; they are valid only in its term. */
   reconciledBy?: TaskReconciler;
   assignment?: TaskAssignment;
   exitedTask?: ExitedTask;
 }
 
-/** Is notified of what becomes of tasks. */
+/** Is notified when tasks start and complete. */
 export interface TaskListener {
-  /** The task has begun to run. */
+  /** Called when the task has begun to run. */
   onTaskStarted(assignment: TaskAssignment): void;
-  /** The task has ended with success. */
+  /** Called when the task has completed successfully. */
   onTaskCompleted(assignment: TaskAssignment): void;
 }
 
-/** What {@link TaskReconciler} depends on. */
+/** Dependencies of {@link TaskReconciler}. */
 export interface TaskReconcilerDependencies {
   io: ControllerIo;
   jobs: JobTable;
@@ -45,7 +45,7 @@
   listener: TaskListener;
 }
 
-/** Reads the task lists of heartbeats during one term. */
+/** Reconciles the task lists of heartbeats during one term. */
 export class TaskReconciler {
   private readonly io: ControllerIo;
   private readonly jobs: JobTable;
@@ -63,13 +63,14 @@
     this.listener = dependencies.listener;
   }
 
-  /** Reconciles the task list of the heartbeat with this sequence number. */
+  /** Reconciles the task list of the heartbeat with the sequence number `seq`. */
   reconcile(machine: Machine, tasks: readonly ListedTask[], seq: number): void {
     machine.orphans = [];
     for (const listed of tasks) this.reconcileTask(machine, listed, seq);
-    this.unassignMissing(machine, seq);
-    dropForgotten(machine, seq);
-    // A task sent since is not in this list; whether it is in the next one shows if it has started.
+    this.unassignUnlisted(machine, seq);
+    removeUnlistedExits(machine, seq);
+    // A task whose start command was sent after this heartbeat is not in the list; the next list shows
+    // whether it has started.
     machine.isTaskListSettled =
       machine.exitedTasks.size === 0 &&
       machine.orphans.length === 0 &&
@@ -77,10 +78,10 @@
   }
 
   private reconcileTask(machine: Machine, listed: ListedTask, seq: number): void {
-    // Reconciled before in this term and still there: it only has to be marked as listed.
-    const known = listed.reconciledBy === this ? (listed.assignment ?? listed.exitedTask) : undefined;
-    if (known !== undefined && known.isGone !== true) {
-      known.seenSeq = seq;
+    // Already reconciled in this term and not removed since: it only has to be marked as listed.
+    const tracked = listed.reconciledBy === this ? (listed.assignment ?? listed.exitedTask) : undefined;
+    if (tracked !== undefined && tracked.isGone !== true) {
+      tracked.seenSeq = seq;
       return;
     }
     const key = assignmentKey(listed.task, listed.attempt);
@@ -89,10 +90,11 @@
   }
 
   /**
-   * Responses answer one heartbeat at a time: a later one without the task shows that it did not start, or is
-   * gone.
+   * Unassigns the tasks that the machine does not list. A response answers exactly one heartbeat, so if a
+   * later heartbeat does not list a task that the response started, it was not started or is no longer on the
+   * machine.
    */
-  private unassignMissing(machine: Machine, seq: number): void {
+  private unassignUnlisted(machine: Machine, seq: number): void {
     for (const [key, assignment] of machine.assignments) {
       if (assignment.seenSeq === seq || assignment.sentSeq >= seq) continue;
       this.io.log('info', 'task not on its machine', {
@@ -121,10 +123,7 @@
     assignment.state = state;
   }
 
-  /**
-   * A task that the machine lists without the leader having assigned it in this term; null if it is an
-   * orphan.
-   */
+  /** Creates the assignment of a listed task that has none in this term; null if the task is an orphan. */
   private adoptTask(machine: Machine, { task, attempt }: TaskStatus): TaskAssignment | null {
     const { job: jobId, index } = parseTaskId(task);
     const job = this.jobs.openJobs.get(jobId);
@@ -145,7 +144,7 @@
     this.listener.onTaskStarted(assignment);
   }
 
-  /** The machine has the job's image in its cache; the least recently used ones make way for it. */
+  /** Records that the job's image is in the machine's cache, and evicts the least recently used images. */
   private recordImage(machine: Machine, job: Job): void {
     const { image, imageGb } = job.spec;
     if (machine.lastImage === image) return;
@@ -173,8 +172,7 @@
     }
     const { job: jobId, index } = parseTaskId(listed.task);
     const assignment = machine.assignments.get(key);
-    // Over already, as a gang is with its first task, the job may still be on this machine as far as is
-    // known.
+    // The job may no longer be open, as a gang ends with its first task; then the assignment refers to it.
     const job = this.jobs.openJobs.get(jobId) ?? assignment?.job;
     const exitedTask: ExitedTask = {
       task: listed.task,
@@ -191,7 +189,7 @@
     if (assignment !== undefined) this.assignments.unassign(machine, assignment);
   }
 
-  /** What an exit means for the task, its job and its machine. */
+  /** Applies the consequences of an exit to the task, its job and its machine. */
   private recordOutcome(
     machine: Machine,
     job: Job,
@@ -207,15 +205,15 @@
       if (assignment !== undefined) this.listener.onTaskCompleted(assignment);
     } else if (exitReason === 'error') this.recordFailure(machine, job, index);
     else if (exitReason === 'no_room' || exitReason === 'busy' || exitReason === 'unknown')
-      this.io.log('info', 'start refused', { machine: machine.id, task, why: exitReason });
+      this.io.log('info', 'machine refused to start task', { machine: machine.id, task, why: exitReason });
   }
 
-  /** A job that fails on many machines is backed off; a machine on which tasks fail is released. */
+  /** Delays the retry of a job that fails on several machines; else cordons a machine that keeps failing. */
   private recordFailure(machine: Machine, job: Job, index: number): void {
     job.failures++;
     job.failedOn.add(machine.id);
     machine.consecutiveFailures++;
-    const isJobFaulty = job.failedOn.size >= MACHINES_OF_FAULTY_JOB;
+    const isJobFaulty = job.failedOn.size >= FAULTY_JOB_MACHINES;
     const waitMs = isJobFaulty ? backoffMs(job.failures) : 0;
     job.retryAt = addMs(this.io.now, waitMs);
     this.io.log('info', 'task failed', {
@@ -224,13 +222,13 @@
       failures: job.failures,
       waitMs,
     });
-    if (!isJobFaulty && machine.consecutiveFailures >= FAILURES_OF_FAULTY_MACHINE)
+    if (!isJobFaulty && machine.consecutiveFailures >= FAULTY_MACHINE_FAILURES)
       this.updater.cordon(machine, CordonReason.failingTasks);
   }
 }
 
-/** Exited tasks that the machine no longer lists. */
-function dropForgotten(machine: Machine, seq: number): void {
+/** Removes exited tasks that the machine no longer lists. */
+function removeUnlistedExits(machine: Machine, seq: number): void {
   for (const [key, exited] of machine.exitedTasks) {
     if (exited.seenSeq === seq) continue;
     exited.isGone = true;
