--- a/test/machine-safety.test.ts
+++ b/test/machine-safety.test.ts
@@ -1,4 +1,5 @@
-// What the leader may conclude about machines, and what it may do to them: leases, heartbeats, quotas, the cloud (docs/safety.md).
+// Tests that the leader draws only safe conclusions about machines from leases, heartbeats and quotas, and
+// rents and releases machines safely (docs/safety.md).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Job, type TaskAssignment } from '../src/core/jobs/job.ts';
@@ -7,8 +8,14 @@
 import { assertUnbroken } from './support/long-job.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-/** Starts what `submitNext` submits on one of two machines; the other is idle. */
-function startBesideIdle(world: SimulatedWorld, submitNext: () => void): { busy: string; idle: string } {
+/**
+ * Submits the job `run-1` with `submitNext` once two machines are up; returns the machine that runs it and
+ * the idle one.
+ */
+function startOnOneOfTwoMachines(
+  world: SimulatedWorld,
+  submitNext: () => void,
+): { busy: string; idle: string } {
   world.runS = 3;
   world.submit(job('run-0', { tasks: 2, cpus: 8 }));
   assert.ok(world.until(() => world.isDone('run-0')));
@@ -23,9 +30,9 @@
 }
 
 describe('silent and unreconciled machines', () => {
-  it('a task on a silent machine starts elsewhere only when the lease of the machine has run out', () => {
+  it('a task on a silent machine starts elsewhere only after the lease of the machine has expired', () => {
     const world = new SimulatedWorld();
-    const { busy, idle } = startBesideIdle(world, () => world.submit(job('run-1')));
+    const { busy, idle } = startOnOneOfTwoMachines(world, () => world.submit(job('run-1')));
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'drop');
     world.run(8);
@@ -34,27 +41,29 @@
     assertUnbroken(world);
   });
 
-  it('a new leader starts nothing that may be on an unreconciled machine, and counts that machine in quotas', () => {
+  it('a new leader starts no task that may be on an unreconciled machine, and counts that machine in quotas', () => {
     const world = new SimulatedWorld();
     const team = 'small' as TeamName;
-    const { busy, idle } = startBesideIdle(world, () => world.submit(job('run-1', { team, cpus: 6 })));
+    const { busy, idle } = startOnOneOfTwoMachines(world, () =>
+      world.submit(job('run-1', { team, cpus: 6 })),
+    );
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
-    const first = world.owner!;
-    world.crash(first);
-    const controller = [...world.nodes.keys()].find((n) => n !== first)!;
+    const formerLeader = world.owner!;
+    world.crash(formerLeader);
+    const controller = [...world.nodes.keys()].find((n) => n !== formerLeader)!;
     assert.equal(world.submit(job('run-2', { team, cpus: 6 }), controller)?.kind, 'accepted');
     world.run(6);
     assert.deepEqual(world.holders('run-2'), []);
-    world.start(first);
-    // In the end the former leader's bound has passed, and all starts on the machine that is left.
+    world.start(formerLeader);
+    // Tasks start on the remaining machine once any lease that the former leader may have renewed has expired.
     assert.ok(world.until(() => [...world.holders('run-1'), ...world.holders('run-2')].includes(idle), 60));
     assertUnbroken(world);
   });
 
   it('a task that may be on an unreconciled machine is not started on an idle one, whatever its team', () => {
     const world = new SimulatedWorld();
-    const { busy } = startBesideIdle(world, () => world.submit(job('run-1')));
+    const { busy } = startOnOneOfTwoMachines(world, () => world.submit(job('run-1')));
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
     world.crash(world.owner!);
@@ -79,27 +88,29 @@
     assertUnbroken(world);
   });
 
-  // The incident behind this: signet's rough day, a partition of 40 s that holds messages back (docs/incidents/late-report.md).
-  it('a heartbeat delayed by a partition does not replace the new attempt of a task that was given up', () => {
+  // Guards against a failure seen after a partition of 40 s that delayed messages: heartbeats that arrived
+  // after their lease had expired listed tasks that had been started elsewhere since
+  // (docs/incidents/late-report.md).
+  it('a heartbeat delayed by a partition does not replace the new attempt of a task that has been reassigned', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.cloud.capacity = 2;
     world.submit(job('run-1', { cpus: 8, tasks: 2 }));
     assert.ok(world.until(() => world.holders('run-1').length === 2));
     world.run(2);
-    const [cutOff] = world.holders('run-1');
+    const [partitioned] = world.holders('run-1');
     // The cloud is down too, so that the silent machine cannot be released.
     world.cloud.down = true;
-    for (const node of ['node-0', 'node-1', 'node-2']) world.cut(cutOff!, node, 'hold');
+    for (const node of ['node-0', 'node-1', 'node-2']) world.cut(partitioned!, node, 'hold');
     world.run(25);
     world.cloud.down = false;
     world.cloud.capacity = 5;
     world.cloud.serve = (
-      (real) => (op) =>
-        op.kind === 'release' ? { kind: 'refused', busy: false } : real.call(world.cloud, op)
+      (serve) => (op) =>
+        op.kind === 'release' ? { kind: 'refused', busy: false } : serve.call(world.cloud, op)
     )(world.cloud.serve);
-    assert.ok(world.until(() => world.holders('run-1').filter((m) => m !== cutOff).length === 2, 60));
-    for (const node of ['node-0', 'node-1', 'node-2']) world.heal(cutOff!, node);
+    assert.ok(world.until(() => world.holders('run-1').filter((m) => m !== partitioned).length === 2, 60));
+    for (const node of ['node-0', 'node-1', 'node-2']) world.heal(partitioned!, node);
     assert.ok(world.until(() => world.isDone('run-1'), 200));
     assert.equal(world.logs.filter((l) => l.includes('listed by a second machine')).length, 0);
     assertUnbroken(world);
@@ -113,7 +124,7 @@
       seenAt: 0 as Instant,
       mayHaveUnlocatedTasks: false,
     });
-    const entry = (machine: string): TaskAssignment => ({
+    const makeAssignment = (machine: string): TaskAssignment => ({
       job: assignedJob,
       index: 0,
       attempt: 1 as Attempt,
@@ -124,7 +135,7 @@
       runningAt: null,
       stopping: null,
     });
-    const [first, second] = [entry('i-1'), entry('i-2')];
+    const [first, second] = [makeAssignment('i-1'), makeAssignment('i-2')];
     assignedJob.addAssignment(first);
     assignedJob.addAssignment(second);
     assignedJob.removeAssignment(second, true);
@@ -138,7 +149,7 @@
 });
 
 describe('machines while the leader is cut off', () => {
-  it('a leader cut off from the store steps down, and its machines follow the new leader', () => {
+  it('a leader cut off from the store steps down, and its machines accept the new leader', () => {
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { tasks: 6 }));
@@ -151,8 +162,9 @@
     assertUnbroken(world);
   });
 
-  // The incident behind this: brazos, all machines lost at once (docs/incidents/owner-out-of-reach.md).
-  it('heartbeats of agents that cannot reach the leader go through another controller, and their tasks live on', () => {
+  // Guards against the loss of all machines at once when no agent can reach the leader
+  // (docs/incidents/owner-out-of-reach.md).
+  it('heartbeats of agents that cannot reach the leader are forwarded by another controller, and tasks continue', () => {
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 8 }));
@@ -171,7 +183,7 @@
     assertUnbroken(world);
   });
 
-  it('a new leader that cannot read the records for a while releases no machine before it could send a heartbeat', () => {
+  it('a new leader that cannot read the records at first releases no machine before it could send a heartbeat', () => {
     const world = new SimulatedWorld();
     world.runS = 90;
     world.submit(job('run-1', { tasks: 8 }));
@@ -189,42 +201,43 @@
     assertUnbroken(world);
   });
 
-  it('a leader cut off from the store does not take leases for expired that a later leader renews', () => {
+  it('a leader cut off from the store does not treat leases as expired that a later leader renews', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 12 }));
     assert.ok(world.until(() => world.holders('run-1').length >= 3));
     world.run(3);
-    const first = world.owner!;
+    const formerLeader = world.owner!;
     const [leaderMachine, ...otherMachines] = world.holders('run-1');
-    // One machine stays with the leader, on the same side of the partition; its tasks have exited.
+    // One machine is on the leader's side of the partition; its tasks have exited.
     for (const task of world.workers.get(leaderMachine!)!.tasks.values()) {
       task.state = 'exited';
       task.why = 'done';
     }
     for (const other of ['state', 'cloud', 'user', ...otherMachines, ...world.nodes.keys()])
-      if (other !== first) world.cut(first, other, 'drop');
-    for (const other of world.nodes.keys()) if (other !== first) world.cut(leaderMachine!, other, 'drop');
+      if (other !== formerLeader) world.cut(formerLeader, other, 'drop');
+    for (const other of world.nodes.keys())
+      if (other !== formerLeader) world.cut(leaderMachine!, other, 'drop');
     world.run(25);
     assert.notEqual(world.owner, undefined);
-    assert.notEqual(world.owner, first);
+    assert.notEqual(world.owner, formerLeader);
     assertUnbroken(world);
   });
 });
 
 describe('rental and release of machines', () => {
-  it('a new leader is not delayed by the cloud, and releases no machine before it had time to send a heartbeat', () => {
+  it('a cloud outage does not delay a new leader, and no machine is released before it could send a heartbeat', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 8 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(3);
     world.cloud.down = true;
-    const first = world.owner!;
+    const formerLeader = world.owner!;
     for (const node of ['node-0', 'node-1', 'node-2']) world.crash(node);
     world.run(5);
     for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
-    assert.equal(world.submit(job('run-2'), first)?.kind, 'accepted');
+    assert.equal(world.submit(job('run-2'), formerLeader)?.kind, 'accepted');
     world.run(30);
     world.cloud.down = false;
     world.run(10);
@@ -232,7 +245,7 @@
     assertUnbroken(world);
   });
 
-  it('an unanswered rental request is repeated under its own name, so nothing is rented twice', () => {
+  it('an unanswered rental request is repeated with the same id, so that no machine is rented twice', () => {
     const world = new SimulatedWorld();
     world.run(2);
     world.cloud.loseNextAnswer = true;
@@ -249,19 +262,19 @@
     assert.ok(world.cloud.released.length > 0);
   });
 
-  it('a machine that fails what it starts is released, and the job runs elsewhere', () => {
+  it('a machine on which every task fails is released, and the jobs run elsewhere', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-0', { tasks: 4, cpus: 8 }));
     assert.ok(world.until(() => world.holders('run-0').length === 4));
-    const bad = [...world.workers.values()][0]!;
-    bad.faulty = true;
+    const faultyMachine = [...world.workers.values()][0]!;
+    faultyMachine.faulty = true;
     for (const id of ['run-1', 'run-2', 'run-3', 'run-4']) world.submit(job(id, { tasks: 4, cpus: 8 }));
     for (const id of ['run-1', 'run-2', 'run-3', 'run-4'])
       assert.ok(
         world.until(() => world.isDone(id), 300),
         id,
       );
-    assert.ok(world.cloud.released.includes(bad.id));
+    assert.ok(world.cloud.released.includes(faultyMachine.id));
     assertUnbroken(world);
   });
 });
