--- a/src/core/membership/leader-election.ts
+++ b/src/core/membership/leader-election.ts
@@ -1,6 +1,6 @@
-// Which controller leads the shard: the one that its leader key names, a key attached to a lease of the
-// store. The revision that created the key is the leader's term, its fencing token for machines, and a
-// condition of each of its writes.
+// Leader election for the shard. The leader is the controller named by the leader key, which is attached to a
+// lease of the store. The revision that created the key is the leader's term, its fencing token for machines,
+// and a condition of each of its writes.
 import {
   addMs,
   elapsedMs,
@@ -14,7 +14,7 @@
 import type { StoreCondition, StorePut, StoreReply } from '../base/model.ts';
 import { StorePriority } from '../base/store-request-budget.ts';
 import type { LeaderRecord, RecoveryRecord } from '../storage/shard-records.ts';
-import { claimLeadership, moveLeaderKey } from './leader-key.ts';
+import { buildLeaderKeyMigration, buildLeadershipClaim } from './leader-key.ts';
 import { LEADER_LEASE_MS, LeaderLease } from './leader-lease.ts';
 import { ShardWatch } from './shard-watch.ts';
 
@@ -22,28 +22,31 @@
 export { LEADER_LEASE_MS };
 
 /**
- * A candidate waits this long for each node that stands before it in the list; a grant and a commit take
- * less.
+ * A candidate waits this long for each node that precedes it in the list of nodes. The lease grant and the
+ * commit of a candidacy together take less.
  */
 const CANDIDACY_DELAY_MS = 100;
 const CANDIDACY_RETRY_JITTER_MS = 500;
 const MIGRATION_RETRY_MS = 300;
 
-/** Receives what the election decides, and makes the one write of it that needs a leader. */
+/**
+ * Receives the election's results, and executes the one write of the election that only a leader can make.
+ */
 export interface LeaderElectionListener {
-  /** This controller leads from now on. */
+  /** This controller has become the leader. */
   onElected(term: Revision): void;
-  /** This controller leads no longer; the reason is for the log. */
+  /** This controller is no longer the leader; the reason is for the log. */
   onLeadershipLost(reason: string): void;
   /**
-   * Among the leader's writes, so conditional on its term; the revision, or null if it was not made as asked.
+   * Queues this write among the leader's writes, so that it is conditional on the term. `onResult` receives
+   * its revision, or null if it was not carried out as given.
    */
   migrateLeaderKey(
     conditions: StoreCondition[],
     puts: StorePut[],
     onResult: (revision: Revision | null) => void,
   ): void;
-  /** The newest change of the configuration was made at this revision. */
+  /** The newest configuration change was made at this revision. */
   onConfigurationChanged(revision: Revision): void;
 }
 
@@ -52,32 +55,35 @@
   io: ControllerIo;
   /** This node. */
   self: NodeId;
-  /** How many of the nodes stand before this one in the list. */
+  /** Number of nodes that precede this one in the list of nodes. */
   rank: number;
-  /** Number of nodes, this one among them. */
+  /** Number of nodes, including this one. */
   nodes: number;
   listener: LeaderElectionListener;
 }
 
-/** Elects the leader of the shard, together with the same class on the other controllers. */
+/** This controller's part in the election of the shard's leader; each controller has one instance. */
 export class LeaderElection {
   /** The term in which this controller leads; null while it does not. */
   term: Revision | null = null;
-  /** The leader as far as this node knows. */
+  /** The leader as last read from the store or reported by a peer; null if there is none. */
   leader: LeaderRecord | null = null;
   private isCandidate = false;
   private vacantSince: Instant | null = null;
-  /** A leader of a revision up to this is over: the keys have been read without one since. */
-  private endedUpTo = 0 as Revision;
-  /** An earlier process of this node ended as the leader: others, which did not end, go first. */
-  private endedAsLeader = false;
-  /** The write that moves the leader key is on its way, under the present term. */
+  /** Newest revision at which the store held no leader key: terms that began at or before it have ended. */
+  private vacantAsOf = 0 as Revision;
+  /**
+   * An earlier process of this node ended while it was the leader. The other nodes, which kept running, stand
+   * for election first.
+   */
+  private wasLeaderBeforeRestart = false;
+  /** The write that moves the leader key is in progress, under the present term. */
   private isMigrating = false;
-  private migrateAt: Instant = LONG_AGO;
+  private nextMigrationAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
   private readonly self: NodeId;
   private readonly rank: number;
-  private readonly nodes: number;
+  private readonly nodeCount: number;
   private readonly listener: LeaderElectionListener;
   private readonly watch: ShardWatch;
   private readonly lease: LeaderLease;
@@ -86,7 +92,7 @@
     this.io = dependencies.io;
     this.self = dependencies.self;
     this.rank = dependencies.rank;
-    this.nodes = dependencies.nodes;
+    this.nodeCount = dependencies.nodes;
     this.listener = dependencies.listener;
     this.watch = new ShardWatch(this.io, {
       onLeaderFound: (leader) => this.onLeaderFound(leader),
@@ -98,17 +104,17 @@
     });
   }
 
-  /** Until when, on this node's steady clock, no other controller can be elected. */
+  /** Time on this node's monotonic clock until which no other controller can be elected. */
   get leaseExpiresAt(): Instant {
     return this.lease.expiresAt;
   }
 
-  /** When the last request that the store is known to have served was sent. */
+  /** Send time of the latest lease request that the store is known to have served. */
   get confirmedAt(): Instant {
     return this.lease.confirmedAt;
   }
 
-  /** The last failover that was completed. */
+  /** The last completed failover. */
   get lastRecovery(): RecoveryRecord | null {
     return this.watch.lastRecovery;
   }
@@ -118,31 +124,35 @@
     return this.watch.leaderKey;
   }
 
-  /** True while no other controller can lead: what this node answers is not stale. */
+  /**
+   * Whether this controller leads and no other can have been elected, so that its responses are not stale.
+   */
   get holdsLease(): boolean {
     return this.term !== null && this.io.now < this.lease.expiresAt;
   }
 
-  /** The store has replied to this node since it last failed to. */
+  /** Whether the shard's keys have been listed since the last resync or broken watch. */
   get isStoreReadable(): boolean {
     return this.watch.isSynced;
   }
 
-  /** Watches the shard; renews the lease of a leader, or stands for election while there is none. */
+  /**
+   * Watches the shard; renews the lease while this node leads, or stands for election if there is no leader.
+   */
   tick(): void {
     this.watch.tick();
     if (this.term === null) {
-      this.standIfVacant();
+      this.startCandidacyIfVacant();
       return;
     }
     this.lease.tick();
     this.migrateKeyIfNeeded();
   }
 
-  /** A peer claims to lead since this revision; the larger revision is the later leader. */
+  /** Handles a claim that `node` leads since this revision; the claim with the larger revision is newer. */
   observeLeader(node: NodeId, revision: Revision): void {
-    // A late claim of an earlier process: believed, nobody would stand for election.
-    if (revision <= this.endedUpTo) return;
+    // A delayed claim of an earlier process: if it were accepted, no node would stand for election.
+    if (revision <= this.vacantAsOf) return;
     if (this.leader !== null && revision <= this.leader.revision) return;
     this.leader = { node, revision };
     this.vacantSince = null;
@@ -150,7 +160,10 @@
     if (isSuperseded) this.stepDown('another controller was elected');
   }
 
-  /** A machine has seen a fencing token above this node's: another controller was elected. */
+  /**
+   * A machine has seen a higher fencing token than this node's, so another controller was elected: ends the
+   * term and reads the leader key again.
+   */
   onHigherFencingToken(): void {
     this.stepDown('a machine has seen a higher fencing token');
     this.leader = null;
@@ -158,7 +171,7 @@
     this.refresh();
   }
 
-  /** Reads the keys of the shard again, and at once. */
+  /** Has the keys of the shard listed again, without waiting for the reply to an open request. */
   refresh(): void {
     this.watch.resync();
   }
@@ -178,22 +191,25 @@
   private onLeaderFound(leader: LeaderRecord): void {
     this.vacantSince = null;
     if (leader.node !== this.self) this.observeLeader(leader.node, leader.revision);
-    // A key of this node's under another revision was made by an earlier process of it, or by a request of
-    // that process that came late: its lease expires by itself.
-    else if (leader.revision !== this.term) this.endedAsLeader = true;
+    // A leader key that names this node at another revision was put by an earlier process of this node, or by
+    // a delayed request of that process. It is deleted when its lease expires.
+    else if (leader.revision !== this.term) this.wasLeaderBeforeRestart = true;
   }
 
   private onLeaderMissing(asOf: Revision): void {
-    this.endedUpTo = Math.max(this.endedUpTo, asOf) as Revision;
+    this.vacantAsOf = Math.max(this.vacantAsOf, asOf) as Revision;
     if (this.term === null) this.leader = null;
     this.vacantSince ??= this.io.now;
   }
 
-  /** Stands for election; the later in the list of nodes, the longer it lets others go first. */
-  private standIfVacant(): void {
+  /**
+   * Starts a candidacy if there is no leader. The later this node is in the list of nodes, the longer it
+   * waits for the nodes before it.
+   */
+  private startCandidacyIfVacant(): void {
     const { io } = this;
     if (this.vacantSince === null || this.isCandidate || io.now < this.watch.retryAt) return;
-    if (elapsedMs(io.now, this.vacantSince) < this.nodesBefore * CANDIDACY_DELAY_MS) return;
+    if (elapsedMs(io.now, this.vacantSince) < this.candidacyRank * CANDIDACY_DELAY_MS) return;
     this.isCandidate = true;
     const sentAt = io.now;
     io.store({ kind: 'grant-lease', ttlMs: LEADER_LEASE_MS }, StorePriority.lease, (reply) => {
@@ -202,9 +218,12 @@
     });
   }
 
-  /** How many nodes go first. A node that ends as leader again and again must not be elected each time. */
-  private get nodesBefore(): number {
-    return this.rank + (this.endedAsLeader ? this.nodes : 0);
+  /**
+   * Number of nodes that this node lets stand for election first. A node that repeatedly ends while it leads
+   * comes after all others, so that it is not elected each time.
+   */
+  private get candidacyRank(): number {
+    return this.rank + (this.wasLeaderBeforeRestart ? this.nodeCount : 0);
   }
 
   private endCandidacy(): void {
@@ -214,7 +233,7 @@
 
   private sendClaim(lease: StoreLeaseId, sentAt: Instant): void {
     const isConfigured = this.watch.configRevision > 0;
-    const { conditions, puts } = claimLeadership(this.self, lease, this.watch);
+    const { conditions, puts } = buildLeadershipClaim(this.self, lease, this.watch);
     this.io.store(
       { kind: 'compare-and-swap', conditions, puts, deletes: [] },
       StorePriority.lease,
@@ -228,7 +247,7 @@
   }
 
   private onClaimFailed(reply: StoreReply, lease: StoreLeaseId): void {
-    // Without a reply the claim may still be carried out; with the lease the key ends as well.
+    // A claim without a reply may still be carried out; revoking its lease also deletes the leader key.
     if (reply.kind === 'no-answer')
       this.io.store({ kind: 'revoke-lease', lease }, StorePriority.lease, () => {});
     this.vacantSince = null;
@@ -241,27 +260,27 @@
     this.term = term;
     this.leader = { node: this.self, revision: term };
     this.vacantSince = null;
-    this.endedAsLeader = false;
+    this.wasLeaderBeforeRestart = false;
     this.lease.begin(lease, sentAt);
     this.io.log('info', 'leadership acquired', { term });
     this.listener.onElected(term);
   }
 
   /**
-   * The first configuration documents are about to be written: the leader key moves to the one that versions
-   * without them don't know, under the same lease and in one transaction. The term that begins with it is
-   * this node's as well. The leader's own writes wait for it: one under way at the same time would find its
-   * term over.
+   * Moves the leader key once the first configuration documents are about to be written. The new key is one
+   * that versions without configuration documents do not read; the move keeps the lease and is one
+   * transaction. It begins a new term, which also belongs to this node. The leader's other writes wait until
+   * the move is done: one in progress at the same time would fail because its term is over.
    */
   private migrateKeyIfNeeded(): void {
     const { term, io } = this;
     const lease = this.lease.id;
     const { isLeaderKeyMigrated, configRevision } = this.watch;
     if (isLeaderKeyMigrated || configRevision === 0 || term === null || lease === null) return;
-    if (this.isMigrating || io.now < this.migrateAt) return;
+    if (this.isMigrating || io.now < this.nextMigrationAt) return;
     this.isMigrating = true;
-    this.migrateAt = addMs(io.now, MIGRATION_RETRY_MS);
-    const { conditions, puts } = moveLeaderKey(this.self, lease);
+    this.nextMigrationAt = addMs(io.now, MIGRATION_RETRY_MS);
+    const { conditions, puts } = buildLeaderKeyMigration(this.self, lease);
     this.listener.migrateLeaderKey(conditions, puts, (revision) => {
       if (this.term === term) this.onKeyMigrated(revision, lease);
     });
--- a/src/core/membership/leader-key.ts
+++ b/src/core/membership/leader-key.ts
@@ -1,47 +1,55 @@
-// The writes that claim leadership of the shard and that move the leader key, as compare-and-swap operations.
+// Builds the compare-and-swap operations that claim leadership of the shard and that move the leader key.
 import type { NodeId, Revision, StoreLeaseId } from '../../types/index.ts';
 import type { StoreCondition, StorePut } from '../base/model.ts';
 import { CONFIG_NOTIFICATION_KEY, CONFIGURED_LEADER_KEY, LEADER_KEY } from '../storage/keys.ts';
-import { encodeLeader, LEADER_KEY_MIGRATED } from '../storage/shard-records.ts';
+import { encodeLeader, MIGRATION_MARKER } from '../storage/shard-records.ts';
 
-/** The condition that a key is absent. */
-const ABSENT = 0 as Revision;
+/** As the revision in a condition: the key must not exist. */
+const ABSENT_REVISION = 0 as Revision;
 
-/** What is put on which conditions. */
+/** Conditions and puts of a compare-and-swap operation on the leader keys. */
 export interface LeaderKeyWrite {
   conditions: StoreCondition[];
   puts: StorePut[];
 }
 
-/** What a candidate knows of the shard. */
-export interface KnownShard {
-  /** Revision of the newest change of the configuration; 0 without any. */
+/** The state of the shard that a candidate has read from the store. */
+export interface KnownShardState {
+  /** Revision of the newest configuration change; 0 if there is none. */
   configRevision: Revision;
-  /** The leader key is the one that versions without configuration documents don't know. */
+  /** The leader key is the one that versions without configuration documents do not read. */
   isLeaderKeyMigrated: boolean;
 }
 
 /**
- * Claims leadership: on the condition that there is no leader, under either key, and that the configuration is
- * the one that the candidate knows of, so that the new leader knows at its term what it has to read.
+ * Builds a claim to leadership. It is conditional on there being no leader under either key, and on the
+ * configuration being at the revision that the candidate has read, so that a new leader knows from the start
+ * of its term which revision of the configuration it must read.
  */
-export function claimLeadership(self: NodeId, lease: StoreLeaseId, shard: KnownShard): LeaderKeyWrite {
+export function buildLeadershipClaim(
+  self: NodeId,
+  lease: StoreLeaseId,
+  shard: KnownShardState,
+): LeaderKeyWrite {
   const { configRevision, isLeaderKeyMigrated } = shard;
   const value = encodeLeader(self);
   const conditions = [{ key: CONFIG_NOTIFICATION_KEY, revision: configRevision }];
-  if (!isLeaderKeyMigrated) conditions.push({ key: LEADER_KEY, revision: ABSENT });
+  if (!isLeaderKeyMigrated) conditions.push({ key: LEADER_KEY, revision: ABSENT_REVISION });
   if (configRevision === 0) return { conditions, puts: [{ key: LEADER_KEY, value, lease }] };
-  conditions.push({ key: CONFIGURED_LEADER_KEY, revision: ABSENT });
+  conditions.push({ key: CONFIGURED_LEADER_KEY, revision: ABSENT_REVISION });
   const puts: StorePut[] = [{ key: CONFIGURED_LEADER_KEY, value, lease }];
-  if (!isLeaderKeyMigrated) puts.push({ key: LEADER_KEY, value: LEADER_KEY_MIGRATED });
+  if (!isLeaderKeyMigrated) puts.push({ key: LEADER_KEY, value: MIGRATION_MARKER });
   return { conditions, puts };
 }
 
-/** Moves the key of the present leader to the one that versions without configuration documents don't know. */
-export const moveLeaderKey = (self: NodeId, lease: StoreLeaseId): LeaderKeyWrite => ({
-  conditions: [{ key: CONFIGURED_LEADER_KEY, revision: ABSENT }],
+/**
+ * Builds the write that moves the present leader from {@link LEADER_KEY} to {@link CONFIGURED_LEADER_KEY},
+ * which versions without configuration documents do not read.
+ */
+export const buildLeaderKeyMigration = (self: NodeId, lease: StoreLeaseId): LeaderKeyWrite => ({
+  conditions: [{ key: CONFIGURED_LEADER_KEY, revision: ABSENT_REVISION }],
   puts: [
     { key: CONFIGURED_LEADER_KEY, value: encodeLeader(self), lease },
-    { key: LEADER_KEY, value: LEADER_KEY_MIGRATED },
+    { key: LEADER_KEY, value: MIGRATION_MARKER },
   ],
 });
--- a/src/core/membership/leader-lease.ts
+++ b/src/core/membership/leader-lease.ts
@@ -1,40 +1,43 @@
-// The lease of the store to which the leader key is attached: its renewal, and until when it protects the
-// leader.
+// Renews the store lease to which the leader key is attached, and tracks until when it protects the leader.
 import { addMs, type Instant, LONG_AGO, type StoreLeaseId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
 import { StorePriority } from '../base/store-request-budget.ts';
 
 /**
- * Duration of the lease. An agent whose heartbeat a leader leaves unanswered waits for 4 s; the next leader
- * should be elected by then, or the agent tries other nodes, which may be dead, at 5 s each.
+ * Duration of the lease. An agent waits 4 s for the response to a heartbeat that the leader does not answer.
+ * The next leader should be elected within that time; otherwise the agent tries other nodes, which may be
+ * down, for 5 s each.
  */
 export const LEADER_LEASE_MS = 3000;
 const RENEW_INTERVAL_MS = 750;
 /**
- * A renewal that is answered late still counts from when it was sent, and the next is sent meanwhile. With a
- * shorter timeout none would ever count while the store takes longer, and there would be no leader although
- * the lease lives on.
+ * A late reply to a renewal still extends the lease, counted from when the renewal was sent, and the next
+ * renewal is sent before it arrives. With a shorter timeout no renewal would count while the store takes
+ * longer to reply, and there would be no leader although the store keeps the lease.
  */
 const RENEW_TIMEOUT_MS = 2700;
 const RENEW_RETRY_MS = 200;
-/** Steady clocks drift apart by at most 0.05%; twice that, and a little for the sender. */
-const CLOCK_DRIFT = 0.001;
+/**
+ * Fraction of the lease that is deducted for clock drift. Monotonic clocks drift apart by at most 0.05%;
+ * twice that leaves a margin for the sender.
+ */
+const CLOCK_DRIFT_FRACTION = 0.001;
 
-/** Learns that the store has ended the lease. */
+/** Is notified when the store reports that the lease has expired. */
 export interface LeaderLeaseListener {
   onLeaseExpired(): void;
 }
 
-/** The lease of this controller while it leads; without one between its terms. */
+/** The lease of this controller's present term; there is none between its terms. */
 export class LeaderLease {
-  /** Until when, on this node's steady clock, no other controller can be elected. */
+  /** Time on this node's monotonic clock until which no other controller can be elected. */
   expiresAt: Instant = LONG_AGO;
-  /** When the last request that the store is known to have served was sent. */
+  /** Send time of the latest lease request that the store is known to have served. */
   confirmedAt: Instant = LONG_AGO;
   private lease: StoreLeaseId | null = null;
   private renewAt: Instant = LONG_AGO;
-  /** Counts beginnings and ends: the reply to a renewal of an earlier term is ignored. */
+  /** Incremented when a term begins or ends: the reply to a renewal of an earlier term is ignored. */
   private generation = 0;
 
   constructor(
@@ -48,7 +51,8 @@
   }
 
   /**
-   * A term begins under this lease; `sentAt`: when the request was sent that granted it or confirmed it last.
+   * Begins a term under this lease. `sentAt` is the send time of the request that granted or last confirmed
+   * it.
    */
   begin(lease: StoreLeaseId, sentAt: Instant): void {
     this.generation++;
@@ -57,14 +61,14 @@
     this.renewAt = LONG_AGO;
   }
 
-  /** The term is over. The lease is not revoked: it expires by itself. */
+  /** Ends the term. The lease is not revoked: it expires by itself. */
   end(): void {
     this.generation++;
     this.lease = null;
     this.expiresAt = LONG_AGO;
   }
 
-  /** Sends the next renewal once it is due. */
+  /** Sends the next renewal if it is due. */
   tick(): void {
     const { io, lease } = this;
     if (lease === null || io.now < this.renewAt) return;
@@ -96,6 +100,6 @@
 
   private confirm(sentAt: Instant): void {
     this.confirmedAt = Math.max(this.confirmedAt, sentAt) as Instant;
-    this.expiresAt = addMs(this.confirmedAt, LEADER_LEASE_MS * (1 - CLOCK_DRIFT));
+    this.expiresAt = addMs(this.confirmedAt, LEADER_LEASE_MS * (1 - CLOCK_DRIFT_FRACTION));
   }
 }
--- a/src/core/membership/peer-registry.ts
+++ b/src/core/membership/peer-registry.ts
@@ -1,5 +1,5 @@
-// The other controllers: which of them are connected, what their versions support, and which revision of the
-// configuration each said last that it applies.
+// Tracks the other controllers: which of them are connected, which features their versions support, and which
+// configuration revision each last reported as applied.
 import type { NodeId, Revision } from '../../types/index.ts';
 import type { PeerMessage, Settings } from '../base/model.ts';
 
@@ -8,38 +8,43 @@
 /** The revision of the configuration that a node applies. */
 export interface PeerConfigRevision {
   node: NodeId;
-  /** Null: it has not said, or is of a version without configuration documents. */
+  /** Null if the node has not reported one, or if its version has no configuration documents. */
   revision: Revision | null;
-  /** Whether this node has a connection to it. */
+  /** Whether this node is connected to it. */
   linked: boolean;
 }
 
-/** What this node knows of the other controllers. */
+/** Connection state, features and applied configuration of the other controllers. */
 export class PeerRegistry {
-  /** Nodes that are connected. */
+  /** Nodes to which this node is connected. */
   readonly connectedPeers = new Set<NodeId>();
-  /** Nodes that take forwarded heartbeats; versions before 0.3 do not. */
+  /** Nodes that accept forwarded heartbeats; versions before 0.3 do not. */
   readonly forwardingPeers = new Set<NodeId>();
-  /** Whether nodes support dependencies, as they said last; versions before 0.2 start such a job at once. */
+  /**
+   * Whether nodes support dependencies, by their last hello. Versions before 0.2 start a job with
+   * dependencies at once.
+   */
   private readonly dependencySupport = new Map<NodeId, boolean>();
-  /** Whether nodes support configuration documents, as they said last; versions before 0.9 do not say. */
+  /**
+   * Whether nodes support configuration documents, by their last hello; versions before 0.9 do not report it.
+   */
   private readonly documentSupport = new Map<NodeId, boolean>();
   private readonly appliedRevisions = new Map<NodeId, Revision>();
 
   constructor(private readonly peers: Settings['peers']) {}
 
-  /** The connection to a node has come up. */
+  /** The connection to a node has been established. */
   onConnected(node: NodeId): void {
     this.connectedPeers.add(node);
   }
 
-  /** The connection to a node has broken. */
+  /** The connection to a node has been lost. */
   onDisconnected(node: NodeId): void {
     this.connectedPeers.delete(node);
     this.forwardingPeers.delete(node);
   }
 
-  /** Returns whether the node is now known to be of a version without dependencies, and was not before. */
+  /** Returns whether the node is now known not to support dependencies and was not known to before. */
   onHello(hello: Hello): boolean {
     const { node, supportsDependencies } = hello;
     this.documentSupport.set(node, hello.supportsConfigDocuments);
@@ -51,8 +56,9 @@
   }
 
   /**
-   * The node has sent its load. It says hello only when its own connection comes up; after this node's
-   * connection alone broke, its load says as much.
+   * The node has sent its load and the configuration revision that it applies. It sends a hello only when its
+   * own connection is established. If only this node's connection was lost, no hello follows; the load
+   * message then shows that the node accepts forwarded heartbeats.
    */
   onLoad(node: NodeId, applied: Revision): void {
     this.forwardingPeers.add(node);
@@ -60,18 +66,19 @@
   }
 
   /**
-   * Connected nodes not known to support dependencies; one that has just come up says hello within a second.
+   * Connected nodes not known to support dependencies; a newly connected node sends its hello within a
+   * second.
    */
   peersWithoutDependencies(): NodeId[] {
     return [...this.connectedPeers].filter((node) => this.dependencySupport.get(node) !== true);
   }
 
-  /** Null: nothing was received from it since this node started. */
+  /** Null if no hello was received from the node since this node started. */
   supportsConfigDocuments(node: NodeId): boolean | null {
     return this.documentSupport.get(node) ?? null;
   }
 
-  /** What each of the other nodes applies. */
+  /** The configuration revision that each of the other nodes applies. */
   configRevisions(): PeerConfigRevision[] {
     return this.peers.map(({ node }) => ({
       node,
--- a/src/core/membership/shard-watch.ts
+++ b/src/core/membership/shard-watch.ts
@@ -1,5 +1,6 @@
-// Watches the keys of the shard in the store: the leader key, and beside it the last failover and the newest
-// change of the configuration. Whenever the watch may have missed a change, the keys are listed again.
+// Watches the keys of the shard in the store: the leader keys, the record of the last failover, and the
+// notification of the newest configuration change. The keys are listed again whenever the watch may have
+// missed a change.
 import { addMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, StoreReply } from '../base/model.ts';
@@ -20,39 +21,39 @@
 } from '../storage/shard-records.ts';
 
 const RETRY_DELAY_MS = 300;
-const WATCH_MS = 10_000;
-/** With configuration documents a broken watch must be noticed sooner, as it brings the news of changes. */
-const CONFIGURED_WATCH_MS = 4000;
-/** How much longer than the watch itself its reply is waited for. */
+const WATCH_DURATION_MS = 10_000;
+/**
+ * With configuration documents a broken watch must be detected sooner, as the watch reports their changes.
+ */
+const CONFIGURED_WATCH_DURATION_MS = 4000;
+/** Time allowed for the reply to a watch beyond the duration of the watch. */
 const WATCH_REPLY_GRACE_MS = 3000;
 
-/** Receives what the watch finds. */
+/** Receives changes of the shard's keys. */
 export interface ShardWatchListener {
-  /** The leader key names this controller. */
+  /** The leader key names `leader`. */
   onLeaderFound(leader: LeaderRecord): void;
   /** There was no leader key as of this revision. */
   onLeaderMissing(asOf: Revision): void;
-  /** The newest change of the configuration was made at this revision. */
+  /** The newest configuration change was made at this revision. */
   onConfigurationChanged(revision: Revision): void;
 }
 
-/** The view of the shard's keys that one controller has. */
+/** One controller's view of the shard's keys. */
 export class ShardWatch {
-  /** The last failover that was completed. */
+  /** The last completed failover. */
   lastRecovery: RecoveryRecord | null = null;
-  /** Revision of the newest change of the configuration; 0 without any. */
+  /** Revision of the newest configuration change; 0 if there is none. */
   configRevision = 0 as Revision;
-  /** The leader key is the one that versions without configuration documents don't know. */
+  /** The leader key is the one that versions without configuration documents do not read. */
   isLeaderKeyMigrated = false;
-  /**
-   * After a failure no request about the shard is sent before this: neither of the watch nor of a candidacy.
-   */
+  /** Earliest time of the next request after a failure, for the watch and for a candidacy. */
   retryAt: Instant = LONG_AGO;
   private isRequestOpen = false;
-  /** Numbers the requests: the reply to one that was sent before a resync is ignored. */
-  private lastRequest = 0;
-  /** The keys are known as of this revision; null: they have to be listed. */
-  private knownAsOf: Revision | null = null;
+  /** Number of the last request; the reply to a request that was sent before a resync is ignored. */
+  private lastRequestNumber = 0;
+  /** Revision as of which the keys are known; null if they have to be listed. */
+  private syncedRevision: Revision | null = null;
 
   constructor(
     private readonly io: ControllerIo,
@@ -64,9 +65,9 @@
     return this.isLeaderKeyMigrated ? CONFIGURED_LEADER_KEY : LEADER_KEY;
   }
 
-  /** The store has replied to this node since it last failed to. */
+  /** Whether the keys have been listed since the last resync or broken watch. */
   get isSynced(): boolean {
-    return this.knownAsOf !== null;
+    return this.syncedRevision !== null;
   }
 
   /** Lists or watches the keys unless a request is open. */
@@ -75,16 +76,17 @@
   }
 
   /**
-   * Lists the keys again, and at once. An open watch tells only of changes since it began: left to end, it
-   * would make this node wait for a change that may never come, while there is no leader.
+   * Has the next tick list the keys again, even if a request is open. An open watch reports only changes
+   * since it began: a node that waited for its reply might wait for a change that never comes, while there is
+   * no leader.
    */
   resync(): void {
-    this.knownAsOf = null;
+    this.syncedRevision = null;
     this.isRequestOpen = false;
-    this.lastRequest++;
+    this.lastRequestNumber++;
   }
 
-  /** Sends nothing about the shard for a while, of which up to `jitterMs` is random. */
+  /** Delays further requests about the shard; up to `jitterMs` of the delay is random. */
   backOff(jitterMs: Millis): void {
     this.retryAt = addMs(this.io.now, RETRY_DELAY_MS + this.io.random.below(jitterMs));
   }
@@ -92,24 +94,24 @@
   private sendRequest(): void {
     if (this.io.now < this.retryAt) return;
     this.isRequestOpen = true;
-    const request = ++this.lastRequest;
-    if (this.knownAsOf === null) this.sendList(request);
-    else this.sendWatch(request, this.knownAsOf);
+    const requestNumber = ++this.lastRequestNumber;
+    if (this.syncedRevision === null) this.sendList(requestNumber);
+    else this.sendWatch(requestNumber, this.syncedRevision);
   }
 
-  private sendList(request: number): void {
+  private sendList(requestNumber: number): void {
     this.io.store({ kind: 'list', prefix: SHARD_PREFIX, after: null }, StorePriority.lease, (reply) => {
-      if (request === this.lastRequest) this.onListed(reply);
+      if (requestNumber === this.lastRequestNumber) this.onListed(reply);
     });
   }
 
-  private sendWatch(request: number, after: Revision): void {
-    const waitMs = this.configRevision > 0 ? CONFIGURED_WATCH_MS : WATCH_MS;
+  private sendWatch(requestNumber: number, after: Revision): void {
+    const waitMs = this.configRevision > 0 ? CONFIGURED_WATCH_DURATION_MS : WATCH_DURATION_MS;
     this.io.store(
       { kind: 'watch', prefix: SHARD_PREFIX, after, waitMs },
       StorePriority.lease,
       (reply) => {
-        if (request === this.lastRequest) this.onWatched(reply);
+        if (requestNumber === this.lastRequestNumber) this.onWatched(reply);
       },
       waitMs + WATCH_REPLY_GRACE_MS,
     );
@@ -121,7 +123,7 @@
       this.backOff(RETRY_DELAY_MS);
       return;
     }
-    this.knownAsOf = reply.revision;
+    this.syncedRevision = reply.revision;
     this.readOtherKeys(reply.items);
     const leaderItem = reply.items.find((item) => item.key === this.leaderKey);
     if (leaderItem !== undefined) this.readLeader(leaderItem);
@@ -133,25 +135,25 @@
     this.isRequestOpen = false;
     if (reply.kind !== 'changes') {
       this.backOff(RETRY_DELAY_MS);
-      // A watch that broke may have missed that the leader key was deleted.
-      if (reply.kind !== 'refused') this.knownAsOf = null;
+      // A broken watch may have missed the deletion of the leader key.
+      if (reply.kind !== 'refused') this.syncedRevision = null;
       return;
     }
-    this.knownAsOf = reply.revision;
-    const previousKey = this.leaderKey;
+    this.syncedRevision = reply.revision;
+    const previousLeaderKey = this.leaderKey;
     this.readOtherKeys(reply.puts);
     const leaderItem = reply.puts.filter((item) => item.key === this.leaderKey).at(-1);
-    const wasDeleted = reply.deletes.includes(this.leaderKey);
-    // The leader may have been on record under the other key before this watch began.
-    if (previousKey !== this.leaderKey && leaderItem === undefined) this.knownAsOf = null;
+    const wasLeaderKeyDeleted = reply.deletes.includes(this.leaderKey);
+    // The leader may have been stored under the new leader key before this watch began.
+    if (previousLeaderKey !== this.leaderKey && leaderItem === undefined) this.syncedRevision = null;
     if (leaderItem !== undefined) this.readLeader(leaderItem);
-    if (wasDeleted && leaderItem === undefined) this.listener.onLeaderMissing(reply.revision);
-    // Which of the two came last is not told: list the keys again.
-    if (wasDeleted && leaderItem !== undefined) this.knownAsOf = null;
+    if (wasLeaderKeyDeleted && leaderItem === undefined) this.listener.onLeaderMissing(reply.revision);
+    // The reply does not show whether the put or the delete came last: list the keys again.
+    if (wasLeaderKeyDeleted && leaderItem !== undefined) this.syncedRevision = null;
     this.sendRequest();
   }
 
-  /** Reads the keys that stand beside the leader key. */
+  /** Reads the keys of the shard other than the leader key. */
   private readOtherKeys(items: StoreItem[]): void {
     const recovery = items.find((item) => item.key === LAST_RECOVERY_KEY);
     if (recovery !== undefined) this.lastRecovery = decodeRecoveryRecord(recovery);
