--- a/src/core/storage/dependency-status.ts
+++ b/src/core/storage/dependency-status.ts
@@ -1,16 +1,17 @@
-// Whether a job is cancelled through its dependencies, read from the store. A job is cancelled when any of
-// its dependencies is, through any number of others, though its own record does not say so.
+// Determines from the store whether a job is cancelled through its dependencies. A job is cancelled when any
+// of its direct or indirect dependencies is, although its own record does not show it.
 import type { JobId } from '../../types/index.ts';
 import type { JobReads } from './job-reads.ts';
 
 /**
- * What the dependencies make of a job. `queued`: none was cancelled when it was read, later than the job's
- * own record. `unavailable`: the store has not replied. `limited`: there are too many to read now.
+ * Status of a job by its dependencies. `queued`: no dependency was cancelled when it was read, which was
+ * after the job's own record was read. `unavailable`: the store did not reply as expected. `limited`: there
+ * are more dependencies than may be read now.
  */
 export type DependencyStatus = 'queued' | 'cancelled' | 'unavailable' | 'limited';
 
-/** Jobs read to answer one question. */
-const MAX_READS = 50;
+/** Limit of the jobs that are read for one status. */
+const MAX_DEPENDENCY_READS = 50;
 
 type DependencyRead =
   | { kind: 'done' }
@@ -19,13 +20,13 @@
   | { kind: 'unavailable' };
 
 /**
- * Reads the dependencies of a job, and theirs in turn, until one is found to be cancelled; `takeRead` says
- * whether one more may be read now.
+ * Reads the direct and indirect dependencies of a job until one is found to be cancelled. `tryTakeBudget`
+ * returns whether one more job may be read now, and deducts it from the budget if so.
  */
 export function readDependencyStatus(
   reads: JobReads,
   dependsOn: readonly JobId[],
-  takeRead: () => boolean,
+  tryTakeBudget: () => boolean,
   onResult: (status: DependencyStatus) => void,
 ): void {
   const seen = new Set(dependsOn);
@@ -41,7 +42,7 @@
   const readNext = (): void => {
     const id = unread.pop();
     if (id === undefined) return onResult('queued');
-    if (++readCount > MAX_READS || !takeRead()) return onResult('limited');
+    if (++readCount > MAX_DEPENDENCY_READS || !tryTakeBudget()) return onResult('limited');
     readDependency(reads, id, true, (read) => {
       if (read.kind === 'unavailable' || read.kind === 'cancelled') return onResult(read.kind);
       if (read.kind === 'open') addUnseen(read.dependsOn);
@@ -52,8 +53,8 @@
 }
 
 /**
- * Reads one dependency; the final state first. A job that has neither may have ended between the two reads,
- * so the final state is then read once more.
+ * Reads one dependency: first its final state, then its open record. If neither exists, the job may have
+ * ended between the two reads, so the reads are repeated once.
  */
 function readDependency(
   reads: JobReads,
--- a/src/core/storage/fenced-writer.ts
+++ b/src/core/storage/fenced-writer.ts
@@ -1,4 +1,4 @@
-// Carries out the leader's writes: batched into one transaction at a time, each conditional on the term.
+// Executes the leader's writes in batches: one transaction at a time, each conditional on the term.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreLimits, StoreReply } from '../base/model.ts';
@@ -20,42 +20,42 @@
 
 const RETRY_DELAY_MS = 250;
 
-/** The writes of one term. A write ends only when it is known what became of it, or with the term. */
+/** Executes the writes of one term. A write gets its result once its outcome is known or the term is over. */
 export class FencedWriter {
-  /** Since when the store has refused or not answered; null while it serves. */
+  /** Since when the store has refused requests or not replied; null while it serves them. */
   unavailableSince: Instant | null = null;
   readonly limits: StoreLimits;
   private queue: FencedWrite[] = [];
   private inFlight: FencedWrite[] | null = null;
-  private notBefore: Instant = LONG_AGO;
-  private writeIds = 0;
+  private nextSendAt: Instant = LONG_AGO;
+  private lastWriteNumber = 0;
   private readonly replyTimeout = new ReplyTimeout();
   private readonly rate: WriteRate;
 
-  /** `onLost` is called when a write finds that the term is over. */
+  /** `onSuperseded` is called when a write fails because the term is over. */
   constructor(
     private readonly io: ControllerIo,
     settings: Settings,
     private readonly fencingCondition: FencingCondition,
-    private readonly onLost: () => void,
+    private readonly onSuperseded: () => void,
   ) {
     this.limits = settings.store;
     this.rate = new WriteRate(settings);
   }
 
-  /** Bytes that one value may have. */
+  /** Largest size of a value, in bytes. */
   get maxValueBytes(): number {
     return this.limits.maxValueKb * 1024;
   }
 
-  /** Number of writes that have not ended. */
+  /** Number of writes that are queued or in flight. */
   get backlog(): number {
     return this.queue.length + (this.inFlight?.length ?? 0);
   }
 
   /** A new idempotency key, unique across terms. */
   nextWriteId(): string {
-    return `${this.fencingCondition.revision}.${++this.writeIds}`;
+    return `${this.fencingCondition.revision}.${++this.lastWriteNumber}`;
   }
 
   /** Queues a write; its `onResult` is called once. */
@@ -65,7 +65,7 @@
     this.sendNext();
   }
 
-  /** Sends what waits for its turn, for the rate or for a retry. */
+  /** Sends queued writes that waited for the rate limit or for the retry delay. */
   tick(): void {
     this.rate.tick(this.io.now);
     this.sendNext();
@@ -73,7 +73,7 @@
 
   private sendNext(): void {
     const { io } = this;
-    if (this.inFlight !== null || this.queue.length === 0 || io.now < this.notBefore) return;
+    if (this.inFlight !== null || this.queue.length === 0 || io.now < this.nextSendAt) return;
     const size = batchSize(this.queue, this.limits);
     const batch = this.queue.slice(0, size);
     if (!this.rate.take(io.now, countChanges(batch))) return;
@@ -96,9 +96,9 @@
     );
   }
 
-  private onReply(batch: FencedWrite[], reply: StoreReply, tookMs: Millis): void {
+  private onReply(batch: FencedWrite[], reply: StoreReply, replyTimeMs: Millis): void {
     if (reply.kind === 'no-answer') this.replyTimeout.onNoReply();
-    else this.replyTimeout.onReply(tookMs);
+    else this.replyTimeout.onReply(replyTimeMs);
     this.inFlight = null;
     if (reply.kind === 'committed') this.onCommitted(batch, reply.revision);
     else if (reply.kind === 'conflict') this.onConflict(batch, reply.failed);
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Refused or unanswered: the same batch again. Its conditions let at most one of the copies through,
-   * however late the first one is carried out; a conflict is then resolved by reading.
+   * Queues a batch again that was refused or got no reply. Its conditions allow only one of the copies to be
+   * carried out, however late the first one is; the conflict of another copy is resolved by reading.
    */
   private retry(batch: FencedWrite[], reply: StoreReply): void {
     const isOverRate = reply.kind === 'refused' && reply.busy;
@@ -125,10 +125,13 @@
       else markNotCarriedOut(write);
     }
     this.queue.unshift(...batch);
-    this.notBefore = addMs(this.io.now, RETRY_DELAY_MS);
+    this.nextSendAt = addMs(this.io.now, RETRY_DELAY_MS);
   }
 
-  /** One bad write must not fail the others of its transaction: each is sent again in one of its own. */
+  /**
+   * Sends each write of a rejected transaction again in a transaction of its own, so that one faulty write
+   * does not fail the others.
+   */
   private onRejected(batch: FencedWrite[], reason: string): void {
     if (batch.length > 1) {
       for (const write of batch) {
@@ -148,13 +151,13 @@
     this.unavailableSince = null;
     if (failedKeys.includes(this.fencingCondition.key)) {
       for (const write of [...batch, ...this.queue.splice(0)]) write.onResult({ kind: 'lost' });
-      this.onLost();
+      this.onSuperseded();
       return;
     }
     const failed = new Set(failedKeys);
     const unaffected: FencedWrite[] = [];
     for (const write of batch) {
-      if (write.conditions.some((condition) => failed.has(condition.key))) this.settleConflict(write);
+      if (write.conditions.some((condition) => failed.has(condition.key))) this.resolveConflict(write);
       else {
         markNotCarriedOut(write);
         unaffected.push(write);
@@ -164,24 +167,24 @@
   }
 
   /**
-   * A condition of the write failed: either an earlier copy of it was carried out, or something else is on
-   * record.
+   * Resolves a failed condition of the write by reading: either an earlier copy of the write was carried out,
+   * or another value is stored.
    */
-  private settleConflict(write: FencedWrite): void {
+  private resolveConflict(write: FencedWrite): void {
     this.io.store({ kind: 'get', key: write.verifyKey }, StorePriority.leader, (reply) => {
       const result = conflictResult(write, reply);
       if (result !== null) {
         write.onResult(result);
         return;
       }
-      this.notBefore = addMs(this.io.now, RETRY_DELAY_MS);
+      this.nextSendAt = addMs(this.io.now, RETRY_DELAY_MS);
       this.queue.unshift(write);
     });
   }
 }
 
 /**
- * What became of a write whose condition failed, by what its `verifyKey` holds; null if that could not be
+ * The result of a write whose condition failed, by the value of its `verifyKey`; null if that could not be
  * read.
  */
 function conflictResult(write: FencedWrite, reply: StoreReply): WriteResult | null {
--- a/src/core/storage/job-reads.ts
+++ b/src/core/storage/job-reads.ts
@@ -1,4 +1,4 @@
-// Reads single jobs from the store: the record of an open job, with its further values, and the final state
+// Reads single jobs from the store: the record of an open job, with its dependency parts, and the final state
 // of an ended one.
 import type { JobId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
@@ -14,10 +14,10 @@
 } from './job-record.ts';
 import { FINAL_STATE_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
-/** What a read has found; `unavailable` when the store has not replied as it should. */
+/** Result of a read; `unavailable` if the store did not reply as expected. */
 export type RecordRead<T> = { kind: 'found'; record: T } | { kind: 'missing' } | { kind: 'unavailable' };
 
-/** Reads of single jobs, one request to the store for each value. */
+/** Reads single jobs, with one request to the store for each value. */
 export class JobReads {
   constructor(private readonly io: ControllerIo) {}
 
@@ -31,7 +31,10 @@
     this.get(OPEN_JOB_PREFIX + id, (reply) => onResult(decodeReply(reply, decodeJobRecord)));
   }
 
-  /** All dependencies of a job, with the further values of its record; null when they cannot be read. */
+  /**
+   * Reads all dependencies of a job: those in its record and those in its dependency parts. The result is
+   * null if a part cannot be read.
+   */
   readDependencies(record: JobRecord, onResult: (dependsOn: JobId[] | null) => void): void {
     const dependsOn = [...(record.spec.dependsOn ?? [])];
     const partKeys = dependencyPartKeys(record.spec.id, record.dependencyParts);
--- a/src/core/storage/job-record-reader.ts
+++ b/src/core/storage/job-record-reader.ts
@@ -1,6 +1,6 @@
-// Answers questions about jobs that this controller does not have in memory, from the store. Many questions
-// at once are sorted by one transaction that only compares; the records of those that exist are then read one
-// by one.
+// Answers status queries from the store for jobs that this controller does not have in memory. One
+// transaction that only compares finds out for a batch of queries which jobs have a record; these records are
+// then read one by one.
 import type { JobId, Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Settings, StoreCondition, StoreReply, UserResponse } from '../base/model.ts';
@@ -16,16 +16,16 @@
   respond: (response: UserResponse) => void;
 }
 
-const MAX_WAITING = 300;
+const MAX_PENDING_QUERIES = 300;
 const MAX_CACHED_FINAL_STATES = 20_000;
-const MAX_BATCH = 40;
+const MAX_BATCH_JOBS = 40;
 const COMPARE_TIMEOUT_MS = 1200;
-/** Part of the store's request budget that one node may use for these reads. */
+/** Fraction of the store's request budget that one node may use for these reads. */
 const BUDGET_FRACTION = 0.15;
 
-/** Reads the status of jobs from the store, and remembers final states. */
+/** Reads the status of jobs from the store, and caches final states. */
 export class JobRecordReader {
-  private waiting: StatusQuery[] = [];
+  private pendingQueries: StatusQuery[] = [];
   private isComparing = false;
   private readonly finalStates = new Map<JobId, 'done' | 'cancelled'>();
   private readonly budget: TokenBucket;
@@ -37,24 +37,24 @@
     settings: Settings,
   ) {
     const { maxTransactionOps, requestsPerS } = settings.store;
-    this.batchSize = Math.max(1, Math.min(MAX_BATCH, maxTransactionOps * 2 - 2));
+    this.batchSize = Math.max(1, Math.min(MAX_BATCH_JOBS, maxTransactionOps * 2 - 2));
     const rate = Math.max(1, requestsPerS * BUDGET_FRACTION);
     this.budget = new TokenBucket(rate, rate);
     this.reads = new JobReads(io);
   }
 
-  /** Number of questions that wait to be read. */
+  /** Number of queued status queries. */
   get backlog(): number {
-    return this.waiting.length;
+    return this.pendingQueries.length;
   }
 
-  /** The remembered final state of a job; null if it has none or is not remembered. It never changes. */
+  /** The cached final state of a job, which never changes; null if it has none or it is not cached. */
   cachedFinalState(id: JobId): UserResponse | null {
     const status = this.finalStates.get(id);
     return status === undefined ? null : { kind: 'ended', id, status };
   }
 
-  /** Remembers the final state that a response tells, if any. */
+  /** Caches the final state in a response, if it contains one. */
   cacheFinalState(response: UserResponse): void {
     if (response.kind !== 'ended') return;
     this.finalStates.set(response.id, response.status);
@@ -64,23 +64,26 @@
   }
 
   /**
-   * Answers what the status of a job is: `status`, `ended`, `not-found`, or `retry` when it cannot be read
-   * now.
+   * Responds with the status of a job: `status`, `ended`, `not-found`, or `retry` if it cannot be read now.
    */
   readStatus(id: JobId, respond: (response: UserResponse) => void): void {
-    const known = this.cachedFinalState(id);
-    if (known !== null) return respond(known);
-    if (this.waiting.length >= MAX_WAITING) return respond(retryLater('too many questions at once', 2, true));
-    this.waiting.push({ id, respond });
+    const cached = this.cachedFinalState(id);
+    if (cached !== null) return respond(cached);
+    if (this.pendingQueries.length >= MAX_PENDING_QUERIES)
+      return respond(retryLater('too many questions at once', 2, true));
+    this.pendingQueries.push({ id, respond });
     this.sendNext();
   }
 
-  /** Sends what waits for the budget. */
+  /** Sends queued queries as far as the request budget allows. */
   tick(): void {
     this.sendNext();
   }
 
-  /** Which of the jobs were ever accepted, as the store says; null when that cannot be known now. */
+  /**
+   * Finds out from the store which of the jobs were ever accepted, and of these which are `open` and which
+   * are `over` (have ended). The result is null if that cannot be determined now.
+   */
   findExisting(ids: JobId[], onResult: (found: Map<JobId, 'open' | 'over'> | null) => void): void {
     const found = new Map<JobId, 'open' | 'over'>();
     const compareFrom = (start: number): void => {
@@ -100,7 +103,10 @@
     compareFrom(0);
   }
 
-  /** The first service among open jobs, null if there is none, `unclear` when that cannot be known now. */
+  /**
+   * Finds the first service among open jobs. The result is null if there is none, and `unclear` if that
+   * cannot be determined now.
+   */
   findFirstService(ids: JobId[], onResult: (id: JobId | 'unclear' | null) => void): void {
     const [id, ...rest] = ids;
     if (id === undefined) return onResult(null);
@@ -108,23 +114,23 @@
     this.reads.readOpenJob(id, (open) => {
       if (open.kind === 'unavailable') return onResult('unclear');
       if (open.kind === 'found' && open.record.spec.kind === 'service') return onResult(id);
-      // What is no longer open was no service, or was cancelled.
+      // A job that is no longer open was not a service, or was cancelled.
       this.findFirstService(rest, onResult);
     });
   }
 
-  /** Answers a submission of a job that is on record already. */
+  /** Responds to a submission of a job that is already stored. */
   answerRepeatedSubmission(id: JobId, respond: (response: UserResponse) => void): void {
     this.readStatus(id, (response) => {
-      const isGone = response.kind === 'not-found';
-      respond(isGone ? retryLater('the job is changing') : asSubmissionResponse(response));
+      const isNotFound = response.kind === 'not-found';
+      respond(isNotFound ? retryLater('the job is changing') : asSubmissionResponse(response));
     });
   }
 
   private sendNext(): void {
-    if (this.isComparing || this.waiting.length === 0 || !this.budget.take(this.io.now)) return;
+    if (this.isComparing || this.pendingQueries.length === 0 || !this.budget.take(this.io.now)) return;
     this.isComparing = true;
-    const batch = this.waiting.splice(0, this.batchSize);
+    const batch = this.pendingQueries.splice(0, this.batchSize);
     this.io.store(
       compareRequest(batch.map((query) => query.id)),
       StorePriority.query,
@@ -169,8 +175,8 @@
 
   private answerFromDependencies(query: StatusQuery, dependsOn: JobId[] | null): void {
     if (dependsOn === null) return query.respond(storeUnavailable());
-    const takeRead = (): boolean => this.budget.take(this.io.now);
-    readDependencyStatus(this.reads, dependsOn, takeRead, (status) =>
+    const tryTakeBudget = (): boolean => this.budget.take(this.io.now);
+    readDependencyStatus(this.reads, dependsOn, tryTakeBudget, (status) =>
       this.respondByDependencies(query, status),
     );
   }
@@ -191,16 +197,16 @@
 
 const storeUnavailable = (): UserResponse => retryLater('the state service does not answer');
 
-/** A transaction that changes nothing: it fails with the keys of those jobs that were ever accepted. */
+/** A transaction without changes. It fails with the existing keys of the jobs that were ever accepted. */
 const compareRequest = (ids: JobId[]) => ({
   kind: 'compare-and-swap' as const,
-  conditions: ids.flatMap(neverAccepted),
+  conditions: ids.flatMap(neverAcceptedConditions),
   puts: [],
   deletes: [],
 });
 
-/** True of a job that was never accepted. */
-const neverAccepted = (id: JobId): StoreCondition[] =>
+/** Conditions that hold if a job was never accepted. */
+const neverAcceptedConditions = (id: JobId): StoreCondition[] =>
   [OPEN_JOB_PREFIX, FINAL_STATE_PREFIX].map((prefix) => ({ key: prefix + id, revision: 0 as Revision }));
 
 const existingKeys = (reply: StoreReply): Set<string> =>
--- a/src/core/storage/job-record.ts
+++ b/src/core/storage/job-record.ts
@@ -1,12 +1,13 @@
-// How jobs and their final states are stored. A job's record is one value, and further ones for a list of
-// dependencies that is longer than a value may be; all are written in one transaction and deleted in one, so
-// whoever finds the first finds the rest. The field names of the stored form belong to this module alone.
+// Stored form of jobs and of their final states. The record of a job is one value; if its list of
+// dependencies does not fit, the rest of the list is in further values, the dependency parts. All values are
+// written in one transaction and deleted in one, so a reader that finds the first finds the rest. No other
+// module uses the field names of the stored form.
 import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
 import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
 import { jsonBytes, TRANSACTION_MAX_BYTES } from './json-size.ts';
 import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
 
-/** A job's specification as it is stored, and as controllers pass it to each other. */
+/** A job's specification as it is stored, and as controllers send it to each other. */
 export interface StoredJobSpec {
   id: JobId;
   class: string;
@@ -28,11 +29,11 @@
   checkpointS: number;
   saveS: number;
   deadlineS: number | null;
-  /** Absent when there are none, as in records of versions before 0.2. */
+  /** Absent if there are no dependencies, as in records of versions before 0.2. */
   awaits?: JobId[];
 }
 
-/** The stored form; its fields are in the order in which every version writes them. */
+/** Encodes a specification; the fields are in the order in which every version writes them. */
 export const encodeJobSpec = (spec: JobSpec): StoredJobSpec => ({
   id: spec.id,
   class: spec.class,
@@ -57,7 +58,7 @@
   ...(spec.dependsOn === undefined ? {} : { awaits: spec.dependsOn }),
 });
 
-/** The specification that a stored form stands for. */
+/** Decodes a stored specification. */
 export const decodeJobSpec = (stored: StoredJobSpec): JobSpec => ({
   id: stored.id,
   class: stored.class,
@@ -82,15 +83,15 @@
   ...(stored.awaits === undefined ? {} : { dependsOn: stored.awaits }),
 });
 
-/** What is on record of a job that has not ended. */
+/** Stored record of a job that has not ended. */
 export interface JobRecord {
   spec: JobSpec;
   acceptedAt: WallTime;
-  /** Its cancellation was confirmed; its tasks may still be stopping. */
+  /** The cancellation was confirmed to the user; tasks may still be stopping. */
   cancelled: boolean;
   /** Idempotency key of the write that made this value. */
   writeId: string;
-  /** Number of further values, each with a part of the dependencies. */
+  /** Number of further values, each with some of the dependencies. */
   dependencyParts: number;
 }
 
@@ -102,7 +103,7 @@
   x?: number;
 }
 
-/** The value under the job's key. */
+/** The value that is stored under the job's key. */
 export const encodeJobRecord = (record: JobRecord): StoredJobRecord => ({
   s: encodeJobSpec(record.spec),
   t: record.acceptedAt,
@@ -111,7 +112,7 @@
   ...(record.dependencyParts > 0 ? { x: record.dependencyParts } : {}),
 });
 
-/** The record that was read under a job's key; without the dependencies in its further values. */
+/** Decodes the value under a job's key; the result lacks the dependencies in the dependency parts. */
 export function decodeJobRecord(item: StoreItem): JobRecord {
   const stored = item.value as StoredJobRecord;
   return {
@@ -123,7 +124,7 @@
   };
 }
 
-/** What is on record of a job that has ended. */
+/** Stored final state of a job that has ended. */
 export interface FinalState {
   status: 'done' | 'cancelled';
   /** Idempotency key of the write that made this value. */
@@ -138,78 +139,83 @@
   t?: WallTime;
 }
 
-/** The value under the job's key. */
+/** The value that is stored under the key of the job's final state. */
 export const encodeFinalState = (final: FinalState): StoredFinalState => ({
   s: final.status,
   w: final.writeId,
   ...(final.endedAt === null ? {} : { t: final.endedAt }),
 });
 
-/** The final state that was read. */
+/** Decodes the value under the key of a job's final state. */
 export function decodeFinalState(item: StoreItem): FinalState {
   const stored = item.value as StoredFinalState;
   return { status: stored.s, writeId: stored.w, endedAt: stored.t ?? null };
 }
 
-/** A part of a job's dependencies, in a further value. */
+/** A dependency part: a further value with some of a job's dependencies. */
 interface StoredDependencyPart {
   a: JobId[];
 }
 
 const encodeDependencyPart = (dependsOn: JobId[]): StoredDependencyPart => ({ a: dependsOn });
 
-/** The dependencies in one of the further values. */
+/** The dependencies in a dependency part. */
 export const dependenciesInPart = (item: StoreItem): JobId[] => (item.value as StoredDependencyPart).a;
 
-/** The keys of the further values of a job that has so many. */
+/** The keys of a job's dependency parts; `parts` is their number. */
 export const dependencyPartKeys = (id: JobId, parts: number): string[] =>
   Array.from({ length: parts }, (_, index) => `${DEPENDENCY_PART_PREFIX}${id}/${index + 1}`);
 
-/** Bytes left free for the cancellation mark and the number of parts, which may be added later. */
+/** Bytes kept free for the cancellation mark and the number of parts, which may be added later. */
 const RESERVED_BYTES = 32;
-/** What an id takes in a list beside itself: two quotes and a comma. */
+/** Bytes that an id takes in a JSON list in addition to its own: two quotes and a comma. */
 const ID_OVERHEAD_BYTES = 3;
-/** When a job has ended, one change is made for each of its values, and two more. */
-const OTHER_CHANGES = 2;
+/**
+ * Changes in the transaction that ends a job, in addition to one deletion for each dependency part: its
+ * record is deleted and its final state put.
+ */
+const OTHER_FINAL_CHANGES = 2;
 
-/** What is to be stored for a new job; null when one transaction cannot hold it. */
+/** The values to store for a new job; null if they do not fit into one transaction. */
 export function jobRecordPuts(record: JobRecord, limits: StoreLimits): StorePut[] | null {
   const maxBytes = Math.floor(limits.maxValueKb * 1024) - RESERVED_BYTES;
   const key = OPEN_JOB_PREFIX + record.spec.id;
   const value = encodeJobRecord(record);
   if (jsonBytes(value) <= maxBytes) return [{ key, value }];
-  const [first, ...more] = splitDependencies(value, maxBytes);
-  // The first value names at least one, so that a reader who knows no parts sees a job that waits.
-  if (first === undefined || first.length === 0) return null;
-  if (more.length + OTHER_CHANGES > limits.maxTransactionOps) return null;
-  const firstValue = { ...value, s: { ...value.s, awaits: first }, x: more.length };
-  const partKeys = dependencyPartKeys(record.spec.id, more.length);
+  const [ownDependencies, ...dependencyParts] = splitDependencies(value, maxBytes);
+  // The first value contains at least one dependency: a version that does not support dependency parts then
+  // still detects that the job waits for others.
+  if (ownDependencies === undefined || ownDependencies.length === 0) return null;
+  if (dependencyParts.length + OTHER_FINAL_CHANGES > limits.maxTransactionOps) return null;
+  const firstValue = { ...value, s: { ...value.s, awaits: ownDependencies }, x: dependencyParts.length };
+  const partKeys = dependencyPartKeys(record.spec.id, dependencyParts.length);
   const puts: StorePut[] = [
     { key, value: firstValue },
-    ...more.map((ids, index) => ({ key: partKeys[index]!, value: encodeDependencyPart(ids) })),
+    ...dependencyParts.map((ids, index) => ({ key: partKeys[index]!, value: encodeDependencyPart(ids) })),
   ];
   return jsonBytes(puts) <= TRANSACTION_MAX_BYTES ? puts : null;
 }
 
 /**
- * The dependencies in portions of which the first fits the job's own value and each other a value of its own.
+ * Splits the dependencies into portions: the first fits into the job's own value, each other one into a
+ * further value.
  */
 function splitDependencies(value: StoredJobRecord, maxBytes: number): JobId[][] {
   const { awaits = [], ...rest } = value.s;
-  const parts: JobId[][] = [];
+  const portions: JobId[][] = [];
   const partMaxBytes = maxBytes - jsonBytes(encodeDependencyPart([]));
-  let leftBytes = maxBytes - jsonBytes({ ...value, s: { ...rest, awaits: [] } });
-  let part: JobId[] = [];
+  let remainingBytes = maxBytes - jsonBytes({ ...value, s: { ...rest, awaits: [] } });
+  let portion: JobId[] = [];
   for (const id of awaits) {
     const idBytes = id.length + ID_OVERHEAD_BYTES;
-    leftBytes -= idBytes;
-    if (leftBytes < 0) {
-      parts.push(part);
-      part = [];
-      leftBytes = partMaxBytes - idBytes;
+    remainingBytes -= idBytes;
+    if (remainingBytes < 0) {
+      portions.push(portion);
+      portion = [];
+      remainingBytes = partMaxBytes - idBytes;
     }
-    part.push(id);
+    portion.push(id);
   }
-  parts.push(part);
-  return parts;
+  portions.push(portion);
+  return portions;
 }
--- a/src/core/storage/json-size.ts
+++ b/src/core/storage/json-size.ts
@@ -1,7 +1,7 @@
-// How much space values take in the store, and how much one transaction may.
+// Sizes of values in the store, and the size limit of a transaction.
 
 /** Largest transaction that is sent, in bytes. */
 export const TRANSACTION_MAX_BYTES = 48 * 1024;
 
-/** Bytes of a value as the store keeps it: its JSON in UTF-8. */
+/** Size of a value in the store: the bytes of its JSON in UTF-8. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
--- a/src/core/storage/shared-record.ts
+++ b/src/core/storage/shared-record.ts
@@ -1,27 +1,30 @@
-// A record in the store that many small facts share, rewritten whole when one of them has changed: changes a
-// second are scarce, and a value holds several kilobytes.
+// A record in the store that combines many small items, and is rewritten as a whole when one of them has
+// changed: the store allows few changes per second, while a value holds several kilobytes.
 import type { Revision } from '../../types/index.ts';
 import type { FencedWriter } from './fenced-writer.ts';
 
 /**
- * Layout of the values, read and written by all versions from 0.1 on that may serve side by side; a record of
- * another layout is refused, see leader/failover.ts.
+ * Layout version of the values. All versions since 0.1 that may run side by side read and write this layout;
+ * a record of another layout is refused, see leader/failover.ts.
  */
 export const SHARED_RECORD_VERSION = 1;
 
-/** One shared record; at most one write of it is under way at a time. */
+/** One shared record; at most one write of it is in progress at a time. */
 export class SharedRecord {
-  /** A write is under way. */
+  /** A write is in progress. */
   isWriting = false;
 
-  /** `revision`: that of the value on record, 0 if there is none. */
+  /** `revision` is that of the stored value, 0 if there is none. */
   constructor(
     private readonly writer: FencedWriter,
     readonly key: string,
     public revision: Revision,
   ) {}
 
-  /** Writes the value, or deletes the key for null; `onResult` tells whether this very value is on record. */
+  /**
+   * Writes the value, or deletes the key if the value is null. `onResult` receives whether exactly this value
+   * is now stored.
+   */
   write(
     value: Record<string, unknown> | null,
     priority: number,
@@ -40,7 +43,8 @@
       onResult: (result) => {
         this.isWriting = false;
         if (result.kind === 'ok') this.revision = value === null ? (0 as Revision) : result.revision;
-        // When it is rejected, or the term is over, nothing has changed on record.
+        // A rejected write has changed nothing in the store, and after the end of the term nothing more is
+        // written: the revision stays as it is.
         else if (result.kind === 'conflict') this.revision = result.item?.revision ?? (0 as Revision);
         onResult(result.kind === 'ok');
       },
