--- a/test/read-after-write.test.ts
+++ b/test/read-after-write.test.ts
@@ -1,6 +1,7 @@
-// Right after a job was accepted, has ended or was confirmed as cancelled, users ask at all nodes within
-// milliseconds, repeat their submission, and some cancel; also while replies of the store are lost
-// (docs/safety.md, point 15).
+// Tests that no node responds with an older state of a job than users were told before. Within milliseconds
+// of the response that a job was accepted, has ended or is cancelled, users query its status at all nodes,
+// repeat its submission, and cancel some jobs; also while replies of the store are lost (docs/safety.md,
+// point 15).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, StoreRequest, UserResponse } from '../src/core/base/model.ts';
@@ -9,41 +10,47 @@
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
 const idOf = (i: number): JobId => `run-${i}` as JobId;
-/** When the users ask after the news, in milliseconds. */
-const STATUS_DELAYS_MS = [0, 1, 3, 8, 20, 60, 150, 400];
+/** Delays after the first response with a new state at which users send requests to all nodes. */
+const REQUEST_DELAYS_MS = [0, 1, 3, 8, 20, 60, 150, 400];
 
-interface CloseObservations {
-  /** Number of requests that were answered within 100 ms of the news, by what the news was. */
-  answersByNews: Map<string, number>;
+interface ObservedResponses {
+  /**
+   * Number of requests that were answered within 100 ms of the first response with a state, by that state.
+   */
+  promptByState: Map<string, number>;
 }
 
 /**
- * From now on users ask about every first news of a job; every fifth job that is accepted is cancelled at
- * once.
+ * From now on, after the first response with each new state of a job, users send requests about the job to
+ * all nodes. Every fifth job that is accepted is cancelled at once.
  */
-function observeClosely(world: SimulatedWorld): CloseObservations {
-  const known = new Set<string>();
-  const answersByNews = new Map<string, number>();
+function sendRequestsOnNewState(world: SimulatedWorld): ObservedResponses {
+  const seenStates = new Set<string>();
+  const promptByState = new Map<string, number>();
   let acceptedCount = 0;
-  const observed: CloseObservations = { answersByNews };
+  const observed: ObservedResponses = { promptByState };
   world.onTold = (response: UserResponse) => {
     if (response.kind !== 'accepted' && response.kind !== 'ended') return;
     const { id } = response;
-    const news = response.kind === 'ended' ? response.status : 'accepted';
-    if (known.has(`${id} ${news}`)) return;
-    known.add(`${id} ${news}`);
+    const state = response.kind === 'ended' ? response.status : 'accepted';
+    if (seenStates.has(`${id} ${state}`)) return;
+    seenStates.add(`${id} ${state}`);
     const { spec } = world.jobs.get(id)!;
-    if (news === 'accepted' && ++acceptedCount % 5 === 0)
+    if (state === 'accepted' && ++acceptedCount % 5 === 0)
       for (const node of world.nodes.keys()) world.ask(node, { op: 'cancel', id });
-    const newsAt = world.now;
-    for (const ms of STATUS_DELAYS_MS)
-      world.after(ms, () => {
+    const firstResponseAt = world.now;
+    for (const delayMs of REQUEST_DELAYS_MS)
+      world.after(delayMs, () => {
         for (const node of [...world.nodes.keys()]) {
           const requests = [world.ask(node, { op: 'status', id }), world.ask(node, { op: 'submit', spec })];
           world.after(45, () => {
             for (const request of requests)
-              if (request.answer !== null && request.answer.kind !== 'retry' && world.now - newsAt < 100)
-                answersByNews.set(news, (answersByNews.get(news) ?? 0) + 1);
+              if (
+                request.answer !== null &&
+                request.answer.kind !== 'retry' &&
+                world.now - firstResponseAt < 100
+              )
+                promptByState.set(state, (promptByState.get(state) ?? 0) + 1);
           });
         }
       });
@@ -51,25 +58,25 @@
   return observed;
 }
 
-/** Submits a job every so often, and follows each to its end. */
+/** Submits `jobCount` jobs at an interval, and queries the status of each one regularly from then on. */
 function submitJobs(
   world: SimulatedWorld,
-  jobs: number,
-  everyMs: number,
-  changes: (i: number) => Partial<JobSpec> = () => ({}),
+  jobCount: number,
+  intervalMs: number,
+  overridesOf: (i: number) => Partial<JobSpec> = () => ({}),
 ): Judged {
   const checked = judge(world);
-  for (let i = 1; i <= jobs; i++)
-    world.after(i * everyMs, () => {
+  for (let i = 1; i <= jobCount; i++)
+    world.after(i * intervalMs, () => {
       world.runOf.set(idOf(i), 0.7 + (i % 7) * 0.3);
-      checked.insist({ op: 'submit', spec: job(idOf(i), changes(i)) });
+      checked.insist({ op: 'submit', spec: job(idOf(i), overridesOf(i)) });
       checked.follow(idOf(i));
     });
   return checked;
 }
 
 /** Asserts that all accepted jobs end, and that no rule was broken. */
-function waitUntilEnded(world: SimulatedWorld, checked: Judged, seconds = 120): void {
+function assertAllJobsEnd(world: SimulatedWorld, checked: Judged, seconds = 120): void {
   checked.rules.troublesOver(world.now);
   assert.ok(
     world.until(() => checked.rules.unfinished().length === 0, seconds),
@@ -82,11 +89,13 @@
 const putsUnder = (prefix: string) => (request: StoreRequest) =>
   request.kind === 'compare-and-swap' && request.puts.some((put) => put.key.startsWith(prefix));
 
-/** Faults that meanwhile persist: a name, and what begins the fault and returns what ends it. */
+/**
+ * Faults during the requests: a name, and a function that begins the fault and returns the one that ends it.
+ */
 const faultCases: [string, (world: SimulatedWorld) => () => void][] = [
-  ['nothing else goes wrong', () => () => {}],
+  ['without faults', () => () => {}],
   [
-    'the leader is out of the other controllers’ reach',
+    'the other controllers cannot reach the leader',
     (world) => {
       const { owner: leader } = world;
       isolateLeader(world);
@@ -96,7 +105,7 @@
     },
   ],
   [
-    'half of all transactions are never answered, and carried out late',
+    'half of all transactions get no reply and are carried out late',
     (world) => {
       let count = 0;
       world.state.lateMs = () => (++count % 2 === 0 ? 2500 + (count % 5) * 1000 : null);
@@ -107,55 +116,60 @@
   ],
 ];
 
-describe('users who ask at all nodes right after the news', () => {
-  for (const [name, begin] of faultCases)
-    it(`get no older state at any node: ${name}`, () => {
+describe('requests to all nodes right after a response with a new job state', () => {
+  for (const [name, beginFault] of faultCases)
+    it(`are not answered with an older state by any node: ${name}`, () => {
       const world = new SimulatedWorld();
       world.run(2);
-      const observed = observeClosely(world);
+      const observed = sendRequestsOnNewState(world);
       const checked = submitJobs(world, 24, 500);
       world.run(2);
-      const end = begin(world);
+      const endFault = beginFault(world);
       world.run(14);
-      end();
-      waitUntilEnded(world, checked);
-      for (const news of ['accepted', 'done', 'cancelled'])
+      endFault();
+      assertAllJobsEnd(world, checked);
+      for (const state of ['accepted', 'done', 'cancelled'])
         assert.ok(
-          (observed.answersByNews.get(news) ?? 0) >= 10,
-          `${news}: ${observed.answersByNews.get(news)}`,
+          (observed.promptByState.get(state) ?? 0) >= 10,
+          `${state}: ${observed.promptByState.get(state)}`,
         );
     });
 });
 
-/** The leader serves its users and machines, and the other controllers can't ask it. */
+/** Cuts the leader off from the other controllers; its users and machines can still reach it. */
 function isolateLeader(world: SimulatedWorld): void {
   const { owner: leader } = world;
   for (const node of world.nodes.keys()) if (node !== leader) world.cut(node, leader!, 'drop');
 }
 
-// Carried out at once, only the reply is lost, while other nodes read what was written.
+// The transactions are carried out at once and only their replies are lost, so other nodes read what was
+// written before its sender knows that it was.
 const lostReplyCases: [string, (request: StoreRequest) => boolean, (world: SimulatedWorld) => void][] = [
   ['acceptances and cancellations', putsUnder('o/'), () => {}],
-  ['acceptances by a node without the leader', putsUnder('o/'), (world) => world.freeze(world.owner!)],
+  [
+    'acceptances by another node while the leader is frozen',
+    putsUnder('o/'),
+    (world) => world.freeze(world.owner!),
+  ],
   ['final states', putsUnder('f/'), () => {}],
   ['the machine registry', putsUnder('m/'), () => {}],
   ['results', putsUnder('d/'), () => {}],
-  ['cancellations, while the others read the record', putsUnder('o/'), isolateLeader],
-  ['final states, while the others read the record', putsUnder('f/'), isolateLeader],
+  ['cancellations, while the other nodes read the record', putsUnder('o/'), isolateLeader],
+  ['final states, while the other nodes read the record', putsUnder('f/'), isolateLeader],
   ['elections', putsUnder('share/0'), (world) => world.crash(world.owner!)],
   ['lease renewals', (request) => request.kind === 'renew-lease', () => {}],
-  ['all of them, and the leader ends', () => true, (world) => world.crash(world.owner!)],
+  ['all transactions, and the leader crashes', () => true, (world) => world.crash(world.owner!)],
 ];
 
-describe('a transaction that is carried out while its reply is lost', () => {
+describe('a transaction that is carried out although its reply is lost', () => {
   for (const [name, isAffected, beginFault] of lostReplyCases)
-    it(`leaves users with no older state: ${name}`, () => {
+    it(`causes no response with an older state: ${name}`, () => {
       const world = new SimulatedWorld();
       world.run(2);
       const names = [...world.nodes.keys()];
-      observeClosely(world);
+      sendRequestsOnNewState(world);
       let count = 0;
-      // Not every one: else nothing would ever be known to be written.
+      // Every third affected reply arrives: without any, no write would ever be known to be stored.
       world.state.losesAnswer = (_node, request) => isAffected(request) && ++count % 3 !== 0;
       const checked = submitJobs(world, 16, 500, (i) => ({ tasks: i % 4 === 0 ? 3 : 1, cpus: 4 }));
       world.run(3);
@@ -167,19 +181,19 @@
         if (!world.nodes.has(name)) world.start(name);
       }
       world.state.losesAnswer = null;
-      waitUntilEnded(world, checked);
+      assertAllJobsEnd(world, checked);
       assert.ok(world.state.answersLost > 0);
     });
 });
 
 describe('requests around the end of a job', () => {
-  for (const atMs of [-30, -4, 0, 4, 30, 120, 300])
-    it(`are answered consistently ${atMs} ms from the end of its last task: cancellation, status and repeated submission`, () => {
+  for (const offsetMs of [-30, -4, 0, 4, 30, 120, 300])
+    it(`get consistent responses at an offset of ${offsetMs} ms from the end of its last task: cancellation, status and repeated submission`, () => {
       const world = new SimulatedWorld();
       world.run(2);
       const checked = judge(world);
       const ids = [1, 2, 3, 4, 5, 6].map(idOf);
-      let endsReached = 0;
+      let offsetsReached = 0;
       for (const [index, id] of ids.entries()) {
         world.runOf.set(id, 20);
         assert.equal(world.submit(job(id, { tasks: 1 + (index % 2) }))?.kind, 'accepted');
@@ -195,8 +209,8 @@
             .map((task) => world.endsAt.get(task.task) ?? 0),
         );
         assert.ok(lastEnd > world.now);
-        world.at(lastEnd + atMs, () => {
-          endsReached++;
+        world.at(lastEnd + offsetMs, () => {
+          offsetsReached++;
           const spec = world.jobs.get(id)!.spec;
           for (const [nodeIndex, node] of nodes.entries()) {
             if (nodeIndex === index % nodes.length && index < 4) world.ask(node, { op: 'cancel', id });
@@ -207,36 +221,36 @@
         checked.follow(id);
       }
       world.run(22);
-      assert.equal(endsReached, ids.length);
-      waitUntilEnded(world, checked, 40);
+      assert.equal(offsetsReached, ids.length);
+      assertAllJobsEnd(world, checked, 40);
     });
 });
 
-// Submissions that can never run: the same response at every node, with and without a leader.
+// Submissions that can never run, with the response that every node must give, with and without a leader.
 const infeasibleCases: [string, Partial<JobSpec>, string][] = [
   ['fits no machine', { cpus: 9 }, 'impossible'],
   ['is bound to a zone without machines', { zone: 'nowhere' as ZoneName }, 'impossible'],
   ['names only unknown types', { machineTypes: ['none' as TypeName] }, 'impossible'],
   ['is of an unknown team', { team: 'nobody' as never }, 'impossible'],
   [
-    'needs more at once than its team may use',
+    'needs more resources at once than its team may use',
     { team: 'small' as never, kind: 'gang', tasks: 4 },
     'impossible',
   ],
   [
-    'must be spread and all at once in one zone',
+    'must be spread over zones and also be in one zone',
     { kind: 'gang', tasks: 2, spread: true, oneZone: true },
     'impossible',
   ],
   [
-    'must be spread over zones that have no such machines',
+    'must be spread over zones but needs machines that only one zone has',
     { kind: 'gang', tasks: 2, spread: true, gpus: 1 },
     'impossible',
   ],
 ];
 
 describe('an infeasible submission', () => {
-  it('is refused at every node and accepted in no state of the service, and a running job stays known whatever a repetition says', () => {
+  it('is refused by every node and never accepted during faults, and a running job stays known whatever its repeated submission contains', () => {
     const world = new SimulatedWorld();
     world.runS = 400;
     const checked = judge(world);
@@ -245,18 +259,18 @@
     const nodes = [...world.nodes.keys()];
     let jobNumber = 100;
     const assertEverywhere = (expected: (kind: string) => string[], mayBeUnanswered: boolean): void => {
-      for (const [what, changes, kind] of infeasibleCases)
+      for (const [name, overrides, kind] of infeasibleCases)
         for (const node of nodes) {
-          const firstRequest = world.ask(node, { op: 'submit', spec: job(`run-${++jobNumber}`, changes) });
-          // The same contents under the name of a job that runs, and a cancellation of a job that nobody
-          // knows.
-          const repeatedRequest = world.ask(node, { op: 'submit', spec: job(idOf(1), changes) });
+          const firstRequest = world.ask(node, { op: 'submit', spec: job(`run-${++jobNumber}`, overrides) });
+          // The same contents under the id of a running job, and the cancellation of a job that does not
+          // exist.
+          const repeatedRequest = world.ask(node, { op: 'submit', spec: job(idOf(1), overrides) });
           const cancellation = world.ask(node, { op: 'cancel', id: `run-${jobNumber + 5000}` as JobId });
           world.run(2.2);
           const assertOneOf = (request: { answer: UserResponse | null }, kinds: string[]) =>
             assert.ok(
               request.answer === null ? mayBeUnanswered : kinds.includes(request.answer.kind),
-              `${what} at ${node}: ${JSON.stringify(request.answer)}`,
+              `${name} at ${node}: ${JSON.stringify(request.answer)}`,
             );
           assertOneOf(firstRequest, expected(kind));
           assertOneOf(repeatedRequest, mayBeUnanswered ? ['known', 'retry'] : ['known']);
@@ -264,7 +278,7 @@
         }
     };
     assertEverywhere((kind) => [kind], false);
-    // Without the leader in reach a node can't decide, and says so.
+    // A node that cannot reach the leader cannot decide, and may respond that the user should retry.
     const { owner: leader } = world;
     world.freeze(leader!);
     world.state.unreadable = 'o/';
@@ -277,12 +291,12 @@
     checked.sound();
   });
 
-  it('is not refused when it repeats a job that another node accepted a moment ago', () => {
+  it('is not refused if it repeats a job that another node has just accepted', () => {
     const world = new SimulatedWorld();
     world.run(2);
     const { owner: leader } = world;
-    const other = [...world.nodes.keys()].find((n) => n !== leader)!;
-    // The leader learns of it neither from the node nor from its watch of the records.
+    const other = [...world.nodes.keys()].find((node) => node !== leader)!;
+    // Neither the other node nor the watch of the records informs the leader of the acceptance.
     world.cut(leader!, other, 'drop');
     world.run(2);
     world.state.watchLagMs = 3000;
@@ -292,33 +306,33 @@
   });
 });
 
-describe('a cancellation mark that was refused after an unanswered copy of it', () => {
-  for (const watched of [true, false])
-    it(`still ends the job when the copy is carried out late: ${watched ? 'seen by the watch' : 'found as the job ends'}`, () => {
+describe('a cancellation mark that was refused after a copy of it got no reply', () => {
+  for (const isWatched of [true, false])
+    it(`still ends the job if that copy is carried out late: ${isWatched ? 'reported by the watch' : 'found when the job ends'}`, () => {
       const world = new SimulatedWorld();
-      world.runS = watched ? 60 : 12;
+      world.runS = isWatched ? 60 : 12;
       const checked = judge(world);
       assert.equal(world.submit(job('run-1'))?.kind, 'accepted');
       assert.ok(world.until(() => world.holders('run-1').length > 0));
       const { owner: leader } = world;
-      if (!watched) world.state.watchLagMs = 100_000;
-      let first = true;
+      if (!isWatched) world.state.watchLagMs = 100_000;
+      let isFirst = true;
       world.state.lateMs = () => {
-        if (!first) return null;
-        first = false;
+        if (!isFirst) return null;
+        isFirst = false;
         return 4000;
       };
       const request = world.ask(leader!, { op: 'cancel', id: 'run-1' as JobId });
       world.run(0.5);
-      // Whatever is written meanwhile is too large, so the mark is given up.
+      // The store now refuses every value as too large, so the leader gives up writing the mark.
       world.state.limits = { valueBytes: 10, txnOps: 24 };
       world.run(2);
       assert.equal(request.answer?.kind, 'retry');
       world.state.limits = null;
       world.run(4);
       assert.equal((world.state.keys.get('o/run-1')?.value as { c?: number } | undefined)?.c ?? 1, 1);
-      if (!watched) world.run(20);
-      const [other] = [...world.nodes.keys()].filter((n) => n !== leader);
+      if (!isWatched) world.run(20);
+      const [other] = [...world.nodes.keys()].filter((node) => node !== leader);
       for (const node of [other, leader!])
         assert.deepEqual(world.status('run-1', node), { kind: 'ended', id: 'run-1', status: 'cancelled' });
       assert.ok(world.until(() => world.holders('run-1').length === 0, 10));
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -1,5 +1,5 @@
-// Controllers and machines that restart within a fraction of a second, late messages of their earlier
-// processes, and requests repeated after they were carried out (docs/safety.md, point 13).
+// Tests restarts of controllers and machines within a fraction of a second, delayed messages of their earlier
+// processes, and requests that are repeated after they were carried out (docs/safety.md, point 13).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
@@ -11,10 +11,10 @@
 
 const assertNoRuleBroken = (world: SimulatedWorld) => assert.deepEqual(world.broken, []);
 /** The sum of a counter over all agents. */
-const sumOver = (world: SimulatedWorld, counter: 'starts' | 'moves' | 'lostByLease'): number =>
+const sumOverAgents = (world: SimulatedWorld, counter: 'starts' | 'moves' | 'lostByLease'): number =>
   [...world.workers.values()].reduce((sum, agent) => sum + agent[counter], 0);
 const NODES = ['node-0', 'node-1', 'node-2'];
-/** Ends the node and starts it again a moment later. */
+/** Ends the node's process and starts a new one after `seconds`. */
 const restart = (world: SimulatedWorld, name: string, seconds = 0.2): void => {
   world.crash(name);
   world.run(seconds);
@@ -22,17 +22,17 @@
 };
 
 describe('requests of a restarted controller', () => {
-  it('are numbered differently after each start, though clock and settings are the same', (t) => {
+  it('are numbered differently after each start, although clock and settings are the same', (t) => {
     const clock = t.mock.method(Date, 'now', () => 1e12);
     const seeds = new Set(Array.from({ length: 20 }, () => randomSeed()));
     clock.mock.restore();
     assert.ok(seeds.size > 15);
-    const first = (seed: number): number => new ControllerIo(seededRandom(seed)).nextRequestId();
-    assert.equal(first(5), first(5));
-    assert.notEqual(first(5), first(6));
+    const firstRequestId = (seed: number): number => new ControllerIo(seededRandom(seed)).nextRequestId();
+    assert.equal(firstRequestId(5), firstRequestId(5));
+    assert.notEqual(firstRequestId(5), firstRequestId(6));
   });
 
-  it('are not answered by a late response to a request of the earlier process', () => {
+  it('are not answered by a delayed response to a request of the earlier process', () => {
     const world = new SimulatedWorld();
     world.runS = 3;
     world.submit(job('run-1'));
@@ -40,7 +40,7 @@
     world.runS = 60;
     world.submit(job('run-2'));
     world.run(2);
-    const follower = NODES.find((n) => n !== world.owner)!;
+    const follower = NODES.find((node) => node !== world.owner)!;
     const lateResponses: PeerMessage[] = [];
     world.tapPeer = (message) => {
       if (message.kind === 'user-response') lateResponses.push(message);
@@ -52,8 +52,8 @@
     const { owner: leader } = world;
     restart(world, follower);
     world.run(0.5);
-    // Whatever numbers its new requests have, it never takes the response about the other job; nor under the
-    // very same number.
+    // The restarted node must not accept a response about the other job, neither under the ids of the earlier
+    // process nor under the id of its new request.
     const requestIds: number[] = [];
     world.tapPeer = (message) => {
       if (message.kind === 'user-request') requestIds.push(message.id);
@@ -79,27 +79,28 @@
 });
 
 describe('a leader that restarts', () => {
-  it('neither hangs nor is elected again before the lease of its earlier process has expired', () => {
+  it('is not elected again, and another leader is elected once the lease of its earlier process has expired', () => {
     const world = new SimulatedWorld();
     world.runS = 20;
     world.submit(job('run-1', { tasks: 8 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(3);
-    const first = world.owner!;
-    const term = world.nodes.get(first)!.election.term!;
-    restart(world, first);
-    const since = world.now;
+    const firstLeader = world.owner!;
+    const term = world.nodes.get(firstLeader)!.election.term!;
+    restart(world, firstLeader);
+    const restartedAt = world.now;
     assert.ok(world.until(() => world.owner !== undefined, 10));
-    assert.ok(world.now - since < 4500, `${world.now - since}`);
+    assert.ok(world.now - restartedAt < 4500, `${world.now - restartedAt}`);
     assert.ok(world.nodes.get(world.owner!)!.election.term! > term);
-    // One that ends as the leader again and again would be the first in the list each time.
-    assert.notEqual(world.owner, first);
+    // A leader that restarts repeatedly would otherwise be elected each time if it is the first in the list
+    // of nodes.
+    assert.notEqual(world.owner, firstLeader);
     assert.ok(world.until(() => world.isDone('run-1', world.owner), 60));
-    assert.equal(sumOver(world, 'lostByLease'), 0);
+    assert.equal(sumOverAgents(world, 'lostByLease'), 0);
     assertNoRuleBroken(world);
   });
 
-  it('leaves tasks running when one leader after the other restarts, and submissions are accepted in between', () => {
+  it('leaves tasks running if the next leaders restart one after another, and submissions are accepted meanwhile', () => {
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 8 }));
@@ -108,7 +109,7 @@
     let accepted = 0;
     for (let i = 2; i < 8; i++) {
       assert.ok(world.until(() => world.owner !== undefined, 10));
-      // In the middle of its failover, now and then.
+      // Every second leader restarts during its failover.
       world.run(i % 2 === 0 ? 0.05 : 1);
       restart(world, world.owner!, 0.1 + 0.1 * (i % 4));
       if (world.submit(job(`run-${i}`), NODES[i % 3])?.kind === 'accepted') accepted++;
@@ -119,29 +120,29 @@
         world.until(() => world.isDone(`run-${i}`), 120),
         `run-${i}`,
       );
-    assert.equal(sumOver(world, 'starts'), 14);
+    assert.equal(sumOverAgents(world, 'starts'), 14);
     assertNoRuleBroken(world);
   });
 
-  it('has heartbeats wait for it rather than redirecting all agents', () => {
+  it('causes heartbeats to wait for the next leader instead of redirecting all agents', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 24 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(4);
-    const movesBefore = sumOver(world, 'moves');
+    const movesBefore = sumOverAgents(world, 'moves');
     const { owner: leader } = world;
     const connectedAgents = [...world.workers.values()].filter((agent) => agent.node === leader).length;
     restart(world, leader!, 0.1);
     assert.ok(world.until(() => world.owner !== undefined, 10));
     world.run(2);
-    const moves = sumOver(world, 'moves') - movesBefore;
-    // Those at the node that ended lose their connection; the others stay.
+    const moves = sumOverAgents(world, 'moves') - movesBefore;
+    // Agents of the restarted node lose their connection; the others stay at their node.
     assert.ok(moves <= connectedAgents + 1, `${moves} moves, ${connectedAgents} agents at the leader`);
     assertNoRuleBroken(world);
   });
 
-  it('does not hide a vacancy by a late hello of its earlier process', () => {
+  it('does not prevent an election by a delayed hello of its earlier process', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     world.run(3);
@@ -150,7 +151,7 @@
     for (const node of NODES) if (node !== leader) world.crash(node);
     world.crash(leader);
     world.run(6);
-    const other = NODES.find((n) => n !== leader)!;
+    const other = NODES.find((node) => node !== leader)!;
     world.start(other);
     const hello: PeerMessage = {
       kind: 'hello',
@@ -160,7 +161,7 @@
       supportsForwarding: true,
       supportsConfigDocuments: true,
     };
-    // Between its reading that there is no leader and its election.
+    // The hello arrives after the node has read that there is no leader and before it is elected.
     assert.ok(world.until(() => world.nodes.get(other)!.election.isStoreReadable, 2));
     world.input(other, { kind: 'peer', node: leader as NodeId, message: hello });
     assert.ok(world.until(() => world.owner === other, 5));
@@ -169,13 +170,13 @@
 });
 
 describe('links of a restarted controller', () => {
-  it('are superseded: of the links that a node has made only the last is used', () => {
+  it('are superseded: only the newest link that a node has made is used', () => {
     const newest = new NewestLinks<string>();
     const [first, second, third] = [newest.nextNumber(), newest.nextNumber(), newest.nextNumber()];
     const node = 'node-1' as NodeId;
     assert.equal(newest.onHello(node, 'first', first), null);
     assert.equal(newest.onHello(node, 'third', third), 'first');
-    // Made before and received after: it is of the earlier process.
+    // Made before the third link but received after it: it belongs to the earlier process.
     assert.equal(newest.onHello(node, 'second', second), 'second');
     assert.equal(newest.onHello(node, 'third', third), null);
     assert.equal(newest.onHello('node-2' as NodeId, 'other', second), null);
@@ -183,7 +184,7 @@
 });
 
 describe('a machine that restarts', () => {
-  it('is known to be empty once its lease has expired, though it counts heartbeats from the beginning', () => {
+  it('is known to be empty once its lease has expired, although its heartbeat numbers start over', () => {
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { tasks: 4, cpus: 4 }));
@@ -198,7 +199,7 @@
 });
 
 describe('user requests that are repeated', () => {
-  it('change nothing once they were carried out: submission, cancellation and status', () => {
+  it('change nothing after they were carried out: submission, cancellation and status', () => {
     const world = new SimulatedWorld();
     world.runS = 3;
     world.submit(job('run-1', { tasks: 2 }));
@@ -210,7 +211,7 @@
       status: 'cancelled',
     });
     world.run(5);
-    const starts = sumOver(world, 'starts');
+    const starts = sumOverAgents(world, 'starts');
     for (const node of NODES) restart(world, node, 0.1);
     for (const node of NODES) {
       assert.deepEqual(world.submit(job('run-1', { tasks: 2 }), node), {
@@ -229,25 +230,25 @@
       );
     }
     world.run(20);
-    assert.equal(sumOver(world, 'starts'), starts);
+    assert.equal(sumOverAgents(world, 'starts'), starts);
     assertNoRuleBroken(world);
   });
 });
 
 describe('a cluster of five controllers', () => {
-  it('goes on when four end at once and then the last one restarts, and agents find each leader', () => {
+  it('continues when four controllers end at once and then the fifth restarts, and agents find each leader', () => {
     const names = [0, 1, 2, 3, 4].map((i) => `node-${i}`);
     const world = new SimulatedWorld({}, names);
     world.runS = 60;
     world.submit(job('run-1', { tasks: 20, cpus: 4 }));
     assert.ok(world.until(() => world.holders('run-1').length > 4));
     world.run(4);
-    const survivor = names.filter((n) => n !== world.owner).at(-1)!;
+    const survivor = names.filter((node) => node !== world.owner).at(-1)!;
     for (const node of names) if (node !== survivor) world.crash(node);
     assert.ok(world.until(() => world.owner === survivor, 8));
     world.run(0.4);
     for (const node of names) if (node !== survivor) world.start(node);
-    // The new leader has not heard from all machines when it ends as well.
+    // The new leader restarts before it has received heartbeats of all machines.
     world.run(0.6);
     restart(world, survivor, 0.3);
     assert.ok(world.until(() => world.owner !== undefined && world.owner !== survivor, 8));
@@ -255,13 +256,13 @@
     assert.ok(
       world.until(() => world.isDone('run-1', world.owner) && world.isDone('run-2', world.owner), 120),
     );
-    assert.equal(sumOver(world, 'lostByLease'), 0);
+    assert.equal(sumOverAgents(world, 'lostByLease'), 0);
     assertNoRuleBroken(world);
   });
 });
 
 describe('a store that is many times slower', () => {
-  it('leaves the term in place, submissions accepted and requests from piling up', () => {
+  it('does not end the term, and submissions are accepted and requests do not pile up', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-0'));
     world.run(3);
@@ -274,7 +275,7 @@
       world.run(1);
     }
     assert.equal(world.nodes.get(world.owner!)!.election.term, term);
-    // Nothing piles up: there are a few requests a second and a job.
+    // Without a pile-up there are a few requests per second and per job.
     assert.ok(world.state.served.length < 700, `${world.state.served.length}`);
     for (let i = 1; i <= 20; i++) assert.ok(world.until(() => world.isDone(`run-${i}`), 60));
     assertNoRuleBroken(world);
