--- a/src/core/heartbeats/circuit-breaker.ts
+++ b/src/core/heartbeats/circuit-breaker.ts
@@ -1,31 +1,31 @@
-// Circuit breaker of the link to the leader: after some timeouts in a row the link is not used for a while.
+// Circuit breaker for the link to the leader: after several consecutive timeouts, no heartbeats are forwarded
+// over the link for a few seconds.
 import { addMs, type Instant, LONG_AGO } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
 const TIMEOUTS_TO_OPEN = 3;
 const OPEN_MS = 5000;
 
-/** Counts timeouts in a row; while it is open, nothing should be sent. */
+/** Counts consecutive timeouts of requests; while the breaker is open, callers should send nothing. */
 export class CircuitBreaker {
   private consecutiveTimeouts = 0;
   private openUntil: Instant = LONG_AGO;
 
   constructor(private readonly io: ControllerIo) {}
 
-  /** Whether nothing should be sent at present. */
   get isOpen(): boolean {
     return this.io.now < this.openUntil;
   }
 
-  /** A request has been answered. */
+  /** Records that a request was answered, which ends the series of timeouts. */
   recordResponse(): void {
     this.consecutiveTimeouts = 0;
   }
 
   /**
-   * A request has not been answered in time; whether the breaker opens by it. It does not while the other
-   * side is active (`isPeerSilent` is false): one that is merely slow must not get all the work by another
-   * path as well.
+   * Records that a request timed out; returns whether this opens the breaker. The breaker stays closed while
+   * the peer still sends messages (`isPeerSilent` is false): a peer that is only slow must not also receive
+   * all the requests over another path.
    */
   recordTimeout(isPeerSilent: boolean): boolean {
     this.consecutiveTimeouts++;
@@ -35,7 +35,7 @@
     return true;
   }
 
-  /** There is another peer at the other side: starts anew, closed. */
+  /** Closes the breaker and clears the count, because the link now leads to another peer. */
   reset(): void {
     this.consecutiveTimeouts = 0;
     this.openUntil = LONG_AGO;
--- a/src/core/heartbeats/heartbeat-forwarder.ts
+++ b/src/core/heartbeats/heartbeat-forwarder.ts
@@ -1,7 +1,7 @@
-// Agents spread over all controllers: a node that is not the leader keeps the agents that connect to it,
-// forwards their heartbeats over its link to the leader, most of them as a delta to the last one, and brings
-// back the leader's responses. It answers nothing by itself, so who renews a lease and who commands a machine
-// stay with the leader (docs/safety.md).
+// Forwards heartbeats to the leader. Agents connect to any controller: a node that is not the leader forwards
+// their heartbeats over its link to the leader, most of them as a delta to the previous one, and returns the
+// leader's responses to the agents. It never answers a heartbeat with commands of its own, so only the leader
+// renews leases and commands machines (docs/safety.md).
 import {
   addMs,
   elapsedMs,
@@ -20,40 +20,40 @@
 import { diffTaskLists, type TaskListDelta } from './task-list-delta.ts';
 
 /**
- * Agents wait for 4 s. Until nearly then the next leader may come up, and a redirected agent may find nobody.
+ * Agents time out after 4 s. The heartbeat is kept for almost that long, because a new leader may be elected
+ * meanwhile, while an agent that is redirected earlier may not reach any leader.
  */
 const RESPONSE_TIMEOUT_MS = 3800;
-/**
- * While no leader is known, a heartbeat waits this long for the next one; its agent then tries another node.
- */
-const DEFER_MS = 3800;
-/** The last answered heartbeat of an agent that no longer comes is forgotten after this time. */
+/** How long a heartbeat waits for a leader to be elected; its agent is redirected after that. */
+const DEFER_TIMEOUT_MS = 3800;
+/** The baseline of an agent is dropped if no heartbeat of it was answered for this long. */
 const BASELINE_TTL_MS = 60_000;
 const SWEEP_INTERVAL_MS = 10_000;
 /**
- * A leader that is silent for longer than its lease lasts, while the store still names it, is alive and only
- * out of this node's reach. Before that it has probably ended, and each agent redirected to it loses 5 s of
- * its lease in vain.
+ * A leader that has been silent for longer than its leader lease, while the store still names it as the
+ * leader, is running and only unreachable from this node. Before that it has probably stopped, and each agent
+ * redirected to it would lose 5 s of its own lease without getting an answer.
  */
-const OUT_OF_REACH_MS = 6000;
+const UNREACHABLE_AFTER_MS = 6000;
 /**
- * A node that has just denied being the leader is not asked again for this time, unless it is elected anew.
+ * After a node has denied being the leader, nothing is forwarded to it for this long, unless it is elected
+ * again.
  */
-const DENIED_MS = 1000;
+const LEADERSHIP_DENIAL_TTL_MS = 1000;
 
-/** A forwarded heartbeat that the leader has not answered. */
+/** A forwarded heartbeat that the leader has not answered yet. */
 interface ForwardedRequest {
   heartbeat: Heartbeat;
   respond: HeartbeatResponder;
   deadline: Instant;
   leader: NodeId;
-  /** Sent in full: there is nothing more to send if the leader still does not know its machine. */
-  isFull: boolean;
+  /** If the leader then still requires the full heartbeat, sending it again would not help. */
+  wasSentInFull: boolean;
 }
 
 /**
- * The last heartbeat of an agent that a leader has answered through this node; the next one may be a delta to
- * it.
+ * The last heartbeat of an agent that a leader has answered through this node; the next one may be sent as a
+ * delta to it.
  */
 interface Baseline {
   leader: NodeId;
@@ -61,7 +61,7 @@
   answeredAt: Instant;
 }
 
-/** Forwards heartbeats to the leader, and keeps those for which there is no leader to be reached. */
+/** Forwards heartbeats to the leader, and defers them while no leader can be reached. */
 export class HeartbeatForwarder {
   private readonly requests = new Map<number, ForwardedRequest>();
   private readonly baselines = new Map<MachineId, Baseline>();
@@ -69,12 +69,12 @@
   private readonly liveness: PeerLiveness;
   private readonly circuitBreaker: CircuitBreaker;
   private nextSweepAt = 0 as Instant;
-  /** The leader as far as this node knows. */
+  /** The last leader that this node was given. */
   private leader: LeaderRecord | null = null;
-  private deniedUntil: Instant = LONG_AGO;
+  private leadershipDeniedUntil: Instant = LONG_AGO;
 
   constructor(private readonly io: ControllerIo) {
-    this.deferred = new PendingHeartbeats(io, DEFER_MS);
+    this.deferred = new PendingHeartbeats(io, DEFER_TIMEOUT_MS);
     this.liveness = new PeerLiveness(io);
     this.circuitBreaker = new CircuitBreaker(io);
   }
@@ -85,120 +85,131 @@
   }
 
   /**
-   * The link is up but silent, and was not used lately for that; or the node has denied being the leader, as
-   * it was restarted within a fraction of a second and its earlier lease still stands. Who leads is known
-   * within seconds.
+   * Whether the leader may have stopped although the link to it is up. Either the link is silent and the
+   * circuit breaker is open for that reason; or the node has denied being the leader, because it restarted
+   * within a fraction of a second and its previous leader lease has not expired. The outcome is known within
+   * seconds.
    */
   leaderMayHaveEnded(leader: NodeId): boolean {
-    return this.isDenied || (!this.isUsable && this.liveness.silentMs(leader) < OUT_OF_REACH_MS);
+    return (
+      this.isLeadershipDenied || (!this.isUsable && this.liveness.silenceMs(leader) < UNREACHABLE_AFTER_MS)
+    );
   }
 
-  private get isDenied(): boolean {
-    return this.io.now < this.deniedUntil;
+  private get isLeadershipDenied(): boolean {
+    return this.io.now < this.leadershipDeniedUntil;
   }
 
   /**
-   * Forwards a heartbeat to the leader. `deadline`: when its agent must be answered, if it has waited before.
+   * Forwards a heartbeat to the leader. `deadline`: the time by which the agent must be answered, if the
+   * heartbeat has already been deferred.
    */
   forward(received: Heartbeat, leader: NodeId, respond: HeartbeatResponder, deadline: Instant = NEVER): void {
     const id = this.io.nextRequestId();
     const baseline = this.baselines.get(received.machine);
     const base =
-      baseline !== undefined && baseline.leader === leader && canBeDelta(received, baseline.heartbeat)
+      baseline !== undefined && baseline.leader === leader && canSendAsDelta(received, baseline.heartbeat)
         ? baseline.heartbeat
         : null;
     const diff = base === null ? null : diffTaskLists(base.tasks, received.tasks);
-    // What is remembered keeps the objects of the list before, so that the next comparison with it is cheap.
+    // The heartbeat that may become the baseline reuses the unchanged task objects of the previous list, so
+    // that the next comparison is cheap.
     const heartbeat = diff === null ? received : { ...received, tasks: diff.tasks };
     this.requests.set(id, {
       heartbeat,
       respond,
       deadline: Math.min(addMs(this.io.now, RESPONSE_TIMEOUT_MS), deadline) as Instant,
       leader,
-      isFull: diff === null,
+      wasSentInFull: diff === null,
     });
     if (base === null || diff === null) this.send(id, leader, { kind: 'full', heartbeat: received });
-    else this.send(id, leader, deltaOf(received, base.seq, diff));
+    else this.send(id, leader, createDelta(received, base.seq, diff));
   }
 
   private send(id: number, leader: NodeId, heartbeat: ForwardedHeartbeat): void {
     this.io.emit({ kind: 'peer', node: leader, message: { kind: 'forwarded-heartbeat', id, heartbeat } });
   }
 
-  /** The leader's response to a forwarded heartbeat. */
+  /** Handles the leader's response to a forwarded heartbeat; null if the node is not the leader. */
   onResponse(id: number, response: ForwardedHeartbeatResponse): void {
     const request = this.requests.get(id);
     if (request === undefined) return;
     this.circuitBreaker.recordResponse();
-    if (response?.kind === 'full-heartbeat-required' && !request.isFull) {
-      request.isFull = true;
+    if (response?.kind === 'full-heartbeat-required' && !request.wasSentInFull) {
+      request.wasSentInFull = true;
       return this.send(id, request.leader, { kind: 'full', heartbeat: request.heartbeat });
     }
     this.requests.delete(id);
-    if (response === null) return this.onDenied(request);
+    if (response === null) return this.onLeadershipDenied(request);
     if (response.kind === 'full-heartbeat-required') return request.respond({ kind: 'redirect', node: null });
-    if (response.kind === 'commands') this.rememberBaseline(request);
+    if (response.kind === 'commands') this.updateBaseline(request);
     request.respond(response);
   }
 
-  /** Redirected, the agent would come back a second later, on a new connection, and still find no leader. */
-  private onDenied(request: ForwardedRequest): void {
-    if (request.leader === this.leader?.node) this.deniedUntil = addMs(this.io.now, DENIED_MS);
+  /**
+   * Defers a heartbeat because the node it was forwarded to is not the leader. If the agent were redirected
+   * instead, it would return a second later on a new connection, still before a leader is elected.
+   */
+  private onLeadershipDenied(request: ForwardedRequest): void {
+    if (request.leader === this.leader?.node)
+      this.leadershipDeniedUntil = addMs(this.io.now, LEADERSHIP_DENIAL_TTL_MS);
     this.defer(request.heartbeat, request.respond, request.deadline);
   }
 
-  private rememberBaseline({ heartbeat, leader }: ForwardedRequest): void {
+  private updateBaseline({ heartbeat, leader }: ForwardedRequest): void {
     const last = this.baselines.get(heartbeat.machine);
     if (last !== undefined && last.leader === leader && !isNewer(heartbeat, last.heartbeat)) return;
     this.baselines.set(heartbeat.machine, { leader, heartbeat, answeredAt: this.io.now });
   }
 
-  /** Keeps a heartbeat for which there is no leader yet: one is elected within seconds, and answers it. */
+  /** Keeps a heartbeat while there is no leader: one is elected within seconds and then answers it. */
   defer(heartbeat: Heartbeat, respond: HeartbeatResponder, deadline: Instant = NEVER): void {
     this.deferred.add(heartbeat, respond, deadline);
   }
 
   /**
-   * A leader can be reached, or this node has become it: deferred heartbeats are handled as if they came now.
+   * Passes the deferred heartbeats to `handle` as if they had just been received; to be called when a leader
+   * can be reached or this node has become the leader.
    */
   resumeDeferred(
     handle: (heartbeat: Heartbeat, respond: HeartbeatResponder, deadline: Instant) => void,
   ): void {
-    if (this.isDenied) return;
+    if (this.isLeadershipDenied) return;
     for (const pending of this.deferred.take()) handle(pending.heartbeat, pending.respond, pending.until);
   }
 
   /**
-   * There is another leader: what the one before has not answered, and perhaps never will, waits for this
-   * one. The link to a leader that is frozen, or cut off, does not show it.
+   * Records the current leader. If it has changed, heartbeats that the previous leader has not answered are
+   * deferred until they can be forwarded to the new one: a frozen or partitioned leader may never answer
+   * them, and its link may stay up.
    */
   onLeader(leader: LeaderRecord): void {
     if (leader.node === this.leader?.node && leader.revision === this.leader.revision) return;
     this.leader = leader;
     this.circuitBreaker.reset();
-    this.deniedUntil = LONG_AGO;
+    this.leadershipDeniedUntil = LONG_AGO;
     this.deferRequests((request) => request.leader !== leader.node);
   }
 
-  private deferRequests(isConcerned: (request: ForwardedRequest) => boolean): void {
+  private deferRequests(isAffected: (request: ForwardedRequest) => boolean): void {
     for (const [id, request] of this.requests) {
-      if (!isConcerned(request)) continue;
+      if (!isAffected(request)) continue;
       this.requests.delete(id);
       this.defer(request.heartbeat, request.respond, request.deadline);
     }
   }
 
-  /** The peer has sent a message. */
+  /** Records that the peer has sent a message. */
   recordPeerActivity(node: NodeId): void {
     this.liveness.recordActivity(node);
   }
 
-  /** Whether the link to the peer was lost a moment ago. */
+  /** Whether the link to the peer was lost within the last seconds. */
   disconnectedRecently(node: NodeId): boolean {
-    return this.liveness.disconnectedRecently(node);
+    return this.liveness.wasDisconnectedRecently(node);
   }
 
-  /** The link to a peer is lost: nothing that was forwarded to it will be answered. */
+  /** Records that the link to a peer was lost; heartbeats forwarded over it will not be answered. */
   onPeerDisconnected(node: NodeId): void {
     this.liveness.recordDisconnect(node);
     this.deferRequests((request) => request.leader === node);
@@ -207,31 +218,36 @@
   }
 
   /**
-   * Whether the peer has sent nothing for some seconds; those that agents connect to send something every
+   * Whether the peer has sent nothing for some seconds. Controllers that accept agents send a message every
    * second.
    */
   isSilent(node: NodeId): boolean {
     return this.liveness.isSilent(node);
   }
 
-  /** Whether the peer has sent something within the last seconds. */
+  /** Whether the peer has sent a message within the last seconds. */
   isAlive(node: NodeId): boolean {
     return this.liveness.isAlive(node);
   }
 
   /**
-   * Where to redirect an agent that cannot be served here: to a node that is certainly alive, rather than
-   * round nodes that may not be, at 5 s each. To the leader only if it may well answer there.
+   * The node to redirect an agent to when its heartbeat cannot be answered here. An agent loses 5 s on each
+   * node that does not answer, so a node known to be alive is preferred. The leader is chosen only if the
+   * agent can probably reach it; null leaves the choice of the node to the agent.
    */
   private redirectTarget(leader: NodeId | null): NodeId | null {
     const alivePeer = this.liveness.findAlivePeer(leader);
     if (alivePeer !== null) return alivePeer;
-    if (leader === null || this.liveness.disconnectedRecently(leader)) return null;
-    const mayAnswer = this.liveness.isAlive(leader) || this.liveness.silentMs(leader) >= OUT_OF_REACH_MS;
+    if (leader === null || this.liveness.wasDisconnectedRecently(leader)) return null;
+    const mayAnswer =
+      this.liveness.isAlive(leader) || this.liveness.silenceMs(leader) >= UNREACHABLE_AFTER_MS;
     return mayAnswer ? leader : null;
   }
 
-  /** `leader`: the last one known, for agents that may reach it though this node does not. */
+  /**
+   * Answers overdue heartbeats with redirects and drops old baselines. `leader`: the last known leader, which
+   * agents may be able to reach even if this node cannot.
+   */
   tick(leader: NodeId | null): void {
     const { now } = this.io;
     for (const [id, request] of this.requests) {
@@ -254,15 +270,15 @@
   }
 }
 
-const isNewer = (heartbeat: Heartbeat, than: Heartbeat): boolean =>
-  heartbeat.agentEpoch > than.agentEpoch ||
-  (heartbeat.agentEpoch === than.agentEpoch && heartbeat.seq > than.seq);
+const isNewer = (heartbeat: Heartbeat, other: Heartbeat): boolean =>
+  heartbeat.agentEpoch > other.agentEpoch ||
+  (heartbeat.agentEpoch === other.agentEpoch && heartbeat.seq > other.seq);
 
 /** Whether a heartbeat can be sent as a delta to an earlier one. */
-const canBeDelta = (heartbeat: Heartbeat, base: Heartbeat): boolean =>
+const canSendAsDelta = (heartbeat: Heartbeat, base: Heartbeat): boolean =>
   heartbeat.agentEpoch === base.agentEpoch && heartbeat.seq > base.seq && heartbeat.addr === base.addr;
 
-function deltaOf(
+function createDelta(
   heartbeat: Heartbeat,
   baseSeq: number,
   { removed, changed }: TaskListDelta,
--- a/src/core/heartbeats/heartbeat-relay.ts
+++ b/src/core/heartbeats/heartbeat-relay.ts
@@ -1,16 +1,16 @@
-// Agents that cannot reach the leader: the node that they come back to relays their heartbeats over its link
-// to the leader. Agents accept a response with the leader's fencing token from any node, and drop it after 4
-// s like any other.
+// Relays heartbeats of agents that cannot reach the leader: when a redirected agent returns, this node sends
+// its heartbeats to the leader over its own link. Agents accept a response with the leader's fencing token
+// from any node, and discard it if it arrives later than 4 s after the heartbeat, like any other response.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat, HeartbeatResponse } from '../base/model.ts';
 import type { LeaderRecord } from '../membership/leader-election.ts';
 import type { HeartbeatResponder } from './pending-heartbeats.ts';
 
-/** An agent that is back this soon after it was redirected to the leader did not get through. */
-const RETURN_WITHIN_MS = 12_000;
-/** After this time a relayed agent is redirected to the leader once more: the path may be open again. */
-const RETRY_REDIRECT_MS = 30_000;
+/** An agent that returns within this time of a redirect to the leader could not reach the leader. */
+const RETURN_WINDOW_MS = 12_000;
+/** After this time a relayed agent is redirected to the leader again, because it may reach it by now. */
+const REDIRECT_RETRY_INTERVAL_MS = 30_000;
 const RESPONSE_TIMEOUT_MS = 3500;
 
 interface RelayedRequest {
@@ -19,11 +19,12 @@
 }
 
 /**
- * Decides for each heartbeat at a node that is not the leader whether to redirect its agent or to relay it.
+ * On a node that is not the leader, decides for each heartbeat whether to redirect the agent to the leader or
+ * to relay the heartbeat.
  */
 export class HeartbeatRelay {
   private readonly redirectedAt = new Map<MachineId, Instant>();
-  /** Since when each machine's heartbeats are relayed. */
+  /** When relaying the heartbeats of each machine began. */
   private readonly relayedSince = new Map<MachineId, Instant>();
   private readonly requests = new Map<number, RelayedRequest>();
   private readonly io: ControllerIo;
@@ -33,8 +34,8 @@
   }
 
   /**
-   * Redirects the agent to the leader, or relays its heartbeat if it has tried that in vain; `isLinked`: to
-   * the leader.
+   * Redirects the agent to the leader, or relays its heartbeat if the agent could not reach the leader.
+   * `isLinked`: whether this node has a link to the leader.
    */
   relay(
     heartbeat: Heartbeat,
@@ -56,37 +57,37 @@
   }
 
   /**
-   * An agent with the leader's token has left it for want of responses; another was just redirected to it in
-   * vain.
+   * Whether the agent probably cannot reach the leader: it has the leader's fencing token but connected here,
+   * so the leader no longer answered it, or it was redirected to the leader moments ago and has returned.
    */
   private cannotReachLeader(heartbeat: Heartbeat, leader: LeaderRecord): boolean {
     const { machine } = heartbeat;
     const { now } = this.io;
     const since = this.relayedSince.get(machine);
-    if (since !== undefined && elapsedMs(now, since) > RETRY_REDIRECT_MS) {
+    if (since !== undefined && elapsedMs(now, since) > REDIRECT_RETRY_INTERVAL_MS) {
       this.relayedSince.delete(machine);
       return false;
     }
-    const hasReturned = elapsedMs(now, this.redirectedAt.get(machine) ?? LONG_AGO) < RETURN_WITHIN_MS;
+    const hasReturned = elapsedMs(now, this.redirectedAt.get(machine) ?? LONG_AGO) < RETURN_WINDOW_MS;
     if (!hasReturned && (heartbeat.fencingToken as number) !== leader.revision) return false;
     if (since === undefined) this.relayedSince.set(machine, now);
     return true;
   }
 
-  /** The leader's response to a relayed heartbeat; null if there will be none. */
+  /** Passes the leader's response to a relayed heartbeat to the agent; null if the leader will not answer. */
   onResponse(id: number, response: HeartbeatResponse | null): void {
     const request = this.requests.get(id);
     this.requests.delete(id);
     request?.respond(response ?? { kind: 'redirect', node: null });
   }
 
-  /** Redirects the agents whose time is up, and forgets those that have not come back. */
+  /** Redirects agents whose relayed heartbeats timed out, and drops the state of agents that stayed away. */
   tick(): void {
     const { now } = this.io;
     for (const [id, request] of this.requests) if (now >= request.deadline) this.onResponse(id, null);
     for (const [machine, at] of this.redirectedAt)
-      if (elapsedMs(now, at) > RETURN_WITHIN_MS) this.redirectedAt.delete(machine);
+      if (elapsedMs(now, at) > RETURN_WINDOW_MS) this.redirectedAt.delete(machine);
     for (const [machine, since] of this.relayedSince)
-      if (elapsedMs(now, since) > 2 * RETRY_REDIRECT_MS) this.relayedSince.delete(machine);
+      if (elapsedMs(now, since) > 2 * REDIRECT_RETRY_INTERVAL_MS) this.relayedSince.delete(machine);
   }
 }
--- a/src/core/heartbeats/pending-heartbeats.ts
+++ b/src/core/heartbeats/pending-heartbeats.ts
@@ -1,44 +1,48 @@
-// Heartbeats that wait for something before they can be answered, each for a limited time.
+// Queue of heartbeats that cannot be answered yet, for example because no leader is elected. Each waits for a
+// limited time.
 import { addMs, type Instant, NEVER } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Heartbeat, HeartbeatResponse } from '../base/model.ts';
 
-/** Answers a heartbeat; called once. */
+/** Sends the response to a heartbeat; called once per heartbeat. */
 export type HeartbeatResponder = (response: HeartbeatResponse) => void;
 
-/** A heartbeat that waits. */
+/** A heartbeat that has not been answered yet. */
 export interface PendingHeartbeat {
   heartbeat: Heartbeat;
   respond: HeartbeatResponder;
-  /** How long it may wait. */
+  /** The time until which it may wait. */
   until: Instant;
 }
 
-/** Queue of heartbeats that wait, in the order in which they came. */
+/** Heartbeats that have not been answered yet, in the order in which they were received. */
 export class PendingHeartbeats {
-  private waiting: PendingHeartbeat[] = [];
+  private queue: PendingHeartbeat[] = [];
 
   constructor(
     private readonly io: ControllerIo,
     private readonly maxWaitMs: number,
   ) {}
 
-  /** `deadline`: when its agent must be answered, if it has waited elsewhere before. */
+  /**
+   * Adds a heartbeat. `deadline`: the time by which its agent must be answered, if the heartbeat has already
+   * waited elsewhere.
+   */
   add(heartbeat: Heartbeat, respond: HeartbeatResponder, deadline: Instant = NEVER): void {
     const until = Math.min(addMs(this.io.now, this.maxWaitMs), deadline) as Instant;
-    this.waiting.push({ heartbeat, respond, until });
+    this.queue.push({ heartbeat, respond, until });
   }
 
-  /** Removes the first ones and returns them; all without a limit. */
+  /** Removes and returns the oldest heartbeats, up to `limit`. */
   take(limit = Number.POSITIVE_INFINITY): PendingHeartbeat[] {
-    return this.waiting.splice(0, limit);
+    return this.queue.splice(0, limit);
   }
 
-  /** Removes those that have waited for as long as they may, and returns them. */
+  /** Removes and returns the heartbeats whose waiting time is over. */
   takeOverdue(): PendingHeartbeat[] {
     const { now } = this.io;
-    const overdue = this.waiting.filter((pending) => now >= pending.until);
-    if (overdue.length > 0) this.waiting = this.waiting.filter((pending) => now < pending.until);
+    const overdue = this.queue.filter((pending) => now >= pending.until);
+    if (overdue.length > 0) this.queue = this.queue.filter((pending) => now < pending.until);
     return overdue;
   }
 }
--- a/src/core/heartbeats/task-list-delta.ts
+++ b/src/core/heartbeats/task-list-delta.ts
@@ -1,38 +1,40 @@
-// Deltas between the task lists of a machine's heartbeats. Most lists are the last one with a change or two:
-// what has not changed stays the same object, so that it need be neither forwarded nor reconciled again.
+// Deltas between the task lists of consecutive heartbeats of a machine. Most lists differ from the previous
+// one in one or two tasks. Unchanged tasks remain the same objects, so that they are neither forwarded nor
+// reconciled again.
 import type { TaskStatus } from '../base/model.ts';
 
-/** What turns an earlier task list into a newer one. */
+/** The changes that turn an earlier task list into a newer one. */
 export interface TaskListDelta {
   /**
-   * Indexes in the earlier list of tasks that are not in the newer one, or not in the same state; ascending.
+   * Indexes, in the earlier list, of tasks that the newer list does not contain or contains in another state;
+   * ascending.
    */
   removed: number[];
-  /** Tasks that are new or have changed, with their indexes in the newer list; ascending. */
+  /** Tasks that are new or have changed, with their indexes in the newer list (`at`); ascending. */
   changed: { at: number; task: TaskStatus }[];
 }
 
 /** A newer task list with its delta to an earlier one. */
 export interface TaskListDiff extends TaskListDelta {
   /**
-   * The newer list; what it has in common with the earlier one are the same objects. If both are equal, the
-   * earlier list itself.
+   * The newer list, with the objects of the earlier list for unchanged tasks. If both lists are equal, this
+   * is the earlier list itself.
    */
   tasks: readonly TaskStatus[];
 }
 
-/** Compares two task lists. Work: one pass over both if the agent keeps the order of its tasks. */
-export function diffTaskLists(before: readonly TaskStatus[], now: readonly TaskStatus[]): TaskListDiff {
-  if (now === before) return { tasks: before, removed: [], changed: [] };
+/** Compares two task lists. Cost: one pass over both lists if the agent keeps the order of its tasks. */
+export function diffTaskLists(before: readonly TaskStatus[], after: readonly TaskStatus[]): TaskListDiff {
+  if (after === before) return { tasks: before, removed: [], changed: [] };
   const tasks: TaskStatus[] = [];
   const changed: TaskListDelta['changed'] = [];
   const kept = new Set<number>();
   let searchFrom = 0;
-  for (const task of now) {
+  for (const task of after) {
     let index = searchFrom;
     while (index < before.length && !isSameTask(before[index]!, task)) index++;
     const earlier = before[index];
-    // Agents keep the order of their tasks; for one that does not, only more of the list counts as changed.
+    // Agents keep the order of their tasks. If one does not, the delta is correct but contains more tasks.
     if (earlier !== undefined) searchFrom = index + 1;
     if (earlier !== undefined && isSameState(earlier, task)) {
       kept.add(index);
@@ -46,7 +48,7 @@
   return { tasks, removed: [...before.keys()].filter((index) => !kept.has(index)), changed };
 }
 
-/** The list after the delta; null if the delta cannot be one to this list. */
+/** Applies a delta to a task list; returns null if the delta does not fit the list. */
 export function applyTaskListDelta(
   before: readonly TaskStatus[],
   { removed, changed }: TaskListDelta,
@@ -58,7 +60,10 @@
   return mergeChanges(kept, changed);
 }
 
-/** Puts each changed task at its index and the kept ones between them; null if some task is left over. */
+/**
+ * Inserts each changed task at its index among the kept ones; returns null if an index is out of range or out
+ * of order.
+ */
 function mergeChanges(kept: TaskStatus[], changed: TaskListDelta['changed']): TaskStatus[] | null {
   const merged: TaskStatus[] = [];
   const length = kept.length + changed.length;
--- a/test/heartbeat-forwarding.test.ts
+++ b/test/heartbeat-forwarding.test.ts
@@ -1,5 +1,6 @@
-// How heartbeats reach the leader from agents at other controllers: forwarding, deferral, redirects and
-// balanced connections; and the request budget of the store (docs/scale.md).
+// Tests of heartbeats from agents that are connected to controllers other than the leader: forwarding,
+// deferral, redirects and balancing of connections. Also tests of the request budget of the store
+// (docs/scale.md).
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
@@ -21,7 +22,7 @@
 
 const leaderTermOf = (world: SimulatedWorld): LeaderTerm => world.nodes.get(world.owner!)!.leaderTerm!;
 
-/** A heartbeat as a delta that says that no task has changed since the one with the given sequence number. */
+/** A delta stating that no task has changed since the heartbeat with the sequence number `baseSeq`. */
 function unchangedSince(heartbeat: Heartbeat, baseSeq: number): ForwardedHeartbeat {
   const { machine, agentEpoch, seq, fencingToken, preemptionNoticeS } = heartbeat;
   return {
@@ -37,7 +38,7 @@
   };
 }
 
-/** A leader with one idle machine whose heartbeats come forwarded from another node. */
+/** A leader with one idle machine; the test passes the machine's heartbeats to it as forwarded ones. */
 function leaderWithForwardedMachine() {
   const world = new SimulatedWorld({}, ['node-0']);
   world.submit(job('run-0'));
@@ -58,13 +59,13 @@
   return { world, responses, forward, nextHeartbeat };
 }
 
-const startsIn = (response: ForwardedHeartbeatResponse | undefined) =>
+const startCommandsIn = (response: ForwardedHeartbeatResponse | undefined) =>
   response?.kind === 'commands' ? response.commands.filter((command) => command.op === 'start') : [];
 
 const instant = (ms: number) => ms as Instant;
 
-describe('forwarding heartbeats to the leader', () => {
-  it('agents stay with the node they connect to, most forwarded heartbeats are deltas, and jobs are done', () => {
+describe('forwarding of heartbeats to the leader', () => {
+  it('keeps agents connected to the same node, sends most forwarded heartbeats as deltas, and completes jobs', () => {
     const world = new SimulatedWorld();
     const forwarded = { full: 0, delta: 0 };
     world.tapPeer = (message: PeerMessage) => {
@@ -79,23 +80,27 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('a start command that was lost is detected from an unchanged delta and sent again', () => {
+  it('detects a lost start command from an unchanged delta and sends it again', () => {
     const { world, responses, forward, nextHeartbeat } = leaderWithForwardedMachine();
     const first = nextHeartbeat();
     forward({ kind: 'full', heartbeat: first });
     world.ask('node-0', { op: 'submit', spec: job('run-1') });
     world.run(2.5);
-    assert.equal(startsIn(responses.at(-1)).length, 1, 'started in the response, which the agent never got');
-    // The agent lists what it listed before: that the task is missing must be noticed though the list has not
-    // changed.
+    assert.equal(
+      startCommandsIn(responses.at(-1)).length,
+      1,
+      'the start command is in the response, which does not reach the agent',
+    );
+    // The agent sends the same task list as before: the leader must detect that the task is missing from it
+    // although the list has not changed.
     forward(unchangedSince(nextHeartbeat(), first.seq));
     world.run(2.5);
     assert.ok(world.logs.some((line) => line.includes('task not on its machine')));
-    const [again] = startsIn(responses.at(-1));
-    assert.equal(again?.task, 'run-1/0');
+    const [repeatedStart] = startCommandsIn(responses.at(-1));
+    assert.equal(repeatedStart?.task, 'run-1/0');
   });
 
-  it('a delta to anything but the last processed heartbeat is answered with a request for the full heartbeat', () => {
+  it('requires the full heartbeat if a delta is not based on the last processed heartbeat', () => {
     const { world, responses, forward, nextHeartbeat } = leaderWithForwardedMachine();
     const [first, second, third] = [nextHeartbeat(), nextHeartbeat(), nextHeartbeat()];
     forward({ kind: 'full', heartbeat: first });
@@ -111,7 +116,7 @@
     assert.equal(responses.at(-1)?.kind, 'commands');
   });
 
-  it('task lists are restored from their deltas whatever happens to them, and a delta to another list is refused', () => {
+  it('restores random task lists from their deltas, and rejects a delta that does not fit the list', () => {
     const random = seededRandom(11);
     const runningTask = (number: number): TaskStatus => ({
       task: `run-${number}/0` as TaskId,
@@ -132,7 +137,7 @@
       assert.deepEqual(diff.tasks, now);
       const { removed, changed } = diff;
       assert.deepEqual(applyTaskListDelta(before, { removed, changed }), now);
-      // What has not changed is the same object in both lists.
+      // Unchanged tasks are the same objects in both lists.
       for (const task of diff.tasks)
         assert.equal(before.includes(task), !changed.some((change) => change.task === task));
       if (removed.length > 0 && before.length === removed.at(-1)! + 1)
@@ -141,7 +146,7 @@
     }
   });
 
-  it('lost, repeated and late messages between nodes neither duplicate nor lose a task', () => {
+  it('neither duplicates nor loses a task when messages between nodes are lost, repeated or late', () => {
     const world = new SimulatedWorld();
     world.runS = 6;
     let messages = 0;
@@ -157,16 +162,16 @@
     world.heal('node-1', world.owner!);
     world.crash(world.owner!);
     for (let i = 0; i < 8; i++) {
-      const asker = [...world.nodes.keys()][0]!;
+      const node = [...world.nodes.keys()][0]!;
       assert.ok(
-        world.until(() => world.isDone(`run-${i}`, asker), 200),
+        world.until(() => world.isDone(`run-${i}`, node), 200),
         `run-${i}`,
       );
     }
     assert.deepEqual(world.broken, []);
   });
 
-  it('during a leader election heartbeats are deferred: agents are not redirected round the nodes, and no task is lost', () => {
+  it('defers heartbeats during a leader election: agents are not redirected from node to node, and no task is lost', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 9, cpus: 4 }));
@@ -183,21 +188,21 @@
     assert.notEqual(world.owner, oldLeader);
     assert.ok(leaderTermOf(world).failover.isComplete);
     assert.ok(forwardedWorkers.length > 0);
-    // Each waits once for 3 s, at most twice if its heartbeat came just after the crash.
+    // Each agent waits for one timeout, or for two if it sent its heartbeat just after the crash.
     const moved = totalMoves() - movesBefore;
     assert.ok(moved <= 2 * forwardedWorkers.length, `${moved} moves of ${forwardedWorkers.length} workers`);
     assert.equal(totalStarts(), startsBefore);
     assert.deepEqual(world.broken, []);
   });
 
-  it('heartbeats that come before a new leader has loaded the records are deferred and reconcile their machines at once', () => {
+  it('defers heartbeats until a new leader has loaded the records, and then reconciles their machines at once', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 9, cpus: 4 }));
     assert.ok(world.until(() => world.holders('run-1').length >= 5));
     world.run(6);
     world.state.unreadable = 'm/';
-    // Without the cloud's list the new leader does not know where to probe them.
+    // Without the machine list of the cloud, the new leader has no addresses to which to send probes.
     world.cloud.down = true;
     world.reportMs = 4000;
     world.crash(world.owner!);
@@ -209,15 +214,15 @@
     assert.ok(world.until(() => leaderTerm.failover.isLoaded, 1));
     world.run(0.3);
     const { byId, fencingToken } = leaderTerm.machines;
-    const seen = [...world.workers.values()].filter((worker) => worker.token === fencingToken);
-    assert.ok(seen.length >= 2);
-    // A heartbeat interval is 4 s, but none is waited for.
-    for (const worker of seen)
+    const workersOfTerm = [...world.workers.values()].filter((worker) => worker.token === fencingToken);
+    assert.ok(workersOfTerm.length >= 2);
+    // Machines are reconciled from their deferred heartbeats; the next ones would come up to 4 s later.
+    for (const worker of workersOfTerm)
       assert.ok(byId.get(worker.id)?.isReconciled, `${worker.id} was not reconciled`);
     assert.deepEqual(world.broken, []);
   });
 
-  it('a heartbeat that waits for the records is redirected once the leader may no longer renew leases', () => {
+  it('redirects the agent of a heartbeat that waits for the records once the leader may no longer renew leases', () => {
     const world = new SimulatedWorld({}, ['node-0']);
     world.submit(job('run-1', { tasks: 2, cpus: 4 }));
     assert.ok(world.until(() => world.holders('run-1').length >= 1));
@@ -237,14 +242,14 @@
     assert.deepEqual(responses, ['redirect']);
   });
 
-  it('a node whose leader stops responding redirects its agents to the leader and forwards again later', () => {
+  it('redirects agents to a leader that stops answering forwarded heartbeats, and forwards again later', () => {
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 6, cpus: 4 }));
     assert.ok(world.until(() => world.holders('run-1').length >= 3));
     world.run(4);
     const leader = world.owner!;
-    // The link is up but brings no responses; agents reach the leader all the same.
+    // The link is up but carries no responses, while agents can still connect to the leader.
     world.tapPeer = ({ kind }) => kind !== 'forwarded-heartbeat-response' && kind !== 'load';
     world.run(25);
     for (const worker of world.workers.values())
@@ -255,9 +260,9 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('a frozen leader and a partitioned node cost no agent its lease that the third node can reach', () => {
-    // Heartbeats are answered before the freeze, in flight during it, or sent after it: no moment may lose a
-    // lease.
+  it('with a frozen leader and a partitioned node, no agent that can reach the third node loses its lease', () => {
+    // Depending on the delay, heartbeats are answered before the freeze, in flight during it, or sent after
+    // it: no lease may be lost in any of these cases.
     for (const delayMs of [0, 250, 500, 750]) {
       const world = new SimulatedWorld({
         workers: { heartbeatS: 2, leaseS: 13, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
@@ -272,31 +277,31 @@
       const partitioned = [...world.nodes.keys()].find((node) => node !== leader)!;
       const third = [...world.nodes.keys()].find((node) => node !== leader && node !== partitioned)!;
       const others = [...world.workers.keys(), ...world.nodes.keys(), 'state', 'cloud', 'user'];
-      const inReach = [...world.workers.values()].filter(
+      const reachableWorkers = [...world.workers.values()].filter(
         (worker) => worker.node === third || worker.node === leader,
       );
-      assert.ok(inReach.some((worker) => worker.node === third));
+      assert.ok(reachableWorkers.some((worker) => worker.node === third));
       for (const other of others) if (other !== partitioned) world.cut(partitioned, other, 'hold');
       world.run(4);
-      // Its links stay up, but it sends nothing.
+      // The links of the frozen leader stay up, but it sends nothing.
       world.freeze(leader);
       world.run(20);
-      for (const worker of inReach)
-        assert.equal(worker.session, 1, `${worker.id} lost its lease, ${delayMs} ms later; ${worker.node}`);
+      for (const worker of reachableWorkers)
+        assert.equal(worker.session, 1, `${worker.id} at ${worker.node} lost its lease, delay ${delayMs} ms`);
       assert.equal(world.owner, third);
       assert.deepEqual(world.broken, []);
     }
   });
 });
 
-describe('redirecting agents', () => {
-  it('an agent that cannot wait any longer is redirected to a live node, and to a silent leader only well after its lease', () => {
+describe('redirection of agents', () => {
+  it('redirects an overdue agent to a live node, and to a silent leader only well after the leader lease has expired', () => {
     const io = new ControllerIo(seededRandom(1));
     const [leader, third] = ['node-0', 'node-1'] as NodeId[];
     const heartbeat = { machine: 'i-1', agentEpoch: 1, seq: 1, tasks: [] } as unknown as Heartbeat;
     /**
-     * Where an agent is redirected that nobody answers, both nodes having been silent for so many
-     * milliseconds.
+     * The node to which an agent is redirected when its heartbeat is not answered and both nodes have been
+     * silent for the given times.
      */
     const redirectTarget = (leaderSilentMs: number, thirdSilentMs: number): NodeId | null => {
       const forwarder = new HeartbeatForwarder(io);
@@ -322,7 +327,7 @@
     assert.equal(redirectTarget(7000, 4000), leader);
   });
 
-  it('connections are balanced again after nodes have ended, a few a second, and no agent goes back and forth', () => {
+  it('balances connections again after restarts, a few per second, without moving agents back and forth', () => {
     const io = new ControllerIo(seededRandom(2));
     const nodes = ['node-0', 'node-1', 'node-2'] as NodeId[];
     const balancers = new Map(nodes.map((node) => [node, new ConnectionBalancer(io, 5)]));
@@ -352,9 +357,9 @@
     }
     for (const node of nodes)
       assert.ok(agentsAt(node) > 220 && agentsAt(node) < 390, `${node}: ${agentsAt(node)}`);
-    assert.ok(mostMovedPerS > 0 && mostMovedPerS <= 900 * 0.04 + 1, `${mostMovedPerS} in a second`);
+    assert.ok(mostMovedPerS > 0 && mostMovedPerS <= 900 * 0.04 + 1, `${mostMovedPerS} moved in one second`);
     assert.ok(agents.every((agent) => agent.moves <= 2));
-    // A small fleet is not balanced, nor one whose other nodes cannot be reached.
+    // Connections are not balanced in a small fleet, or if no other node is reachable.
     const balancer = new ConnectionBalancer(io, 5);
     balancer.recordPeerWeight(nodes[1]!, 0);
     for (let i = 0; i < 20; i++) balancer.onHeartbeat(`i-${i}` as MachineId);
@@ -370,7 +375,7 @@
 });
 
 describe('the request budget of the store', () => {
-  it('leases are renewed at once whatever waits, and queries wait briefly and are dropped, by priority', () => {
+  it('sends lease renewals at once whatever is queued, sends the rest by priority, and drops queries after a short wait', () => {
     const budget = new StoreRequestBudget(10, 3);
     const log: string[] = [];
     const submit = (now: number, priority: StorePriority, name: string) =>
@@ -394,7 +399,7 @@
     assert.equal(budget.waiting, 0);
   });
 
-  it('the requests of all nodes together stay below the limit, whoever leads', () => {
+  it('keeps the requests of the leader and its followers together below the limit', () => {
     const requestsPerS = 90;
     const budgets = [true, false, false].map((isLeader) => {
       const budget = new StoreRequestBudget(requestsPerS, 3);
@@ -413,11 +418,11 @@
         );
         budget.tick(instant(ms));
       }
-    // Everything that is allowed for is used, and no more: bursts of a second's worth come on top once.
+    // The allowed rate is used in full but not exceeded, apart from one initial burst of one second.
     assert.ok(sent <= requestsPerS * 0.95 * 21 && sent >= requestsPerS * 0.85 * 20, `${sent}`);
   });
 
-  it('throttling slows a node once, not once for each request in flight, and the rate recovers', () => {
+  it('slows a node down once per throttling, not once per throttled request in flight, and recovers the rate', () => {
     const budget = new StoreRequestBudget(100, 1);
     budget.setLeader(true);
     for (let i = 0; i < 50; i++) budget.onThrottled(instant(i));
@@ -442,7 +447,7 @@
 });
 
 describe('an overloaded or unavailable store', () => {
-  it('with half of all requests refused the leader keeps its term, retries do not multiply, and jobs are done', () => {
+  it('with half of all requests refused, the leader keeps its term, retries stay limited, and jobs complete', () => {
     const world = new SimulatedWorld();
     world.runS = 3;
     world.submit(job('run-0'));
@@ -454,9 +459,9 @@
     world.run(1);
     const refusalsBefore = world.state.refusals;
     world.run(20);
-    // 200 requests a second are allowed; retries of what is refused stay far below that.
+    // 200 requests per second are allowed; retries of refused requests must stay far below that.
     const refusals = world.state.refusals - refusalsBefore;
-    assert.ok(refusals < 20 * 60, `${refusals} requests`);
+    assert.ok(refusals < 20 * 60, `${refusals} refused requests`);
     assert.equal(world.nodes.get(world.owner!)!.election.term, term);
     world.state.halfRefused = false;
     for (let i = 1; i <= 12; i++) world.submit(job(`run-${i}`, { tasks: 3 }));
@@ -465,7 +470,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('an unavailable store or cloud is logged at once, then with growing intervals, and once when it is back', () => {
+  it('logs an unavailable store or cloud at once, then at growing intervals, and once when it is available again', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     world.run(5);
@@ -484,8 +489,8 @@
     world.state.down = false;
     world.cloud.down = false;
     world.run(20);
-    const back = world.logs.filter((line) => line.includes('node-0 the state service answers again'));
-    assert.equal(back.length, 1, `${(world.now - start) / 1000} s`);
+    const recoveries = world.logs.filter((line) => line.includes('node-0 the state service answers again'));
+    assert.equal(recoveries.length, 1, `within ${(world.now - start) / 1000} s`);
     assert.equal(world.logs.filter((line) => line.includes('node-0 the cloud answers again')).length, 1);
   });
 });
