--- a/src/core/admission/fallback-admission.ts
+++ b/src/core/admission/fallback-admission.ts
@@ -1,7 +1,7 @@
-// Fallback admission: submissions to a controller that cannot reach the leader are stored by that controller
-// itself. The record is the same that the leader would write, under the same conditions, so that only one of
-// them is ever written; the leader finds it by its watch on stored jobs (accepted-jobs-watch.ts), a later
-// leader when it reads all of them.
+// Fallback admission: a controller that cannot reach the leader stores submitted jobs itself. It writes the
+// same record as the leader would, under the same conditions, so that only one of the two writes can succeed.
+// The leader receives the job through its watch on stored jobs (accepted-jobs-watch.ts); a later leader reads
+// it when it loads all stored jobs.
 import type { Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, Settings, StorePut, StoreReply, UserResponse } from '../base/model.ts';
@@ -18,34 +18,34 @@
 import { jitteredRetryS } from './load-shedder.ts';
 import { TeamThrottle } from './team-throttle.ts';
 
-/** Fraction of the shard's write budget that one controller may use for this. */
+/** Fraction of the shard's write budget that one controller may use for fallback admission. */
 const WRITE_BUDGET_FRACTION = 0.15;
-/** Fraction of that which is kept for teams that are not throttled. */
+/** Fraction of the burst of these writes that is reserved for teams that are not throttled. */
 const RESERVED_FRACTION = 0.3;
 const WRITE_TIMEOUT_MS = 1500;
-/** After which a team that is sent back should retry, if it submits no more than its even share. */
+/** Time after which a rejected team should retry, if it submits no more than its even share. */
 const RETRY_AFTER_S = 2;
 
-/** What {@link FallbackAdmission} depends on. */
+/** Dependencies of {@link FallbackAdmission}. */
 export interface FallbackAdmissionDependencies {
   io: ControllerIo;
   settings: Settings;
   machineTypes: MachineTypeCatalog;
   jobRecords: JobRecordReader;
   configuration: Configuration;
-  /** A job was checked against a revision of the configuration that is not the newest any more. */
+  /** Called when a job was checked against a configuration revision that is no longer the newest. */
   onStaleConfiguration: () => void;
 }
 
 type Respond = (response: UserResponse) => void;
 
-/** Accepts jobs without the leader. */
+/** Accepts jobs without the leader, by writing their records to the store. */
 export class FallbackAdmission {
-  private readonly budget: TokenBucket;
-  /** Changes a second that are kept for teams that are not throttled. */
-  private readonly reservedBudget: number;
+  private readonly writeBudget: TokenBucket;
+  /** Number of writes in the budget that are reserved for teams that are not throttled. */
+  private readonly reservedWrites: number;
   private readonly throttle: TeamThrottle;
-  /** Unique to this run of the controller. */
+  /** Prefix of write ids, unique to this run of the controller. */
   private readonly writeIdPrefix: string;
   private lastWriteId = 0;
   private readonly io: ControllerIo;
@@ -65,63 +65,68 @@
     this.onStaleConfiguration = dependencies.onStaleConfiguration;
     const writesPerS = Math.max(1, settings.store.writesPerS * WRITE_BUDGET_FRACTION);
     const burst = Math.max(2, writesPerS);
-    this.budget = new TokenBucket(writesPerS, burst);
-    this.reservedBudget = burst * RESERVED_FRACTION;
+    this.writeBudget = new TokenBucket(writesPerS, burst);
+    this.reservedWrites = burst * RESERVED_FRACTION;
     this.throttle = new TeamThrottle(io);
     this.writeIdPrefix = `${settings.node}.${io.random.below(2 ** 31)}`;
   }
 
-  /** Stores a submitted job and responds once that is done, or sends its user back. */
+  /** Stores a submitted job and responds when it is stored, or asks the user to retry later. */
   accept(spec: JobSpec, respond: Respond): void {
-    if (!this.canDecide(spec)) return respond(retryLater('no controller can take this at the moment'));
+    if (!this.canAcceptWithoutLeader(spec))
+      return respond(retryLater('no controller can take this at the moment'));
     this.throttle.recordSubmission(spec.team);
-    const reserved = this.throttle.isThrottled(spec.team) ? this.reservedBudget : 0;
-    if (!this.budget.take(this.io.now, 1, reserved)) return respond(this.tooManySubmissions(spec));
-    const write = () => this.write(spec, respond);
+    const reserved = this.throttle.isThrottled(spec.team) ? this.reservedWrites : 0;
+    if (!this.writeBudget.take(this.io.now, 1, reserved))
+      return respond(this.tooManySubmissionsResponse(spec));
+    const write = () => this.writeRecord(spec, respond);
     if (spec.dependsOn === undefined) write();
     else checkDependencies(spec, () => null, this.jobRecords, respond, write);
   }
 
-  /** What can never run is left to the leader, who knows whether the job was accepted before. */
-  private canDecide(spec: JobSpec): boolean {
+  /**
+   * Whether this controller can decide on the job by itself. A job that can never run is left to the leader,
+   * which can tell whether it was accepted earlier.
+   */
+  private canAcceptWithoutLeader(spec: JobSpec): boolean {
     const { machineTypes, configuration } = this;
     if (!machineTypes.isLoaded) return false;
     if (infeasibilityReason(spec, machineTypes.types, configuration.effective.teams) !== null) return false;
-    return this.recordPuts(spec) !== null;
+    return this.encodeRecord(spec) !== null;
   }
 
-  private tooManySubmissions(spec: JobSpec): UserResponse {
+  private tooManySubmissionsResponse(spec: JobSpec): UserResponse {
     const afterS = this.throttle.retryAfterS(spec.team, RETRY_AFTER_S);
     return retryLater('too many submissions at once', jitteredRetryS(this.io, afterS), true);
   }
 
   /**
-   * The record in one value; only the leader writes longer ones, of which others would have to gather the
-   * parts.
+   * Encodes the job's record; returns null if it does not fit in one value. Only the leader writes records of
+   * several values, because any other controller would have to collect the parts to read them.
    */
-  private recordPuts(spec: JobSpec): StorePut[] | null {
+  private encodeRecord(spec: JobSpec): StorePut[] | null {
     const writeId = `${this.writeIdPrefix}.${++this.lastWriteId}`;
     const record = { spec, acceptedAt: this.io.wallTime, cancelled: false, writeId, dependencyParts: 0 };
     const puts = jobRecordPuts(record, this.settings.store);
     return puts?.length === 1 ? puts : null;
   }
 
-  private write(spec: JobSpec, respond: Respond): void {
+  private writeRecord(spec: JobSpec, respond: Respond): void {
     const conditions = [
       { key: OPEN_JOB_PREFIX + spec.id, revision: 0 as Revision },
       { key: FINAL_STATE_PREFIX + spec.id, revision: 0 as Revision },
-      // Checked against an older configuration than the stored one, the job is not accepted.
+      // The write fails if the job was checked against an older configuration than the stored one.
       { key: CONFIG_NOTIFICATION_KEY, revision: this.configuration.applied },
     ];
     this.io.store(
-      { kind: 'compare-and-swap', conditions, puts: this.recordPuts(spec)!, deletes: [] },
+      { kind: 'compare-and-swap', conditions, puts: this.encodeRecord(spec)!, deletes: [] },
       StorePriority.query,
-      (reply) => this.onReply(spec, reply, respond),
+      (reply) => this.onWriteReply(spec, reply, respond),
       WRITE_TIMEOUT_MS,
     );
   }
 
-  private onReply(spec: JobSpec, reply: StoreReply, respond: Respond): void {
+  private onWriteReply(spec: JobSpec, reply: StoreReply, respond: Respond): void {
     if (reply.kind === 'committed') {
       this.io.log('info', 'job accepted without the leader', { job: spec.id });
       return respond({ kind: 'accepted', id: spec.id });
--- a/src/core/admission/feasibility.ts
+++ b/src/core/admission/feasibility.ts
@@ -1,11 +1,12 @@
-// Which jobs can never run, whatever happens: their users are told so at once, with the reason.
+// Feasibility checks: finds jobs that can never run, so that their submission is refused at once with the
+// reason.
 import type { TeamName, TypeName, WallTime } from '../../types/index.ts';
 import type { JobSpec, MachineType, StoreLimits, Team } from '../base/model.ts';
 import { canEverRun, isBoundToOneZone } from '../jobs/placement-constraints.ts';
 import { jobRecordPuts } from '../storage/job-record.ts';
 import { quotaViolation } from '../teams/quota.ts';
 
-/** Why the job can never run with these machine types and teams; null if it can. */
+/** The reason why the job can never run with these machine types and teams; null if it can run. */
 export function infeasibilityReason(
   spec: JobSpec,
   types: ReadonlyMap<TypeName, MachineType>,
@@ -21,17 +22,18 @@
   return quotaViolation(spec, team);
 }
 
-/** A write id and a time at least as long, as stored, as any real ones. */
+/** A write id and a time that take at least as many bytes in a stored record as any real ones. */
 const LONGEST_WRITE_ID = '-'.repeat(48);
-const LONGEST_TIME = 1e13 as WallTime;
+const LONGEST_WALL_TIME = 1e13 as WallTime;
 
 /**
- * Why the job's record would not fit one transaction of the store, even in several values; null if it does.
+ * The reason why the job's record would not fit in one transaction of the store, even if split into several
+ * values; null if it fits.
  */
 export function oversizeReason(spec: JobSpec, limits: StoreLimits): string | null {
   const record = {
     spec,
-    acceptedAt: LONGEST_TIME,
+    acceptedAt: LONGEST_WALL_TIME,
     cancelled: false,
     writeId: LONGEST_WRITE_ID,
     dependencyParts: 0,
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -1,4 +1,5 @@
-// Load shedding: what is rejected, postponed or dropped under overload (docs/scale.md).
+// Tests of load shedding: which requests and periodic work are rejected, postponed or dropped under overload
+// (docs/scale.md). Also tests of the heap governor.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { LoadShedder } from '../src/core/admission/load-shedder.ts';
@@ -9,7 +10,7 @@
 import type { Instant, NodeId, WallTime } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-/** A work queue on an event loop of which the test runs every turn; each piece of work takes 3 ms. */
+/** A work queue on a simulated event loop whose turns are run by the test; each work item takes 3 ms. */
 function simulatedLoop() {
   let now = 0;
   const scheduled: (() => void)[] = [];
@@ -38,7 +39,7 @@
   return { queue, add, runTurn, wait, log, scheduled };
 }
 
-/** A load shedder on ticks that the test delays. */
+/** A load shedder whose ticks are delayed by the test. */
 function delayedTicks() {
   const io = new ControllerIo(seededRandom(4));
   const shedder = new LoadShedder(io);
@@ -58,7 +59,7 @@
   return { shedder, io, tick, rejectedOf1000, reportedLevels };
 }
 
-/** A world with a job of which at least three tasks run; their run time is 20 s. */
+/** A simulated cluster with a job of which at least three tasks are running; tasks run for 20 s. */
 function worldWithRunningJob() {
   const world = new SimulatedWorld();
   world.runS = 20;
@@ -72,16 +73,16 @@
 }
 
 describe('the work queue', () => {
-  it('works on a flood in slices, the urgent first, and drops unread what nobody waits for any more', () => {
+  it('processes a burst of items in slices, the most urgent first, and drops those whose senders have timed out', () => {
     const { queue, add, runTurn, wait, log, scheduled } = simulatedLoop();
     add('alone', 2);
-    assert.deepEqual(log, ['alone'], 'with nothing else to do there is no waiting');
+    assert.deepEqual(log, ['alone'], 'an item is run at once if nothing else is queued');
     for (let i = 0; i < 6; i++) add(`status-${i}`, 2, 20);
     for (let i = 0; i < 6; i++) add(`submit-${i}`, 1);
     for (let i = 0; i < 6; i++) add(`heartbeat-${i}`, 0);
     add('health', 'now');
     assert.equal(log.pop(), 'health');
-    // One turn of the loop takes three pieces and no more, whatever waits.
+    // One turn of the event loop runs at most three items, however many are queued.
     assert.ok(log.length <= 3, log.join());
     log.length = 0;
     runTurn();
@@ -96,31 +97,31 @@
     assert.equal(dropped.length, queue.dropped);
     assert.ok(queue.dropped >= 4);
     assert.equal(queue.waiting, 0);
-    assert.equal(scheduled.length, 0, 'an idle loop is left alone');
+    assert.equal(scheduled.length, 0, 'nothing is scheduled while the queue is empty');
   });
 });
 
 describe('load shedding', () => {
-  it('rejects status requests first, then submissions, never cancellations; some status requests always pass', () => {
+  it('rejects status requests first, then submissions, never cancellations; some status requests are always served', () => {
     const { shedder, tick, rejectedOf1000, reportedLevels } = delayedTicks();
     tick(0);
     tick(900);
     tick(0);
-    assert.equal(shedder.level, 0, 'one pause is no overload');
+    assert.equal(shedder.level, 0, 'a single pause is no overload');
     for (let i = 0; i < 8; i++) tick(350);
     assert.equal(shedder.level, 1);
     assert.ok(rejectedOf1000('status') > 400 && rejectedOf1000('status') < 600);
     assert.deepEqual([rejectedOf1000('submit'), rejectedOf1000('cancel')], [0, 0]);
     for (let i = 0; i < 12; i++) tick(0, 1500);
-    assert.equal(shedder.level, 2, 'heartbeats that wait to be read count as much as a late timer');
+    assert.equal(shedder.level, 2, 'queueing time of heartbeats counts as much as a late timer');
     assert.deepEqual([rejectedOf1000('submit'), rejectedOf1000('cancel')], [1000, 0]);
     assert.ok(rejectedOf1000('status') < 960);
     for (let i = 0; i < 60; i++) tick(0);
     assert.deepEqual([shedder.level, rejectedOf1000('status'), rejectedOf1000('submit')], [0, 0, 0]);
-    assert.equal(reportedLevels.at(-1), 0, 'the others are told that it is over');
+    assert.equal(reportedLevels.at(-1), 0, 'the end of the overload is reported to the other controllers');
   });
 
-  it('spreads retries over a time that grows with the load, and does recurring work less often', () => {
+  it('spreads retries over a time that grows with the load, and runs periodic work less often', () => {
     const { shedder, io, tick } = delayedTicks();
     tick(0);
     assert.equal(io.intervalFactor, 1);
@@ -138,7 +139,7 @@
     assert.ok(Math.min(...retryTimes) >= 5);
   });
 
-  it("follows the leader's load report as long as it is fresh", () => {
+  it("applies the leader's load report as long as it is valid", () => {
     const io = new ControllerIo(seededRandom(4));
     const shedder = new LoadShedder(io);
     const leader = 'node-1' as NodeId;
@@ -152,7 +153,7 @@
     assert.equal(shedder.slownessMs(leader), 0);
   });
 
-  it("is done by all controllers while the leader's timer fires late, and no agent's lease expires", () => {
+  it("rejects requests at all controllers while the leader's timer fires late, and no agent's lease expires", () => {
     const { world, leader, follower, rejection } = worldWithRunningJob();
     world.slowTicks.set(leader, 900);
     world.run(8);
@@ -169,7 +170,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('rejects new jobs at every controller while the leader is short of memory, and goes on with accepted ones', () => {
+  it('rejects new jobs at every controller while the leader is short of memory, and still runs accepted jobs', () => {
     const { world, leader, follower, rejection } = worldWithRunningJob();
     const isAccepting = (): boolean => rejection(follower, 'submit') === null;
     world.memory.set(leader, 0.9);
@@ -185,8 +186,8 @@
         /memory/.test(rejected.reason),
     );
     assert.equal(rejection(leader, 'submit')?.kind, 'retry');
-    // Forwarded by a controller that does not know of it: a new job is rejected, the repetition of an
-    // accepted one is not.
+    // Submissions that are forwarded without the check at the follower: the leader rejects a new job, but not
+    // the repeated submission of an accepted one.
     const submissions = [job('run-2'), job('run-1', { tasks: 6, cpus: 4 })].map((spec) =>
       world.ask(follower, { op: 'submit', spec }),
     );
@@ -199,10 +200,10 @@
       for (const controller of [leader, follower]) assert.equal(rejection(controller, op), null, op);
     world.memory.set(leader, 0.88);
     world.run(3);
-    assert.ok(!isAccepting(), 'between the two thresholds nothing changes');
+    assert.ok(!isAccepting(), 'between the two thresholds new jobs are still rejected');
     assert.ok(
       world.until(() => world.isDone('run-1'), 90),
-      'what was accepted goes on',
+      'accepted jobs are completed',
     );
     world.memory.set(leader, 0.8);
     world.run(3);
@@ -212,7 +213,7 @@
 });
 
 describe('the heap governor', () => {
-  it('lets garbage grow with the memory limit, and has it collected early where little memory is left', () => {
+  it('lets garbage grow while memory is free, and collects it earlier when little memory is left', () => {
     const growth = (rssMb: number, limitMb: number, heapMb = 30) => growthPercent({ rssMb, heapMb, limitMb });
     assert.equal(growth(80, 1000), 60);
     assert.equal(growth(130, 146), 15);
@@ -230,7 +231,7 @@
     assert.ok(governor.used(500) < 0.6, 'measured once a second');
     assert.ok(governor.used(1000) > 0.95);
     governor.used(2000);
-    assert.deepEqual(set, [60, 15], 'set only when it changes');
+    assert.deepEqual(set, [60, 15], 'the growth is set only when it changes');
     const unlimited = new HeapGovernor(
       null,
       () => assert.fail(),
