--- a/src/core/teams/quota.ts
+++ b/src/core/teams/quota.ts
@@ -1,45 +1,49 @@
-// Teams' limits and guarantees, enforced by the leader. What may be in use counts as used. The machine table
-// keeps the sums up to date: it says which tasks come and go, and on which machines anything may run.
+// Limits and guarantees of teams, enforced by the leader. Resources that may be in use count as used. The
+// machine table keeps the sums up to date: it reports the tasks that are added and removed, and the machines
+// whose tasks are not known.
 import type { TeamName, TypeName } from '../../types/index.ts';
 import type { JobSpec, Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { Usage } from './usage.ts';
 
-/** The resources of which teams have limits. */
+/** Amounts of the resources for which teams have limits. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
 }
 
-/** Guards comparisons of sums of decimal fractions. */
+/** Tolerance for rounding errors in sums of decimal fractions. */
 const EPSILON = 1e-6;
-const NOTHING: TeamUsage = { cpus: 0, gpus: 0 };
+const NO_USAGE: TeamUsage = { cpus: 0, gpus: 0 };
 
-/** The teams of the configuration, and what they use. */
+/** The teams of the configuration, and the resources they use. */
 export class Quota {
-  /** What is in use by machine type, team and class, for fair shares. */
+  /** Resources in use by machine type, team and class, for fair shares. */
   readonly usage = new Usage();
   private teams: ReadonlyMap<TeamName, Team>;
-  /** By tasks on machines and in their queues. */
+  /** Resources of each team's tasks on machines and in machine queues. */
   private readonly usageByTeam = new Map<TeamName, TeamUsage>();
-  /** Of machines that have not sent a heartbeat to this leader yet: any team may use all of it. */
-  private readonly uncertain: TeamUsage = { cpus: 0, gpus: 0 };
+  /** Resources of machines that have not sent this leader a heartbeat yet: any team may use all of them. */
+  private readonly uncertainUsage: TeamUsage = { cpus: 0, gpus: 0 };
 
   constructor(teams: ReadonlyMap<TeamName, Team>) {
     this.teams = teams;
   }
 
-  /** Replaces limits and guarantees; what is in use stays as it is. */
+  /** Replaces limits and guarantees; the usage is kept. */
   configure(teams: ReadonlyMap<TeamName, Team>): void {
     this.teams = teams;
   }
 
-  /** The team's limits and guarantees; undefined if the configuration does not name it. */
+  /** The team's limits and guarantees; undefined if the configuration does not contain the team. */
   team(name: TeamName): Team | undefined {
     return this.teams.get(name);
   }
 
-  /** Tasks of the job have come to machines of the type or their queues; a negative number has left. */
+  /**
+   * Adds the usage of tasks of the job that were put on machines of the type or in their queues; a negative
+   * number removes it.
+   */
   add(job: Job, tasks: number, type: TypeName): void {
     this.usage.add(job, tasks, type);
     let usage = this.usageByTeam.get(job.spec.team);
@@ -51,39 +55,39 @@
     usage.gpus += job.spec.gpus * tasks;
   }
 
-  /** What runs on a machine of this size has become uncertain (1), or known (-1). */
-  addUncertain(type: TeamUsage, sign: 1 | -1): void {
-    this.uncertain.cpus += type.cpus * sign;
-    this.uncertain.gpus += type.gpus * sign;
+  /** Adds (1) or removes (-1) a machine of this size whose running tasks are not known. */
+  addUncertain(machineSize: TeamUsage, sign: 1 | -1): void {
+    this.uncertainUsage.cpus += machineSize.cpus * sign;
+    this.uncertainUsage.gpus += machineSize.gpus * sign;
   }
 
-  /** What the team uses, with all that is uncertain. */
+  /** The usage of the team, plus all of the uncertain usage. */
   used(team: TeamName): TeamUsage {
-    const usage = this.usageByTeam.get(team) ?? NOTHING;
-    return { cpus: usage.cpus + this.uncertain.cpus, gpus: usage.gpus + this.uncertain.gpus };
+    const usage = this.usageByTeam.get(team) ?? NO_USAGE;
+    return { cpus: usage.cpus + this.uncertainUsage.cpus, gpus: usage.gpus + this.uncertainUsage.gpus };
   }
 
-  /** How far the team's own tasks, on machines and in queues, are above its limit; null if they are not. */
+  /** By how much the team's own tasks, on machines and in queues, exceed its limit; null if they do not. */
   overQuota(name: TeamName): TeamUsage | null {
     const team = this.teams.get(name);
-    const usage = this.usageByTeam.get(name) ?? NOTHING;
+    const usage = this.usageByTeam.get(name) ?? NO_USAGE;
     const cpus = team === undefined ? usage.cpus : amountAbove(team.cpusMax, usage.cpus);
     const gpus = team === undefined ? usage.gpus : amountAbove(team.gpusMax, usage.gpus);
     return cpus > EPSILON || gpus > EPSILON ? { cpus, gpus } : null;
   }
 
-  /** Why the job can't run under its team's limit, whatever else the team runs; null if it can. */
+  /** The reason why the job alone exceeds its team's limit; null if it does not. */
   violation(spec: JobSpec): string | null {
     const team = this.teams.get(spec.team);
     return team === undefined ? `team ${spec.team} is not known here` : quotaViolation(spec, team);
   }
 
-  /** How many more of the job's tasks the team's limit allows, if the team also uses `extra`. */
-  allowedTasks(job: Job, extra: TeamUsage = NOTHING): number {
+  /** How many more of the job's tasks the team's limit allows if the team's usage grows by `extra` first. */
+  allowedTasks(job: Job, extra: TeamUsage = NO_USAGE): number {
     const { spec } = job;
     const team = this.teams.get(spec.team);
     if (team === undefined) return 0;
-    // All tasks of a gang run at once: one that is larger than its team's limit is not begun.
+    // All tasks of a gang run at once: a gang that exceeds its team's limit is not started.
     if (spec.kind === 'gang' && quotaViolation(spec, team) !== null) return 0;
     const used = this.used(spec.team);
     return Math.min(
@@ -92,13 +96,13 @@
     );
   }
 
-  /** Whether the team, with one more task of this job, would still be within what it is guaranteed. */
+  /** Whether the team's usage plus one more task of this job would still be within the team's guarantee. */
   withinGuarantee(job: Job): boolean {
     const { spec } = job;
     const team = this.teams.get(spec.team);
     if (team === undefined) return false;
     const used = this.used(spec.team);
-    // A team that is guaranteed no CPUs has a guarantee for jobs with GPUs only, and by its GPUs alone.
+    // A team without guaranteed CPUs has a guarantee only for jobs with GPUs, and only its GPUs are compared.
     if (team.cpus <= 0 && (team.gpus <= 0 || spec.gpus <= 0)) return false;
     const cpusWithin = team.cpus <= 0 || used.cpus + spec.cpus <= team.cpus + EPSILON;
     const gpusWithin = spec.gpus === 0 || (team.gpus > 0 && used.gpus + spec.gpus <= team.gpus + EPSILON);
@@ -106,7 +110,7 @@
   }
 }
 
-/** Why a team's limit does not allow the job, even if nothing else of the team runs; null if it does. */
+/** The reason why the job alone exceeds the team's limit; null if it does not. */
 export function quotaViolation(spec: JobSpec, team: Team): string | null {
   const tasksAtOnce = spec.kind === 'array' ? 1 : spec.tasks;
   const cpus = spec.cpus * tasksAtOnce;
@@ -118,10 +122,10 @@
   return null;
 }
 
-/** A limit of 0 means none. */
+/** By how much the usage exceeds the limit; a limit of 0 means that there is none. */
 const amountAbove = (limit: number, used: number): number => (limit > 0 ? Math.max(0, used - limit) : 0);
 
-/** How many tasks fit below the limit; a limit of 0 means none. */
+/** How many more tasks fit within the limit; a limit of 0 means that there is none. */
 function tasksWithinLimit(limit: number, used: number, perTask: number): number {
   if (limit <= 0 || perTask <= 0) return Number.POSITIVE_INFINITY;
   return Math.max(0, Math.floor((limit - used + EPSILON) / perTask));
--- a/src/core/teams/usage-accounting.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -1,7 +1,7 @@
-// What became of each team's work, by class, for operators who ask which work is served least. Totals of
-// ended jobs are stored, rarely, in values that many accounts share; open jobs are counted from their own
-// records. A new leader goes on from the stored totals: jobs that ended in the seconds since are missing from
-// them, and nothing else.
+// Usage accounting: totals of each team's ended and open jobs by class, which show operators the work that is
+// served least. Totals of ended jobs are stored every few seconds, with many accounts in one value; open jobs
+// are counted from their own records. A new leader continues from the stored totals; they lack only the jobs
+// that ended after the last write.
 import { addMs, type Instant, LONG_AGO, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreItem, StoreReply } from '../base/model.ts';
@@ -19,36 +19,37 @@
   USAGE_PREFIX,
   type WorkTotals,
 } from './usage-record.ts';
-import { byServed, type UsageSummary, UsageSummaryBuilder } from './usage-summary.ts';
+import { byServedFraction, type UsageSummary, UsageSummaryBuilder } from './usage-summary.ts';
 
 const WRITE_INTERVAL_MS = 10_000;
 const RETRY_DELAY_MS = 1000;
 const LOG_INTERVAL_MS = 30_000;
-/** Accounts in one log line: those least served. */
+/** Maximum number of accounts in one log line: the least served ones. */
 const MAX_LOGGED_ACCOUNTS = 40;
 /**
- * Classes are named by users: above this number of accounts all further classes of a team are counted
- * together, so that no flood of new names displaces known ones.
+ * Users choose the names of classes. Above this number of accounts, all further classes of a team are counted
+ * in one account, so that many new names cannot displace existing ones.
  */
 const MAX_ACCOUNTS = 2000;
 const OTHER_CLASSES = '(others)';
 
-/** A stored value with the totals of some accounts. */
+/** A record in the store with the totals of several accounts. */
 class AccountRecord {
   readonly names = new Set<AccountName>();
+  /** Whether some totals have changed since the record was last written. */
   isDirty = false;
-  constructor(readonly shared: SharedRecord) {}
+  constructor(readonly sharedRecord: SharedRecord) {}
 }
 
-/** Counts ended work by team and class, stores the totals, and logs which work is served least. */
+/** Counts ended jobs by team and class, stores the totals, and logs which work is served least. */
 export class UsageAccounting {
   private readonly totals = new Map<AccountName, WorkTotals>();
   private readonly records: AccountRecord[] = [];
-  /** The record in which an account's totals are stored. */
-  private readonly recordOfAccount = new Map<AccountName, AccountRecord>();
+  /** The record in which the totals of each account are stored. */
+  private readonly recordByAccount = new Map<AccountName, AccountRecord>();
   private readonly maxAccountsPerRecord: number;
-  /** Whether the totals of earlier terms have been read. */
-  private loading: 'not-read' | 'reading' | 'read' = 'not-read';
+  /** Whether the totals stored in earlier terms have been read. */
+  private loadState: 'not-read' | 'reading' | 'read' = 'not-read';
   private nextReadAt: Instant = LONG_AGO;
   private nextWriteAt: Instant = LONG_AGO;
   private nextLogAt: Instant;
@@ -62,18 +63,18 @@
     this.nextLogAt = addMs(io.now, LOG_INTERVAL_MS);
   }
 
-  /** A job's final state is stored. */
+  /** Counts a job whose final state has been stored. */
   onJobClosed(job: Job, status: FinalStatus): void {
-    const totals = this.totalsToChange(this.accountOf(job));
+    const totals = this.totalsForUpdate(this.accountOf(job));
     totals.jobsEnded++;
     if (status !== 'done') return;
     totals.jobsDone++;
     totals.tasksDone += job.spec.tasks;
   }
 
-  /** A task has completed after using so many CPU seconds. */
+  /** Counts a completed task that used `cpuS` CPU seconds. */
   onTaskCompleted(job: Job, cpuS: number): void {
-    this.totalsToChange(this.accountOf(job)).cpuS += cpuS;
+    this.totalsForUpdate(this.accountOf(job)).cpuS += cpuS;
   }
 
   private accountOf({ spec }: Job): AccountName {
@@ -82,41 +83,42 @@
     return accountName(spec.team, OTHER_CLASSES);
   }
 
-  private totalsToChange(name: AccountName): WorkTotals {
+  /** The totals of the account, created if need be; marks the account's record to be written. */
+  private totalsForUpdate(name: AccountName): WorkTotals {
     let totals = this.totals.get(name);
     if (totals === undefined) {
       totals = { jobsEnded: 0, jobsDone: 0, tasksDone: 0, cpuS: 0 };
       this.totals.set(name, totals);
     }
-    const record = this.recordOfAccount.get(name);
+    const record = this.recordByAccount.get(name);
     if (record !== undefined) record.isDirty = true;
     return totals;
   }
 
-  /** Reads, writes and logs what is due. Work: the open jobs, as often as it is logged. */
+  /** Reads, writes and logs totals when due. Cost: linear in the open jobs whenever the summary is logged. */
   tick(openJobs: Iterable<Job>): void {
-    if (this.loading !== 'read') return this.read();
+    if (this.loadState !== 'read') return this.readStoredTotals();
     if (this.io.now >= this.nextWriteAt) {
       this.nextWriteAt = addMs(this.io.now, WRITE_INTERVAL_MS);
-      this.write();
+      this.writeChangedRecords();
     }
     if (this.io.now < this.nextLogAt) return;
     this.nextLogAt = addMs(this.io.now, LOG_INTERVAL_MS);
-    this.log(this.summarize(openJobs));
+    this.logSummaries(this.summarize(openJobs));
   }
 
   // ---- stored totals
 
-  private read(): void {
-    if (this.loading === 'reading' || this.io.now < this.nextReadAt) return;
-    this.loading = 'reading';
+  private readStoredTotals(): void {
+    if (this.loadState === 'reading' || this.io.now < this.nextReadAt) return;
+    this.loadState = 'reading';
     this.io.store({ kind: 'list', prefix: USAGE_PREFIX, after: null }, StorePriority.work, (reply) =>
-      this.onRead(reply),
+      this.onStoredTotals(reply),
     );
   }
 
-  private onRead(reply: StoreReply): void {
-    this.loading = reply.kind === 'items' ? 'read' : 'not-read';
+  private onStoredTotals(reply: StoreReply): void {
+    this.loadState = reply.kind === 'items' ? 'read' : 'not-read';
     this.nextReadAt = addMs(this.io.now, RETRY_DELAY_MS);
     if (reply.kind === 'items') for (const item of reply.items) this.restore(item);
   }
@@ -125,7 +127,7 @@
     const record = new AccountRecord(new SharedRecord(this.writer, item.key, item.revision));
     this.records.push(record);
     for (const [name, stored] of decodeAccounts(item)) {
-      const totals = this.totalsToChange(name);
+      const totals = this.totalsForUpdate(name);
       totals.jobsEnded += stored.jobsEnded;
       totals.jobsDone += stored.jobsDone;
       totals.tasksDone += stored.tasksDone;
@@ -136,21 +138,22 @@
 
   private addToRecord(name: AccountName, record: AccountRecord): void {
     record.names.add(name);
-    if (!this.recordOfAccount.has(name)) this.recordOfAccount.set(name, record);
+    if (!this.recordByAccount.has(name)) this.recordByAccount.set(name, record);
   }
 
-  private write(): void {
+  private writeChangedRecords(): void {
     for (const name of this.totals.keys()) {
-      if (this.recordOfAccount.has(name)) continue;
-      const record = this.recordWithSpace();
+      if (this.recordByAccount.has(name)) continue;
+      const record = this.recordWithFreeSlot();
       this.addToRecord(name, record);
       record.isDirty = true;
     }
     for (const record of this.records)
-      if (record.isDirty && !record.shared.isWriting) this.writeRecord(record);
+      if (record.isDirty && !record.sharedRecord.isWriting) this.writeRecord(record);
   }
 
-  private recordWithSpace(): AccountRecord {
+  /** A record that can take another account; created if all are full. */
+  private recordWithFreeSlot(): AccountRecord {
     const record = this.records.find((candidate) => candidate.names.size < this.maxAccountsPerRecord);
     if (record !== undefined) return record;
     const key = `${USAGE_PREFIX}${this.term}.${this.records.length + 1}`;
@@ -163,15 +166,15 @@
     record.isDirty = false;
     const accounts: [AccountName, WorkTotals][] = [];
     for (const name of record.names)
-      if (this.recordOfAccount.get(name) === record) accounts.push([name, this.totals.get(name)!]);
-    record.shared.write(encodeAccounts(accounts), WritePriority.sharedRecord, (ok) => {
-      if (!ok) record.isDirty = true;
+      if (this.recordByAccount.get(name) === record) accounts.push([name, this.totals.get(name)!]);
+    record.sharedRecord.write(encodeAccounts(accounts), WritePriority.sharedRecord, (isStored) => {
+      if (!isStored) record.isDirty = true;
     });
   }
 
   // ---- summaries
 
-  /** The work of each team by class, ended and open. Work: the open jobs. */
+  /** Summaries of the ended and open jobs of each team by class. Cost: linear in the open jobs. */
   summarize(openJobs: Iterable<Job>): UsageSummary[] {
     const builder = new UsageSummaryBuilder();
     for (const [name, totals] of this.totals) builder.addEnded(name, totals);
@@ -180,9 +183,9 @@
     return builder.build();
   }
 
-  private log(summaries: UsageSummary[]): void {
+  private logSummaries(summaries: UsageSummary[]): void {
     if (summaries.length === 0) return;
-    const leastServed = summaries.sort(byServed).slice(0, MAX_LOGGED_ACCOUNTS);
+    const leastServed = summaries.sort(byServedFraction).slice(0, MAX_LOGGED_ACCOUNTS);
     const served = leastServed.map((summary) => ({
       ...summary,
       oldestWaitS: Math.round(summary.oldestWaitS),
--- a/src/core/teams/usage-record.ts
+++ b/src/core/teams/usage-record.ts
@@ -1,32 +1,32 @@
-// How usage accounting is stored: each value holds the totals of many pairs of a team and a class. Joined
-// names, short field names and tuples belong to the stored form alone.
+// Stored form of usage accounting: each value holds the totals of many accounts, one for each pair of a team
+// and a class. The joined names, short field names and tuples are used in the stored form only.
 import type { StoreItem } from '../base/model.ts';
 
-/** Keys of the stored totals. */
+/** Prefix of the keys under which the totals are stored. */
 export const USAGE_PREFIX = 'u/';
 
-/** Classes are named by users: longer names are cut, so that no name makes a value too large to write. */
+/** Users choose class names: longer account names are truncated, so that no value gets too large to write. */
 export const MAX_ACCOUNT_NAME_LENGTH = 60;
 
 /**
- * Bytes that one account takes at most: a name of three-byte characters, four numbers, and what is around
- * them.
+ * Maximum number of bytes of a stored account: a name of three-byte characters, four numbers and JSON
+ * punctuation.
  */
 export const MAX_ACCOUNT_BYTES = 3 * MAX_ACCOUNT_NAME_LENGTH + 100;
 
-/** Names the account of a team and a class. */
+/** Name of the account of a team and a class. */
 export type AccountName = string & { readonly __brand: 'AccountName' };
 
-/** Separates the team from the class; names of teams do not contain it. */
+/** Separates the team from the class in an account name; names of teams do not contain it. */
 const SEPARATOR = '|';
 
-/** What became of the work of a team in a class, as far as it has ended. */
+/** Totals of the ended jobs of a team in a class. */
 export interface WorkTotals {
   /** Jobs with a final state. */
   jobsEnded: number;
-  /** Of these the ones that are done. */
+  /** The ones among them that succeeded (`done`). */
   jobsDone: number;
-  /** Tasks of jobs that are done. */
+  /** Tasks of the jobs that succeeded. */
   tasksDone: number;
   /** CPU seconds of tasks that completed. */
   cpuS: number;
@@ -38,18 +38,18 @@
   a?: Record<string, StoredTotals>;
 }
 
-/** The account of a team and a class; its name is cut if it is too long. */
+/** The name of the account of a team and a class, truncated if it is too long. */
 export const accountName = (team: string, className: string): AccountName =>
   `${team}${SEPARATOR}${className}`.slice(0, MAX_ACCOUNT_NAME_LENGTH) as AccountName;
 
-/** Team and class of an account, as far as its name was not cut. */
+/** Team and class of an account; truncated if the account name was. */
 export function splitAccountName(name: AccountName): { team: string; className: string } {
-  const at = name.indexOf(SEPARATOR);
-  if (at < 0) return { team: name, className: '' };
-  return { team: name.slice(0, at), className: name.slice(at + 1) };
+  const separatorIndex = name.indexOf(SEPARATOR);
+  if (separatorIndex < 0) return { team: name, className: '' };
+  return { team: name.slice(0, separatorIndex), className: name.slice(separatorIndex + 1) };
 }
 
-/** The value in which these totals are stored, in their order. */
+/** Encodes the totals of these accounts as one value, in the given order. */
 export function encodeAccounts(accounts: Iterable<[AccountName, WorkTotals]>): Record<string, unknown> {
   const stored: Record<string, StoredTotals> = {};
   for (const [name, { jobsEnded, jobsDone, tasksDone, cpuS }] of accounts)
@@ -57,7 +57,7 @@
   return { a: stored };
 }
 
-/** The totals in a stored value, in their order; what is missing counts as 0. */
+/** Decodes the totals in a stored value, in their stored order; missing numbers count as 0. */
 export function decodeAccounts(item: StoreItem): [AccountName, WorkTotals][] {
   const { a: stored = {} } = item.value as StoredAccounts;
   return Object.entries(stored).map(([name, totals]) => [
--- a/src/core/teams/usage-summary.ts
+++ b/src/core/teams/usage-summary.ts
@@ -1,21 +1,24 @@
-// What became of the work of each team by class, for operators: totals of ended jobs, together with the open
+// Summaries of the work of each team by class, for operators: the totals of ended jobs combined with the open
 // jobs.
 import type { WallTime } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 import { type AccountName, splitAccountName, type WorkTotals } from './usage-record.ts';
 
-/** The work of a team in a class. Its fields are logged in this order, and read by scripts/least-served.ts. */
+/** The work of a team in a class. The fields are logged in this order; scripts/least-served.ts reads them. */
 export interface UsageSummary {
   team: string;
   class: string;
-  /** Open services, which are in none of the figures below but `started` and those about waiting. */
+  /**
+   * Open services. They also count in `started`, `waitingTasks` and `oldestWaitS`, but not in `jobs`, `tasks`
+   * or `done`.
+   */
   services: number;
   replicas: number;
   replicasUp: number;
-  /** Other jobs not cancelled, open or done. */
+  /** Jobs other than services that are open and not cancelled, or done. */
   jobs: number;
   tasks: number;
-  /** Jobs of which a task has ever run. */
+  /** Jobs and services of which a task is running or has completed. */
   started: number;
   done: number;
   tasksDone: number;
@@ -25,11 +28,11 @@
   cpuS: number;
 }
 
-/** Adds up the summaries of accounts, in the order in which the accounts come up. */
+/** Sums up the work of each account; the summaries are in the order in which the accounts are first added. */
 export class UsageSummaryBuilder {
   private readonly summaries = new Map<AccountName, UsageSummary>();
 
-  /** Adds the ended jobs of an account. */
+  /** Adds the totals of the ended jobs of an account. */
   addEnded(name: AccountName, totals: WorkTotals): void {
     const summary = this.summaryOf(name);
     summary.jobs += totals.jobsDone;
@@ -40,10 +43,10 @@
     summary.cpuS += totals.cpuS;
   }
 
-  /** Adds an open job. */
+  /** Adds an open job to the summary of its account. */
   addOpen(name: AccountName, job: Job, wallTime: WallTime): void {
     const summary = this.summaryOf(name);
-    // A service is never done: it is served as far as its replicas are up.
+    // A service never completes: it counts as served to the extent that its replicas are running.
     if (job.spec.kind === 'service') {
       summary.services++;
       summary.replicas += job.spec.tasks;
@@ -58,7 +61,7 @@
     if (job.unplacedTasks > 0) summary.oldestWaitS = Math.max(summary.oldestWaitS, waitS(job, wallTime));
   }
 
-  /** The summaries so far. */
+  /** The summaries of all accounts added so far. */
   build(): UsageSummary[] {
     return [...this.summaries.values()];
   }
@@ -92,17 +95,20 @@
   };
 }
 
-/** Orders summaries so that those least served come first, and of these the ones that wait longest. */
-export const byServed = (a: UsageSummary, b: UsageSummary): number =>
+/** Sorts the least served summaries first, and equally served ones by the longest waiting time. */
+export const byServedFraction = (a: UsageSummary, b: UsageSummary): number =>
   servedFraction(a) - servedFraction(b) || b.oldestWaitS - a.oldestWaitS;
 
-/** Jobs done and, of services, replicas up, as a fraction of those asked for; 1 if none are. */
+/**
+ * The fraction of the jobs and services that is served: jobs that are done, and services in proportion to
+ * their running replicas; 1 if there are neither jobs nor services.
+ */
 function servedFraction(summary: UsageSummary): number {
-  const asked = summary.jobs + summary.services;
-  if (asked === 0) return 1;
+  const requested = summary.jobs + summary.services;
+  if (requested === 0) return 1;
   const { services, replicas, replicasUp } = summary;
   const servicesUp = replicas === 0 ? 0 : (services * replicasUp) / replicas;
-  return (summary.done + servicesUp) / asked;
+  return (summary.done + servicesUp) / requested;
 }
 
 const waitS = (job: Job, wallTime: WallTime): number => Math.max(0, (wallTime - job.readyWall) / 1000);
