--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,5 +1,5 @@
-// Scales the fleet out and in: requests machines for demand that the supply does not cover, releases idle
-// ones.
+// Scales the fleet out and in: requests machines for demand that the supply does not cover, and releases idle
+// machines.
 import {
   addMs,
   type Instant,
@@ -28,12 +28,15 @@
 import { ZoneReachability } from './zone-reachability.ts';
 
 const PLAN_INTERVAL_MS: Millis = 500;
-/** A plan examines every machine once: at most so many a second, however many there are. */
+/**
+ * A plan examines every machine: in a large fleet the interval grows, so that plans examine at most 4000
+ * machines a second.
+ */
 const PLAN_INTERVAL_MS_PER_MACHINE = 0.25;
-/** The fraction of the cloud's call budget used for scaling; the rest is for lists. */
+/** The fraction of the cloud's call budget used for scaling; the rest is reserved for listing machines. */
 const SCALING_BUDGET_FRACTION = 0.7;
 
-/** What {@link Autoscaler} depends on. */
+/** Dependencies of {@link Autoscaler}. */
 export interface AutoscalerDependencies {
   io: ControllerIo;
   settings: Settings;
@@ -46,13 +49,13 @@
   types: Map<TypeName, MachineType>;
 }
 
-/** Keeps the fleet as large as its work needs it. */
+/** Adjusts the size of the fleet to its workload. */
 export class Autoscaler {
   /** The machine types that the cloud offers. */
   readonly types: Map<TypeName, MachineType>;
   /** Spare capacity for jobs that are expected to arrive. */
   readonly spareCapacity: SpareCapacity;
-  private nextPlan: Instant = LONG_AGO;
+  private nextPlanAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
   private readonly supplyForecast: SupplyForecast;
@@ -91,34 +94,36 @@
     this.fleetReport = new FleetReport(io, jobs, machines);
   }
 
-  /** Machines that were booting when the last plan was made. */
+  /** The number of machines of each type that were booting when the last plan was made. */
   get pendingCapacity(): PendingCapacity {
     return this.supplyForecast.pendingCapacity;
   }
 
-  /** Whether a call that releases machines is under way. */
+  /** Whether a call to the cloud that releases machines is in flight. */
   get isScalingIn(): boolean {
     return this.scaleIn.isInProgress;
   }
 
   /**
-   * `recovered`: every machine on record has been heard from or given up, and machines may be commanded.
-   * `holdsLease`: no other leader can exist.
+   * Runs one scaling step. `recovered`: failover is complete (every machine on record has sent a heartbeat or
+   * has been released), and this leader may send commands to machines. `holdsLease`: no other leader can
+   * exist.
    */
   tick(recovered: boolean, holdsLease: boolean): void {
     if (this.types.size === 0) return;
     this.inventory.tick(recovered);
-    // Which machines are needed is known from the last plan; before the first, none has been idle for long
-    // enough. Releases go ahead of requests, which are repeated as long as anything waits.
+    // The last plan determines which machines are needed; before the first plan, no machine has been idle for
+    // long enough to be released. Releases are sent before requests, which are repeated as long as any task
+    // waits and would otherwise use up the call budget.
     this.scaleIn.tick(recovered, holdsLease);
     this.scaleOut.send();
-    if (recovered && this.io.now >= this.nextPlan) this.plan();
+    if (recovered && this.io.now >= this.nextPlanAt) this.plan();
     this.fleetReport.tick();
   }
 
   private plan(): void {
     const intervalMs = Math.max(PLAN_INTERVAL_MS, this.machines.byId.size * PLAN_INTERVAL_MS_PER_MACHINE);
-    this.nextPlan = addMs(this.io.now, intervalMs * this.io.intervalFactor);
+    this.nextPlanAt = addMs(this.io.now, intervalMs * this.io.intervalFactor);
     this.scaleOut.submit(this.planner.plan());
   }
 }
--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -1,4 +1,4 @@
-// One plan: packs the tasks of each job onto the supply, and requests machines for what does not fit.
+// One plan: packs the tasks of each job onto the supply, and requests machines for the tasks that do not fit.
 import type { MachineId, ZoneName } from '../../types/index.ts';
 import type { Job } from '../jobs/job.ts';
 import { isGang, tasksPerMachine } from '../jobs/placement-constraints.ts';
@@ -10,15 +10,14 @@
 import type { ScaleOut, ScaleOutRequest } from './scale-out.ts';
 import type { SpareRequirement } from './spare-capacity.ts';
 
-/** Machines that the cloud provides for one request. */
+/** The most machines that the cloud provides for one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/**
- * Requests for one offer in a plan; after a refusal one request finds out whether there are more machines.
- */
+/** The most requests for one offer in a plan. */
 const MAX_REQUESTS_PER_OFFER = 8;
+/** The same after a refusal: a single request tests whether the cloud has machines of the offer again. */
 const MAX_REQUESTS_AFTER_REFUSAL = 1;
 
-/** What {@link CapacityPlan} depends on. */
+/** Dependencies of {@link CapacityPlan}. */
 export interface CapacityPlanDependencies {
   supply: CapacitySupply;
   offers: OfferSelection;
@@ -28,7 +27,7 @@
   neededMachines: Set<MachineId>;
 }
 
-/** A plan in the making. */
+/** Builds a plan: capacity is provided for one job after the other. */
 export class CapacityPlan {
   private readonly requestsByOffer = new Map<string, ScaleOutRequest[]>();
   private readonly supply: CapacitySupply;
@@ -45,22 +44,27 @@
     this.neededMachines = dependencies.neededMachines;
   }
 
-  /** What has to be requested. */
+  /** The requests for machines that the plan needs. */
   get requests(): ScaleOutRequest[] {
     return [...this.requestsByOffer.values()].flat();
   }
 
-  /** Provides for so many waiting and queued tasks of the job, of a gang for all or none. */
+  /**
+   * Provides capacity for up to `tasks` waiting and queued tasks of the job; for a gang, for all or for none.
+   */
   provideForJob(job: Job, tasks: number): void {
     if (isGang(job.spec)) this.provideForGang(job, tasks);
     else if (isSpread(job.spec)) this.provideSpread(job, tasks);
-    // Capacity in another zone than that of its other tasks is of no use to it.
-    else if (isBoundToSameZone(job.spec)) this.provideInOneZone(job, tasks, this.zonesFor(job));
+    // A job bound to one zone cannot use capacity in a zone other than that of its placed tasks.
+    else if (isBoundToSameZone(job.spec)) this.provideInOneZone(job, tasks, this.eligibleZones(job));
     else this.provide(job, tasks, null);
   }
 
-  /** Spare capacity for gangs bound to a zone is kept in parts for the largest of them, each in one zone. */
-  provideSpare({ job, tasks, maxTasksPerJob }: SpareRequirement): void {
+  /**
+   * Provides spare capacity for a job class. For gangs bound to one zone it is split into portions of the
+   * size of the largest gang, each within one zone.
+   */
+  provideSpareCapacity({ job, tasks, maxTasksPerJob }: SpareRequirement): void {
     if (job.spec.kind !== 'gang' || !job.spec.oneZone) {
       this.provide(job, tasks, null);
       return;
@@ -70,33 +74,34 @@
   }
 
   private provide(job: Job, tasks: number, zone: ZoneName | null): void {
-    const missing = tasks - this.supply.use(job, tasks, zone, this.neededMachines);
-    if (missing > 0) this.requestMachines(job, missing, zone);
+    const missingTasks = tasks - this.supply.reserve(job, tasks, zone, this.neededMachines);
+    if (missingTasks > 0) this.requestMachines(job, missingTasks, zone);
   }
 
   private provideForGang(job: Job, tasks: number): void {
     if (tasks < job.waitingTasks + job.queuedTasks) return;
-    if (job.spec.oneZone) this.provideInOneZone(job, tasks, this.zonesFor(job));
+    if (job.spec.oneZone) this.provideInOneZone(job, tasks, this.eligibleZones(job));
     else this.provide(job, tasks, null);
   }
 
-  /** All capacity is provided in the zone where what is missing costs least. */
+  /** Provides all capacity in the zone where the machines for the missing capacity cost least. */
   private provideInOneZone(job: Job, tasks: number, zones: readonly ZoneName[]): void {
     let best: { zone: ZoneName; cost: number } | null = null;
     const offers = this.offers.offersFor(job);
     for (const zone of zones) {
-      const missing = tasks - this.supply.count(job, tasks, zone);
+      const missingTasks = tasks - this.supply.countPlaceable(job, tasks, zone);
       const offer = offers.find((candidate) => candidate.zone === zone);
-      if (missing > 0 && offer === undefined) continue;
-      const cost = missing * (offer?.costPerTask ?? 0);
+      if (missingTasks > 0 && offer === undefined) continue;
+      const cost = missingTasks * (offer?.costPerTask ?? 0);
       if (best === null || cost < best.cost) best = { zone, cost };
     }
     if (best !== null) this.provide(job, tasks, best.zone);
   }
 
   /**
-   * Capacity in a zone that has as many of the job's tasks as it may have is of no use to it: counted for the
-   * job, it kept machines from being requested where they could be used.
+   * Provides capacity for a job whose tasks must be spread over zones, up to the number of its tasks that
+   * each zone may have. Capacity beyond that number is not counted: the job cannot use it, and counting it
+   * would prevent machines from being requested in the zones where the job can use them.
    */
   private provideSpread(job: Job, tasks: number): void {
     this.provide(job, Math.min(tasks, job.queuedTasks), null);
@@ -105,7 +110,7 @@
     const allowedByZone = this.tasksAllowedByZone(job);
     for (const [zone, allowed] of allowedByZone) {
       if (remaining <= 0 || allowed <= 0) continue;
-      const used = this.supply.use(job, Math.min(remaining, allowed), zone, this.neededMachines);
+      const used = this.supply.reserve(job, Math.min(remaining, allowed), zone, this.neededMachines);
       allowedByZone.set(zone, allowed - used);
       remaining -= used;
     }
@@ -118,22 +123,25 @@
     }
   }
 
-  /** How many more tasks of a spread job each zone may have. */
+  /** The number of further tasks of a spread job that each zone may have. */
   private tasksAllowedByZone(job: Job): Map<ZoneName, number> {
     const zones = job.spec.zone !== null ? [job.spec.zone] : this.offers.allZones();
     const limit = maxTasksPerZone(job.spec);
     return new Map(zones.map((zone) => [zone, limit - (job.zones.get(zone) ?? 0)]));
   }
 
-  /** Where the tasks of a job bound to one zone may go. */
-  private zonesFor(job: Job): ZoneName[] {
+  /**
+   * The zones where the tasks of a job bound to one zone may run: that of its placed tasks, if there are any.
+   */
+  private eligibleZones(job: Job): ZoneName[] {
     if (job.zones.size > 0) return [...job.zones.keys()];
     if (job.spec.zone !== null) return [job.spec.zone];
     return this.offers.allZones();
   }
 
   /**
-   * Requests machines for the tasks, cheapest offers first; what is left of them serves the jobs that follow.
+   * Requests machines for the tasks, cheapest offers first. The remaining capacity of these machines is added
+   * to the supply for the jobs planned next.
    */
   private requestMachines(job: Job, tasks: number, zone: ZoneName | null): void {
     let remaining = tasks;
@@ -144,7 +152,7 @@
     }
   }
 
-  /** Requests machines of one offer; returns for how many tasks. */
+  /** Requests machines of one offer; returns the number of tasks that they have capacity for. */
   private requestOffer(offer: MachineOffer, job: Job, tasks: number): number {
     const { type, zone, spot } = offer;
     const key = offerKey(offer);
@@ -156,7 +164,7 @@
     const machines = Math.min(allowed, Math.ceil(tasks / tasksPerMachine(type, job.spec)));
     let placed = 0;
     for (let i = 0; i < machines; i++) {
-      this.openRequest(requests, offer).count++;
+      this.unfilledRequest(requests, offer).count++;
       const capacity = requestedCapacity(type, zone, spot);
       placed += placeOn(capacity, job, tasks - placed);
       this.supply.add(capacity);
@@ -164,8 +172,10 @@
     return placed;
   }
 
-  /** The last request for the offer, or a new one if that is full. */
-  private openRequest(requests: ScaleOutRequest[], offer: MachineOffer): ScaleOutRequest {
+  /**
+   * The last request for the offer, or a new one if there is none or the last one has reached its maximum.
+   */
+  private unfilledRequest(requests: ScaleOutRequest[], offer: MachineOffer): ScaleOutRequest {
     const last = requests.at(-1);
     if (last !== undefined && last.count < MAX_MACHINES_PER_REQUEST) return last;
     const request = this.scaleOut.createRequest(offer);
--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -1,4 +1,4 @@
-// Free capacity on machines that are up or on their way, by pool, while a plan of what to request is made.
+// Free capacity on machines that are up, booting or requested, by pool, while a capacity plan is built.
 import type { MachineId, ZoneName } from '../../types/index.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -7,23 +7,25 @@
 import type { Machine } from '../machines/machine.ts';
 import { type MachineOffer, offerKey } from './machine-offer.ts';
 
-/** Capacity on one machine that is not planned for yet. */
+/** Capacity on one machine that the plan has not assigned yet. */
 export interface MachineCapacity extends MachineOffer {
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** The machine, if it is up or booting; null if it is only requested. */
+  /** The machine, if it is up or booting; null if it has only been requested. */
   readonly machine: Machine | null;
 }
 
 /** Tolerance for sums of fractional CPUs and GPUs. */
 const ROUNDING_TOLERANCE = 1e-9;
-/** Capacity below this counts as none. */
-const MIN_CPUS = 1e-3;
-/** Bounds the slots of a machine for tasks that need nothing. */
+/** Machines with less CPU capacity than this are ignored. */
+const MIN_USABLE_CPUS = 1e-3;
+/** Upper bound of the slots of a machine, for tasks that require no resources. */
 const MAX_SLOTS = 1e6;
 
-/** What a machine has beside the tasks on it; what is queued for it is not counted. */
+/**
+ * The capacity of a machine that its running tasks do not use; tasks queued for the machine are not counted.
+ */
 export const unusedCapacityOf = (machine: Machine): MachineCapacity => ({
   type: machine.type,
   zone: machine.zone,
@@ -34,7 +36,7 @@
   machine,
 });
 
-/** The capacity of a requested machine, with nothing on it. */
+/** The full capacity of a requested machine, which has no tasks yet. */
 export const requestedCapacity = (type: MachineType, zone: ZoneName, spot: boolean): MachineCapacity => ({
   type,
   zone,
@@ -45,7 +47,7 @@
   machine: null,
 });
 
-/** Uses capacity for up to `tasks` tasks; returns for how many there was any. */
+/** Reserves capacity for up to `tasks` tasks; returns the number of tasks that fit. */
 export function placeOn(capacity: MachineCapacity, job: Job, tasks: number): number {
   const placed = Math.min(tasks, slotsOf(capacity, job));
   if (placed <= 0) return 0;
@@ -65,15 +67,18 @@
   return Math.max(0, slots);
 }
 
-/** The machines of one pool by whole GPUs and CPUs free, so that a job examines only those that may fit. */
+/**
+ * The machines of one pool, indexed by free GPUs and CPUs rounded down, so that only machines that may have
+ * capacity for a job are examined.
+ */
 class PoolCapacity {
-  /** First by GPUs, then by CPUs. */
+  /** Lists of machines, indexed by free GPUs, then by free CPUs. */
   private readonly byGpus: MachineCapacity[][][] = [];
 
   constructor(readonly offer: MachineOffer) {}
 
   add(capacity: MachineCapacity): void {
-    if (capacity.cpus < MIN_CPUS) return;
+    if (capacity.cpus < MIN_USABLE_CPUS) return;
     const gpus = Math.floor(capacity.gpus + ROUNDING_TOLERANCE);
     const cpus = Math.floor(capacity.cpus + ROUNDING_TOLERANCE);
     const byCpus = this.byGpus[gpus] ?? [];
@@ -83,7 +88,7 @@
     else list.push(capacity);
   }
 
-  /** Lists of machines that may have capacity for the job: those with fewest GPUs first, then the fullest. */
+  /** Lists of machines that may have capacity for the job, fewest free GPUs first, then fewest free CPUs. */
   *listsFor({ spec }: Job): Iterable<MachineCapacity[]> {
     for (let gpus = Math.floor(spec.gpus); gpus < this.byGpus.length; gpus++) {
       const byCpus = this.byGpus[gpus];
@@ -98,20 +103,20 @@
 
 /** A search that found no capacity. */
 interface FailedSearch {
-  /** Which pools were searched, as a key. */
+  /** Key of the set of pools that were searched. */
   scope: string;
   spec: JobSpec;
 }
 
-/** The capacity that is not planned for yet, by pool. */
+/** The capacity that the plan has not assigned yet, by pool. */
 export class CapacitySupply {
   private readonly pools = new Map<string, PoolCapacity>();
-  /** A job that needs as much or more from the same pools finds nothing either. */
+  /** After a failed search, a job that requires at least as much from the same pools is not searched for. */
   private failedSearches: FailedSearch[] = [];
 
   /** Adds the capacity of a machine. */
   add(capacity: MachineCapacity): void {
-    if (capacity.cpus < MIN_CPUS) return;
+    if (capacity.cpus < MIN_USABLE_CPUS) return;
     this.failedSearches = [];
     const key = offerKey(capacity);
     let pool = this.pools.get(key);
@@ -122,9 +127,9 @@
     pool.add(capacity);
   }
 
-  /** For how many of the tasks there is capacity, in a zone or in all. */
-  count(job: Job, tasks: number, zone: ZoneName | null): number {
-    if (this.hasFailed(job, scopeOf(job, zone))) return 0;
+  /** The number of tasks, up to `tasks`, that there is capacity for in the zone; null: in all zones. */
+  countPlaceable(job: Job, tasks: number, zone: ZoneName | null): number {
+    if (this.hasSearchFailed(job, scopeOf(job, zone))) return 0;
     let found = 0;
     for (const pool of this.poolsFor(job, zone))
       for (const list of pool.listsFor(job))
@@ -135,21 +140,24 @@
     return found;
   }
 
-  /** Uses capacity for up to `tasks` tasks, adding its machines to `needed`; returns for how many. */
-  use(job: Job, tasks: number, zone: ZoneName | null, needed: Set<MachineId>): number {
+  /**
+   * Reserves capacity for up to `tasks` tasks and adds the machines used to `neededMachines`; returns the
+   * number of tasks.
+   */
+  reserve(job: Job, tasks: number, zone: ZoneName | null, neededMachines: Set<MachineId>): number {
     const scope = scopeOf(job, zone);
-    if (this.hasFailed(job, scope)) return 0;
+    if (this.hasSearchFailed(job, scope)) return 0;
     let remaining = tasks;
     for (const pool of this.poolsFor(job, zone))
       for (const list of pool.listsFor(job)) {
-        remaining -= useList(list, pool, job, remaining, needed);
+        remaining -= reserveFromList(list, pool, job, remaining, neededMachines);
         if (remaining <= 0) return tasks;
       }
     if (remaining > 0) this.failedSearches.push({ scope, spec: job.spec });
     return tasks - remaining;
   }
 
-  private hasFailed(job: Job, scope: string): boolean {
+  private hasSearchFailed(job: Job, scope: string): boolean {
     return this.failedSearches.some(
       (search) => search.scope === scope && needsAtLeast(job.spec, search.spec),
     );
@@ -166,13 +174,13 @@
   }
 }
 
-/** Uses the capacity of one list of the pool; returns for how many tasks there was any. */
-function useList(
+/** Reserves capacity from one list of the pool; returns the number of tasks that fit. */
+function reserveFromList(
   list: MachineCapacity[],
   pool: PoolCapacity,
   job: Job,
   tasks: number,
-  needed: Set<MachineId>,
+  neededMachines: Set<MachineId>,
 ): number {
   let used = 0;
   for (let index = list.length - 1; index >= 0 && used < tasks; index--) {
@@ -180,8 +188,8 @@
     const placed = placeOn(capacity, job, tasks - used);
     if (placed === 0) continue;
     used += placed;
-    if (capacity.machine !== null) needed.add(capacity.machine.id);
-    // It belongs into another list now; the last of this list, examined already, takes its place.
+    if (capacity.machine !== null) neededMachines.add(capacity.machine.id);
+    // The machine moves to another list. The last element, which has been examined already, takes its place.
     const last = list.pop()!;
     if (last !== capacity) list[index] = last;
     pool.add(capacity);
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -1,5 +1,5 @@
-// The cloud's list of machines, read every few seconds: machines that it lists as failed are given up, and
-// machines that are not known here, from requests that were never answered, are adopted.
+// Reads the cloud's list of machines every few seconds. Machines listed as failed are released. Machines that
+// the leader has no record of, because the response to their request was lost, are adopted.
 import {
   addMs,
   type Instant,
@@ -16,26 +16,29 @@
 
 const LIST_INTERVAL_MS: Millis = 5000;
 
-/** Reads the cloud's list. */
+/** Reconciles the machine table with the cloud's list of machines. */
 export class CloudInventory {
-  private nextList: Instant = LONG_AGO;
+  private nextListAt: Instant = LONG_AGO;
   private isListing = false;
 
   constructor(
     private readonly io: ControllerIo,
     private readonly machines: MachineTable,
     private readonly types: ReadonlyMap<TypeName, MachineType>,
-    /** Whether a request for machines is in flight, whose machines may be listed before it is answered. */
+    /**
+     * Whether a request for machines is in flight: its machines may be listed before the response arrives.
+     */
     private readonly isRequestInFlight: () => boolean,
   ) {}
 
   /**
-   * Reads the list when it is time; `recovered`: all machines on record are known, so an unknown one is new.
+   * Reads the list when the interval has passed. `recovered`: all machines on record have been loaded, so
+   * that a listed machine that is not in the machine table has no record.
    */
   tick(recovered: boolean): void {
-    if (this.isListing || this.io.now < this.nextList) return;
+    if (this.isListing || this.io.now < this.nextListAt) return;
     this.isListing = true;
-    this.nextList = addMs(this.io.now, LIST_INTERVAL_MS);
+    this.nextListAt = addMs(this.io.now, LIST_INTERVAL_MS);
     this.requestPage(null, recovered);
   }
 
@@ -61,10 +64,10 @@
       return;
     }
     machine.addr ??= listed.addr;
-    if (listed.status === 'failed') this.giveUp(machine);
+    if (listed.status === 'failed') this.releaseFailedMachine(machine);
   }
 
-  private giveUp(machine: Machine): void {
+  private releaseFailedMachine(machine: Machine): void {
     this.machines.removeAllTasks(machine);
     machine.drainReason ??= 'failed';
     machine.isReconciled = true;
@@ -72,12 +75,18 @@
     this.machines.beginRelease(machine);
   }
 
-  /** From a request that was not answered, or from an earlier term: it is used, or released again. */
+  /**
+   * Adds a machine whose request got no response or was made in an earlier term. It is used for tasks, or
+   * released later as idle.
+   */
   private adopt(listed: ListedMachine, recovered: boolean): void {
     if (!recovered || this.machines.tombstones.has(listed.id) || this.isRequestInFlight()) return;
     const type = this.types.get(listed.type);
     if (type === undefined) return;
-    this.io.log('info', 'machine adopted from the list', { machine: listed.id, status: listed.status });
+    this.io.log('info', "machine adopted from the cloud's list of machines", {
+      machine: listed.id,
+      status: listed.status,
+    });
     const machine = this.machines.addMachine(listed.id, type, listed.zone, listed.spot, NEVER);
     machine.addr = listed.addr;
     if (listed.status === 'failed') machine.isReleasing = true;
--- a/src/core/autoscaling/demand-planner.ts
+++ b/src/core/autoscaling/demand-planner.ts
@@ -1,4 +1,4 @@
-// Plans capacity for the demand: the open jobs, the hardest to place first, and spare capacity.
+// Plans capacity for the demand: open jobs in the order of `unplacedJobs`, then spare capacity.
 import type { MachineId, TeamName, TypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -12,10 +12,10 @@
 import { readyTimeS, type SpareCapacity } from './spare-capacity.ts';
 import type { SupplyForecast } from './supply-forecast.ts';
 
-/** For a job that failed on so many machines in a row no capacity is provided. */
+/** No capacity is provided for a job that has failed on this many machines in a row. */
 const MAX_FAILED_MACHINES = 3;
 
-/** What {@link DemandPlanner} depends on. */
+/** Dependencies of {@link DemandPlanner}. */
 export interface DemandPlannerDependencies {
   jobs: JobTable;
   quota: Quota;
@@ -27,9 +27,9 @@
   scaleOut: ScaleOut;
 }
 
-/** Makes plans. */
+/** Builds a capacity plan from the current demand and supply. */
 export class DemandPlanner {
-  /** Machines that the last plan uses: they are not released. */
+  /** Machines whose capacity the last plan uses; they are not released. */
   readonly neededMachines = new Set<MachineId>();
   private readonly jobs: JobTable;
   private readonly quota: Quota;
@@ -51,24 +51,27 @@
     this.scaleOut = dependencies.scaleOut;
   }
 
-  /** Plans for all demand; returns the requests for machines that have to be made. */
+  /** Plans capacity for all demand; returns the requests for machines to be sent. */
   plan(): ScaleOutRequest[] {
     const supply = this.supplyForecast.forecast();
     this.neededMachines.clear();
     const { offers, backoff, scaleOut, neededMachines } = this;
     const plan = new CapacityPlan({ supply, offers, backoff, scaleOut, neededMachines });
     const plannedByTeam = new Map<TeamName, TeamUsage>();
-    for (const job of this.demand()) {
+    for (const job of this.unplacedJobs()) {
       const unplaced = job.waitingTasks + job.queuedTasks;
       plan.provideForJob(job, Math.min(unplaced, this.tasksWithinQuota(job, plannedByTeam)));
     }
     const readyS = (job: Job): number => readyTimeS(this.types.values(), job.spec);
-    for (const requirement of this.spareCapacity.requirements(readyS)) plan.provideSpare(requirement);
+    for (const requirement of this.spareCapacity.requirements(readyS)) plan.provideSpareCapacity(requirement);
     return plan.requests;
   }
 
-  /** Jobs with unplaced tasks; what is hard to place goes first: GPUs, then gangs. */
-  private demand(): Job[] {
+  /**
+   * Jobs with unplaced tasks, by priority. Within a priority, jobs that are hard to place come first: those
+   * with more GPUs, then gangs; after that, the one ready the longest.
+   */
+  private unplacedJobs(): Job[] {
     const jobs = [...this.jobs.openJobs.values()].filter(
       (job) => !job.isCancelling && job.unplacedTasks > 0 && job.failedOn.size < MAX_FAILED_MACHINES,
     );
@@ -82,8 +85,9 @@
   }
 
   /**
-   * How many of the job's tasks its team's quota allows beside those planned for before it: of a team near
-   * its limit each job alone might still be allowed, but not all of them together.
+   * The number of the job's tasks that its team's quota allows in addition to the tasks already planned for
+   * the team. Near the limit, each job of a team may fit the quota by itself although all of them together do
+   * not.
    */
   private tasksWithinQuota(job: Job, plannedByTeam: Map<TeamName, TeamUsage>): number {
     const { team, cpus, gpus } = job.spec;
--- a/src/core/autoscaling/fleet-report.ts
+++ b/src/core/autoscaling/fleet-report.ts
@@ -1,4 +1,4 @@
-// Logs periodically what the fleet is made of and what it works on, for operators.
+// Periodically logs the composition of the fleet and its workload, for operators.
 import { addMs, type Instant, LONG_AGO, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobTable } from '../jobs/job-table.ts';
@@ -10,7 +10,7 @@
   machines: number;
   booting: number;
   idle: number;
-  /** Machines' worth of CPUs, and of GPUs, in use. */
+  /** CPUs in use, as a number of whole machines; `busyByGpu`: the same for GPUs. */
   busyByCpu: number;
   busyByGpu: number;
 }
@@ -22,9 +22,9 @@
   assigned: number;
 }
 
-/** Writes the report. */
+/** Logs the report. */
 export class FleetReport {
-  private nextReport: Instant = LONG_AGO;
+  private nextReportAt: Instant = LONG_AGO;
 
   constructor(
     private readonly io: ControllerIo,
@@ -32,15 +32,20 @@
     private readonly machines: MachineTable,
   ) {}
 
-  /** Writes the report when it is time. */
+  /** Logs the report when the interval has passed. */
   tick(): void {
-    if (this.io.now < this.nextReport) return;
-    this.nextReport = addMs(this.io.now, REPORT_INTERVAL_MS);
+    if (this.io.now < this.nextReportAt) return;
+    this.nextReportAt = addMs(this.io.now, REPORT_INTERVAL_MS);
     const fleet = Object.fromEntries(
-      [...this.countMachines()].map(([kind, n]) => [kind, describeMachines(n)]),
+      [...this.countMachines()].map(([kind, counts]) => [kind, describeMachines(counts)]),
     );
-    const work = Object.fromEntries([...this.countWork()].map(([name, n]) => [name, describeWork(n)]));
-    this.io.log('debug', 'fleet and work (jobs, tasks waiting, queued, on machines)', { fleet, work });
+    const work = Object.fromEntries(
+      [...this.countWork()].map(([name, counts]) => [name, describeWork(counts)]),
+    );
+    this.io.log('debug', 'fleet and workload (work: jobs, tasks waiting, tasks queued, tasks on machines)', {
+      fleet,
+      work,
+    });
   }
 
   private countMachines(): Map<string, MachineCounts> {
--- a/src/core/autoscaling/offer-selection.ts
+++ b/src/core/autoscaling/offer-selection.ts
@@ -1,4 +1,4 @@
-// Which of the cloud's offers suit a job, by their price for each task.
+// Selects the cloud's offers that a job's tasks can run on, and orders them by price per task.
 import type { TypeName, ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
@@ -9,24 +9,29 @@
 import type { OfferBackoff } from './offer-backoff.ts';
 import type { ZoneReachability } from './zone-reachability.ts';
 
-/** Offers above this many times the lowest price at which the task could run are for urgent work only. */
+/** Offers that cost more than this many times the lowest price per task are used for urgent jobs only. */
 const MAX_PRICE_RATIO = 8;
-/** Jobs of this priority or above are urgent at once. */
+/** Jobs of this priority or above are always urgent. */
 const URGENT_PRIORITY = 2;
-/** Machines with GPUs count as more expensive for jobs that need none. */
+/** The cost of a machine with GPUs is multiplied by this for jobs that need no GPU. */
 const UNUSED_GPU_COST_FACTOR = 1.5;
 /**
- * Costs are raised at random by up to a hundredth, in so many steps, so that equal offers are used in turn.
+ * Costs are raised at random by less than 1 %, in this many steps, so that requests are distributed over
+ * offers of equal price.
  */
 const COST_VARIATION_STEPS = 100;
+/** Converts steps into the fraction by which a cost is raised. */
 const COST_VARIATION_DIVISOR = 10_000;
 
-/** An offer with its price per hour for each task that a machine holds, as it is compared with others. */
+/** An offer with its cost per task, by which offers are compared. */
 export interface PricedOffer extends MachineOffer {
+  /**
+   * Price per hour of a machine, divided by the tasks that fit on it, with factors for comparison applied.
+   */
   readonly costPerTask: number;
 }
 
-/** What {@link OfferSelection} depends on. */
+/** Dependencies of {@link OfferSelection}. */
 export interface OfferSelectionDependencies {
   io: ControllerIo;
   types: ReadonlyMap<TypeName, MachineType>;
@@ -35,7 +40,7 @@
   reachability: ZoneReachability;
 }
 
-/** Selects offers. */
+/** Selects the offers for a job. */
 export class OfferSelection {
   private readonly io: ControllerIo;
   private readonly types: ReadonlyMap<TypeName, MachineType>;
@@ -57,7 +62,8 @@
   }
 
   /**
-   * Where the job's tasks could run, cheapest first; offers backed off and unreachable zones are left out.
+   * The offers that the job's tasks can run on, cheapest first, without offers that are backed off and
+   * without unreachable zones.
    */
   offersFor(job: Job): PricedOffer[] {
     const offers: PricedOffer[] = [];
@@ -72,7 +78,7 @@
         this.addOffers(offers, type, zone, job.spec, tasks);
       }
     }
-    // Above this, waiting for capacity that others leave costs the users less than the machine does.
+    // Above this cost, waiting until other jobs release capacity is cheaper for the users than a new machine.
     const maxCost = this.isUrgent(job) ? Number.POSITIVE_INFINITY : cheapest * MAX_PRICE_RATIO;
     return offers
       .filter((offer) => offer.costPerTask <= maxCost)
@@ -97,7 +103,9 @@
     }
   }
 
-  /** Urgent by its priority, or because half of the time in which it should start has passed. */
+  /**
+   * Whether the priority is high, or at least half of the time within which the job should start has passed.
+   */
   private isUrgent(job: Job): boolean {
     if (job.spec.priority >= URGENT_PRIORITY) return true;
     const waitedS = (this.io.now - job.readyAt) / 1000;
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,4 +1,5 @@
-// Releases machines to the cloud: idle ones that no plan uses, drained ones, and those that never came up.
+// Releases machines to the cloud: idle machines that the plan does not use, drained machines, and machines
+// whose boot timed out.
 import { addMs, type Instant, LONG_AGO, type MachineId, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply } from '../base/model.ts';
@@ -7,39 +8,47 @@
 import type { MachineTable } from '../machines/machine-table.ts';
 import type { OfferBackoff } from './offer-backoff.ts';
 
-/** Machines that one call to the cloud may release. */
+/** The most machines that one call to the cloud may release. */
 const MAX_MACHINES_PER_CALL = 100;
-/** What falls idle within this time shares a call; a call that failed is repeated after the delay. */
+/** Interval between calls: machines that become idle within it are released in one call. */
 const CALL_INTERVAL_MS: Millis = 2000;
+/** Delay after a call that failed. */
 const RETRY_DELAY_MS: Millis = 1000;
-/** An idle machine is kept for the first minute. */
+/** A machine is not released as idle before this time since it was requested. */
 const MIN_AGE_MS: Millis = 60_000;
-/** An idle machine is kept for about a boot time: that costs at most twice what the best choice would. */
+/**
+ * An idle machine is kept for a time in proportion to its boot time: this costs at most twice as much as the
+ * best choice with knowledge of future demand.
+ */
 const IDLE_MS_PER_BOOT_S = 400;
-/** A machine that is not up by then never comes up. */
+/**
+ * Boot timeout: this many milliseconds for each second of the usual boot time, plus `BOOT_TIMEOUT_EXTRA_MS`.
+ * A machine that is not up by then is released.
+ */
 const BOOT_TIMEOUT_MS_PER_BOOT_S = 4000;
 const BOOT_TIMEOUT_EXTRA_MS: Millis = 5000;
 
-/** What {@link ScaleIn} depends on. */
+/** Dependencies of {@link ScaleIn}. */
 export interface ScaleInDependencies {
   io: ControllerIo;
   machines: MachineTable;
   backoff: OfferBackoff;
   callBudget: TokenBucket;
-  /** Machines that waiting work or spare capacity is planned on. */
+  /** Machines whose capacity the last plan uses for tasks or keeps as spare capacity. */
   neededMachines: ReadonlySet<MachineId>;
 }
 
-/** Machines to release, and how many of them for each reason. */
+/** Machines to release in one call. */
 interface ReleaseBatch {
   machines: Machine[];
+  /** Number of machines for each reason. */
   reasons: Map<string, number>;
 }
 
 /** Releases machines, one call at a time. */
 export class ScaleIn {
   private isCallInFlight = false;
-  private nextCall: Instant = LONG_AGO;
+  private nextCallAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
   private readonly backoff: OfferBackoff;
@@ -54,19 +63,19 @@
     this.neededMachines = dependencies.neededMachines;
   }
 
-  /** Whether a call that releases machines is under way. */
+  /** Whether a call that releases machines is in flight. */
   get isInProgress(): boolean {
     return this.isCallInFlight;
   }
 
   /**
-   * Releases what need not be kept. Machines stay in use until the call is made: with few calls a second,
-   * ones marked ahead of it stood idle, and were paid for, beside waiting work. `mayReleaseIdle`: the state
-   * is known well enough to tell which machines are idle. `holdsLease`: no other leader can exist; without
-   * it, no machine is released that the next leader may be using.
+   * Releases machines that need not be kept. Machines stay usable until the call is sent: few calls a second
+   * are allowed, and a machine marked in advance would be paid for without running the tasks that wait.
+   * `mayReleaseIdle`: the state is known well enough to tell which machines are idle. `holdsLease`: no other
+   * leader can exist; without the lease, machines that the next leader may be using are not released.
    */
   tick(mayReleaseIdle: boolean, holdsLease: boolean): void {
-    if (this.isCallInFlight || this.io.now < this.nextCall) return;
+    if (this.isCallInFlight || this.io.now < this.nextCallAt) return;
     const batch = this.nextBatch(mayReleaseIdle, holdsLease);
     if (batch.machines.length === 0 || !this.callBudget.take(this.io.now)) return;
     this.release(batch);
@@ -87,7 +96,7 @@
     return batch;
   }
 
-  /** Why the machine need not be kept; null if it is kept. */
+  /** The reason to release the machine, for the log; null if it is kept. */
   private releaseReason(machine: Machine): string | null {
     const { now } = this.io;
     const { bootS } = machine.type;
@@ -113,17 +122,17 @@
   private onReply(machines: readonly Machine[], reply: CloudReply): void {
     this.isCallInFlight = false;
     const isReleased = reply.kind === 'released';
-    this.nextCall = addMs(this.io.now, isReleased ? CALL_INTERVAL_MS : RETRY_DELAY_MS);
+    this.nextCallAt = addMs(this.io.now, isReleased ? CALL_INTERVAL_MS : RETRY_DELAY_MS);
     if (!isReleased) return;
     for (const machine of machines) {
       this.machines.remove(machine, 'returned');
-      // At least this one can be had again.
+      // The cloud has at least this machine available again.
       this.backoff.onAvailable(machine);
     }
   }
 }
 
-/** Results not yet recorded would be lost with the machine. */
+/** Whether the machine has results that are not recorded yet; releasing it would lose them. */
 function hasUnrecordedResults(machine: Machine): boolean {
   for (const task of machine.exitedTasks.values()) if (task.exitReason === 'done') return true;
   return false;
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -1,4 +1,4 @@
-// Requests for machines, sent to the cloud until they are answered.
+// Sends requests for machines to the cloud, and repeats each until a response arrives.
 import { addMs, type Instant, LONG_AGO, type Millis, NEVER, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply } from '../base/model.ts';
@@ -9,16 +9,16 @@
 
 const RETRY_DELAY_MS: Millis = 1000;
 
-/** A request for a number of like machines. */
+/** A request for a number of machines of one offer. */
 export interface ScaleOutRequest extends MachineOffer {
-  /** The name under which it is repeated: the cloud carries it out once. */
+  /** Idempotency key: the cloud carries out a repeated request with the same name only once. */
   readonly name: string;
   count: number;
   isInFlight: boolean;
   retryAt: Instant;
 }
 
-/** What {@link ScaleOut} depends on. */
+/** Dependencies of {@link ScaleOut}. */
 export interface ScaleOutDependencies {
   io: ControllerIo;
   machines: MachineTable;
@@ -27,11 +27,11 @@
   term: Revision;
 }
 
-/** The open requests for machines. */
+/** Sends requests for machines and adds the machines received to the machine table. */
 export class ScaleOut {
-  /** Requests that are not answered yet. */
+  /** Submitted requests without a final response. */
   readonly requests: ScaleOutRequest[] = [];
-  private requestsMade = 0;
+  private requestsCreated = 0;
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
   private readonly backoff: OfferBackoff;
@@ -46,18 +46,21 @@
     this.term = dependencies.term;
   }
 
-  /** Whether a request has been sent whose answer is still open. */
+  /** Whether the response to any request is outstanding. */
   get isRequestInFlight(): boolean {
     return this.requests.some((request) => request.isInFlight);
   }
 
-  /** A request for no machines yet, under a new name; it is not sent before it is submitted. */
+  /** Creates a request with a new name and a count of 0; it is sent once it has been submitted. */
   createRequest({ type, zone, spot }: MachineOffer): ScaleOutRequest {
-    const name = `${this.term}-${++this.requestsMade}`;
+    const name = `${this.term}-${++this.requestsCreated}`;
     return { name, type, zone, spot, count: 0, isInFlight: false, retryAt: LONG_AGO };
   }
 
-  /** Sends the requests, as far as the call budget allows, the rest later. */
+  /**
+   * Submits the requests: as many as the call budget allows are sent at once, the others in later calls of
+   * `send`.
+   */
   submit(requests: readonly ScaleOutRequest[]): void {
     for (const request of requests) {
       this.requests.push(request);
@@ -67,7 +70,7 @@
     this.send();
   }
 
-  /** Sends requests that have not been sent, and repeats those whose answer was lost. */
+  /** Sends requests that have not been sent, and repeats those that got no usable response. */
   send(): void {
     for (const request of this.requests) {
       if (request.isInFlight || this.io.now < request.retryAt) continue;
@@ -82,7 +85,7 @@
 
   private onReply(request: ScaleOutRequest, reply: CloudReply): void {
     request.isInFlight = false;
-    // An unanswered request may have been carried out: it is repeated, under its own name.
+    // A request without a response may have been carried out: it is repeated under the same name.
     if (reply.kind !== 'rented' && reply.kind !== 'no-capacity') {
       request.retryAt = addMs(this.io.now, RETRY_DELAY_MS);
       return;
--- a/src/core/autoscaling/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -1,31 +1,32 @@
-// Spare capacity for classes whose objectives allow a shorter wait than a machine takes to boot: jobs that
-// arrive during a boot must find capacity ready. How much follows from the objectives and the arrivals seen.
+// Computes the spare capacity for job classes whose objectives allow a shorter wait than a machine takes to
+// boot: jobs of these classes need capacity that is ready when they arrive. Its size depends on the
+// objectives and on the recent arrival rate.
 import { elapsedMs, type Instant, type Millis, type TeamName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, MachineType, Objective, Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { typeFits } from '../jobs/placement-constraints.ts';
 
-/** Arrivals are counted over this time. */
-const WINDOW_MS: Millis = 150_000;
-/** Before this much of a window has passed, a rate is not trusted. */
-const MIN_WINDOW_MS: Millis = 20_000;
-/** Boots take up to about this many times their usual time. */
+/** Arrivals are counted over a sliding window of this length. */
+const ARRIVAL_WINDOW_MS: Millis = 150_000;
+/** The arrival rate is not used before arrivals have been counted for this time. */
+const MIN_ARRIVAL_WINDOW_MS: Millis = 20_000;
+/** A boot may take up to about this many times its usual time. */
 const BOOT_TIME_MARGIN = 1.5;
-/** A class has stopped arriving when nothing came for so many times the usual gap. */
+/** A class is considered inactive if no job of it has arrived for this many average arrival intervals. */
 const MAX_SILENCE_GAPS = 3;
 const DEFAULT_OBJECTIVE_SHARE = 0.9;
-/** Shares of objectives for which the quantile is computed. */
-const MIN_SHARE = 0.5;
-const MAX_SHARE = 0.999;
+/** The quantile is computed for probabilities within these bounds. */
+const MIN_PROBABILITY = 0.5;
+const MAX_PROBABILITY = 0.999;
 
-/** Capacity to keep for a class. */
+/** Spare capacity to keep for a job class. */
 export interface SpareRequirement {
-  /** A job of the class. */
+  /** The job of the class that arrived last; its resources are taken for all jobs of the class. */
   job: Job;
-  /** The number of its tasks to keep capacity for. */
+  /** The number of such tasks to keep capacity for. */
   tasks: number;
-  /** The most tasks that arrived in one job. */
+  /** The largest number of tasks of one job that arrived within the window. */
   maxTasksPerJob: number;
 }
 
@@ -40,13 +41,13 @@
   arrivals: Arrival[];
 }
 
-/** A wait objective: the share of jobs that must start within so many seconds. */
+/** A wait objective: `share` is the fraction of jobs that must start within `withinS` seconds. */
 interface WaitObjective {
   withinS: number;
   share: number;
 }
 
-/** Watches arrivals and derives spare capacity from them. */
+/** Counts the arrivals of each job class and derives the spare capacity from them. */
 export class SpareCapacity {
   private readonly classes = new Map<string, ClassArrivals>();
   private readonly io: ControllerIo;
@@ -65,21 +66,24 @@
     this.teamsWithGuarantee = new Set([...teams].filter((team) => team.cpus > 0).map((team) => team.name));
   }
 
-  /** Counts an arrival: the job may start from now on. */
+  /** Counts the arrival of a job, which may start from now on. */
   onJobReady(job: Job): void {
-    const known = this.classes.get(job.spec.class) ?? { latest: job, arrivals: [] };
-    known.latest = job;
-    known.arrivals.push({ at: this.io.now, tasks: job.spec.tasks });
-    this.classes.set(job.spec.class, known);
+    const classArrivals = this.classes.get(job.spec.class) ?? { latest: job, arrivals: [] };
+    classArrivals.latest = job;
+    classArrivals.arrivals.push({ at: this.io.now, tasks: job.spec.tasks });
+    this.classes.set(job.spec.class, classArrivals);
   }
 
-  /** What to keep for each class; `readyS`: seconds until a task of the job can run on a new machine. */
+  /**
+   * The spare capacity to keep for each class. `readyS`: seconds until a task of the job can run on a new
+   * machine.
+   */
   requirements(readyS: (job: Job) => number): SpareRequirement[] {
     const requirements: SpareRequirement[] = [];
-    if (this.windowMs < MIN_WINDOW_MS) return requirements;
-    for (const [className, known] of this.classes) {
-      known.arrivals = known.arrivals.filter((arrival) => this.isRecent(arrival));
-      const requirement = this.requirementOf(className, known, readyS(known.latest));
+    if (this.windowMs < MIN_ARRIVAL_WINDOW_MS) return requirements;
+    for (const [className, classArrivals] of this.classes) {
+      classArrivals.arrivals = classArrivals.arrivals.filter((arrival) => this.isRecent(arrival));
+      const requirement = this.requirementOf(className, classArrivals, readyS(classArrivals.latest));
       if (requirement !== null) requirements.push(requirement);
     }
     return requirements;
@@ -96,7 +100,7 @@
     if (last === undefined) return null;
     const gapMs = this.windowMs / arrivals.length;
     if (elapsedMs(this.io.now, last.at) > MAX_SILENCE_GAPS * gapMs) return null;
-    // Arrivals during a boot are taken to be Poisson distributed: their variance is their mean.
+    // Arrivals during a boot are assumed to be Poisson distributed, so that their variance equals their mean.
     const expectedJobs = (readyS * 1000) / gapMs;
     const jobs = expectedJobs + quantile(objective.share) * Math.sqrt(expectedJobs);
     const tasksPerJob = arrivals.reduce((sum, arrival) => sum + arrival.tasks, 0) / arrivals.length;
@@ -107,27 +111,30 @@
     };
   }
 
-  /** Tasks of the class expected within a time, at the rate seen lately; infinite while no rate is known. */
+  /**
+   * Expected number of the class's tasks to arrive within a time, at the recent rate; infinite if it is
+   * unknown.
+   */
   expectedArrivals(className: string, withinMs: Millis): number {
-    const known = this.classes.get(className);
+    const classArrivals = this.classes.get(className);
     const { windowMs } = this;
-    if (known === undefined || windowMs < MIN_WINDOW_MS) return Number.POSITIVE_INFINITY;
+    if (classArrivals === undefined || windowMs < MIN_ARRIVAL_WINDOW_MS) return Number.POSITIVE_INFINITY;
     let tasks = 0;
-    for (const arrival of known.arrivals) if (this.isRecent(arrival)) tasks += arrival.tasks;
+    for (const arrival of classArrivals.arrivals) if (this.isRecent(arrival)) tasks += arrival.tasks;
     return (tasks * withinMs) / windowMs;
   }
 
-  /** The time over which arrivals have been counted. */
+  /** The time over which arrivals have been counted: the full window, or less after the start of a term. */
   private get windowMs(): Millis {
-    return Math.min(WINDOW_MS, elapsedMs(this.io.now, this.startedAt));
+    return Math.min(ARRIVAL_WINDOW_MS, elapsedMs(this.io.now, this.startedAt));
   }
 
   private isRecent(arrival: Arrival): boolean {
-    return elapsedMs(this.io.now, arrival.at) < WINDOW_MS;
+    return elapsedMs(this.io.now, arrival.at) < ARRIVAL_WINDOW_MS;
   }
 
   private shortestWait(className: string, job: Job): WaitObjective | null {
-    // What a team is guaranteed must be there at once, whatever the class.
+    // Capacity guaranteed to a team must be available at once, for jobs of any class.
     const isGuaranteed = job.spec.gpus === 0 && this.teamsWithGuarantee.has(job.spec.team);
     let shortest: WaitObjective | null = null;
     for (const { kind, class: objectiveClass, withinS, share } of this.objectives) {
@@ -141,15 +148,19 @@
   }
 }
 
-/** Standard normal quantile for shares from 0.5, within a few hundredths (Abramowitz and Stegun, 26.2.22). */
+/**
+ * The quantile of the standard normal distribution for probabilities of at least 0.5, with an error of a few
+ * hundredths at most (Abramowitz and Stegun, 26.2.22).
+ */
 export function quantile(share: number): number {
-  const probability = Math.min(MAX_SHARE, Math.max(MIN_SHARE, share));
+  const probability = Math.min(MAX_PROBABILITY, Math.max(MIN_PROBABILITY, share));
   const t = Math.sqrt(-2 * Math.log(1 - probability));
   return Math.max(0, t - (2.30753 + 0.27061 * t) / (1 + 0.99229 * t + 0.04481 * t * t));
 }
 
 /**
- * Seconds until a task of the job can run on a new machine of the quickest type that fits; 0 if none does.
+ * Seconds until a task of the job can run on a new machine: boot time and image fetch of the fastest type
+ * that fits; 0 if no type fits.
  */
 export function readyTimeS(types: Iterable<MachineType>, spec: JobSpec): number {
   let best = Number.POSITIVE_INFINITY;
--- a/src/core/autoscaling/supply-forecast.ts
+++ b/src/core/autoscaling/supply-forecast.ts
@@ -1,4 +1,5 @@
-// The capacity that a plan may count on: on machines that are up, about to come free there, and on its way.
+// Forecasts the capacity that a plan may use: free capacity of machines that are up, capacity of tasks that
+// end soon, and capacity of machines that are booting or requested.
 import type { Instant } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { MachineType } from '../base/model.ts';
@@ -17,11 +18,12 @@
 import type { ZoneReachability } from './zone-reachability.ts';
 
 /**
- * A task that ends within this fraction of its machine's boot time ends before a new machine would be ready.
+ * The capacity of a task expected to end within this fraction of its machine type's boot time counts as free:
+ * it becomes available before a new machine would be ready.
  */
 const ENDS_SOON_BOOT_FRACTION = 0.7;
 
-/** What {@link SupplyForecast} depends on. */
+/** Dependencies of {@link SupplyForecast}. */
 export interface SupplyForecastDependencies {
   io: ControllerIo;
   machines: MachineTable;
@@ -30,9 +32,9 @@
   scaleOut: ScaleOut;
 }
 
-/** Forecasts the supply. */
+/** Forecasts the capacity supply for a plan. */
 export class SupplyForecast {
-  /** Machines that were booting at the last forecast. */
+  /** The number of machines of each type that were booting at the last forecast. */
   pendingCapacity: PendingCapacity = new Map();
   private readonly io: ControllerIo;
   private readonly machines: MachineTable;
@@ -48,7 +50,7 @@
     this.scaleOut = dependencies.scaleOut;
   }
 
-  /** The supply as of now. */
+  /** Forecasts the supply from the current state of machines and requests. */
   forecast(): CapacitySupply {
     const supply = new CapacitySupply();
     const pending = new Map<MachineType, number>();
@@ -56,9 +58,9 @@
     for (const machine of this.machines.byId.values()) {
       if (machine.isReleasing || machine.drainReason !== null) continue;
       if (this.reachability.isUnreachable(machine.zone)) continue;
-      // Requested machines are not counted as pending: the cloud may have none.
+      // Machines that are only requested do not count as pending: the cloud may not provide them.
       if (!machine.isUp) pending.set(machine.type, (pending.get(machine.type) ?? 0) + 1);
-      supply.add(this.capacitySoon(machine));
+      supply.add(this.expectedCapacityOf(machine));
     }
     for (const { type, zone, spot, count } of this.scaleOut.requests)
       for (let i = 0; i < count; i++) supply.add(requestedCapacity(type, zone, spot));
@@ -66,7 +68,7 @@
     return supply;
   }
 
-  private capacitySoon(machine: Machine): MachineCapacity {
+  private expectedCapacityOf(machine: Machine): MachineCapacity {
     const capacity = unusedCapacityOf(machine);
     for (const assignment of machine.assignments.values()) {
       if (!this.endsSoon(assignment, machine)) continue;
