--- a/src/core/configuration/change-history.ts
+++ b/src/core/configuration/change-history.ts
@@ -1,31 +1,32 @@
-// Past changes of the configuration, as they are stored for operators who look at them or undo them.
+// Stored history of configuration changes, which operators can list and roll back.
 import type { StoreItem } from '../base/model.ts';
 import { CONFIG_HISTORY_PREFIX } from '../storage/keys.ts';
 import {
   DOCUMENT_VERSION,
   decodeDocumentOfChange,
   encodeDocumentOfChange,
-  hasVersion,
+  hasSupportedVersion,
   type StoredDocumentOfChange,
 } from './document-codec.ts';
 import type { ConfigDocument } from './document-types.ts';
 
-/** So many changes are kept, and can be undone. */
+/** Number of changes that are kept and can be undone. */
 export const HISTORY_LENGTH = 50;
-const NUMBER_DIGITS = 10;
+const CHANGE_NUMBER_DIGITS = 10;
 
-/** A document before and after a change; null: there is none. */
+/** A document before and after a change; null if the document does not exist. */
 export interface DocumentChange {
   key: string;
   before: ConfigDocument | null;
   after: ConfigDocument | null;
 }
 
-/** One change. */
+/** One change, as it is kept in the history. */
 export interface HistoryEntry {
+  /** Changes are numbered from 1. */
   number: number;
   id: string;
-  /** Wall time, in milliseconds. */
+  /** Wall time of the change, in milliseconds. */
   at: number;
   changes: DocumentChange[];
 }
@@ -44,12 +45,12 @@
   changes: StoredChange[];
 }
 
-/** The key under which the change with this number is kept. */
+/** The key under which the change with this number is stored. */
 export const historyKey = (number: number): string =>
-  CONFIG_HISTORY_PREFIX + String(number).padStart(NUMBER_DIGITS, '0');
+  CONFIG_HISTORY_PREFIX + String(number).padStart(CHANGE_NUMBER_DIGITS, '0');
 
-/** The value that is stored under that key. */
-export const historyValue = (entry: HistoryEntry): StoredEntry => ({
+/** The stored value of a change. */
+export const encodeHistoryEntry = (entry: HistoryEntry): StoredEntry => ({
   v: DOCUMENT_VERSION,
   number: entry.number,
   id: entry.id,
@@ -61,9 +62,9 @@
   })),
 });
 
-/** The change that is stored; null if its layout is of another version. */
-export function readHistory(item: StoreItem): HistoryEntry | null {
-  if (!hasVersion(item.value)) return null;
+/** Decodes a stored change; null if its layout has an unsupported version. */
+export function decodeHistoryEntry(item: StoreItem): HistoryEntry | null {
+  if (!hasSupportedVersion(item.value)) return null;
   const { number, id, at, changes } = item.value as StoredEntry;
   return { number, id, at, changes: changes.map(decodeChange) };
 }
--- a/src/core/configuration/change-transaction.ts
+++ b/src/core/configuration/change-transaction.ts
@@ -1,5 +1,5 @@
-// The one transaction that carries out a change of the configuration, and the one before the first change.
-// Pure; src/cli sends them.
+// Builds the transaction that makes a change of the configuration, and the one that precedes the first
+// change. Pure functions; src/cli sends the transactions.
 import { SwiftfordError } from '../../types/errors.ts';
 import type { Revision } from '../../types/index.ts';
 import type { StoreCondition, StoreLimits, StorePut } from '../base/model.ts';
@@ -7,37 +7,41 @@
 import { CONFIG_HEAD_KEY, CONFIG_NOTIFICATION_KEY, LEADER_KEY } from '../storage/keys.ts';
 import {
   type DocumentChange,
+  encodeHistoryEntry,
   HISTORY_LENGTH,
   type HistoryEntry,
   historyKey,
-  historyValue,
 } from './change-history.ts';
-import { documentValue, headValue } from './document-codec.ts';
+import { encodeDocument, encodeHead } from './document-codec.ts';
 import type { ConfigSnapshot } from './document-types.ts';
 
-/** All documents are read in one page, which is atomic. */
+/** Limits the documents to one page of a listing, as only a single page is read atomically. */
 const MAX_DOCUMENTS = 400;
 /**
- * Beside the documents a change writes the head, its copy and its history, and deletes the oldest of that.
+ * Operations of a transaction other than those for documents: it writes the head, its copy and the history
+ * entry, and deletes the oldest history entry.
  */
-const OTHER_CHANGES = 4;
+const OTHER_TRANSACTION_OPS = 4;
 
-/** Too many documents or too much text for one transaction; the message says which, in one line. */
+/** The change exceeds a limit of one transaction; the message is one line and names the limit. */
 export class ChangeTooLargeError extends SwiftfordError {
   readonly code = 'CHANGE_TOO_LARGE';
 }
 
-/** What a compare-and-swap does on its conditions. */
+/** A compare-and-swap: writes and deletions that are carried out if all conditions hold. */
 export interface StoreTransaction {
   conditions: StoreCondition[];
   puts: StorePut[];
   deletes: string[];
 }
 
-/** Tells the leader that documents are to come: the leader key moves before the first of them is written. */
-export function preparation(id: string, at: number): StoreTransaction {
+/**
+ * The transaction before the first change: it announces to the leader that documents will be written. The
+ * leader key has to move before the first document is written.
+ */
+export function preparationTransaction(id: string, at: number): StoreTransaction {
   const absent = 0 as Revision;
-  const value = headValue({ number: 0, id, at });
+  const value = encodeHead({ number: 0, id, at });
   return {
     conditions: [
       { key: CONFIG_HEAD_KEY, revision: absent },
@@ -52,54 +56,59 @@
 }
 
 /**
- * The one transaction of a change: conditional on the newest change being the one that it was planned
- * against, and on the leader key having moved to the one that versions without documents don't know. `at`:
- * wall time in milliseconds; `migratedAt`: the revision of the record that says that the key has moved.
- * Throws {@link ChangeTooLargeError}.
+ * The transaction of a change. Its conditions: the newest change is still that of the snapshot, and the
+ * leader key has moved to the key that program versions without support for documents do not use. `at`: wall
+ * time in milliseconds. `leaderKeyRevision`: the revision of the record under the first leader key, which
+ * states that the key has moved. Throws {@link ChangeTooLargeError}.
  */
-export function transactionOf(
+export function changeTransaction(
   snapshot: ConfigSnapshot,
   changes: readonly DocumentChange[],
   id: string,
   at: number,
-  migratedAt: Revision,
+  leaderKeyRevision: Revision,
   limits: StoreLimits,
 ): StoreTransaction {
   const number = (snapshot.head?.number ?? 0) + 1;
   const entry: HistoryEntry = { number, id, at, changes: [...changes] };
   checkSize(snapshot, entry, limits);
-  const head = headValue({ number, id, at });
+  const head = encodeHead({ number, id, at });
   const puts: StorePut[] = [
     { key: CONFIG_HEAD_KEY, value: head },
     { key: CONFIG_NOTIFICATION_KEY, value: head },
-    { key: historyKey(number), value: historyValue(entry) },
+    { key: historyKey(number), value: encodeHistoryEntry(entry) },
   ];
   const deletes: string[] = [];
   for (const { key, after } of changes) {
     if (after === null) deletes.push(key);
-    else puts.push({ key, value: documentValue(after) });
+    else puts.push({ key, value: encodeDocument(after) });
   }
   if (number > HISTORY_LENGTH) deletes.push(historyKey(number - HISTORY_LENGTH));
   const conditions = [
     { key: CONFIG_HEAD_KEY, revision: snapshot.revision },
     { key: CONFIG_NOTIFICATION_KEY, revision: snapshot.revision },
-    { key: LEADER_KEY, revision: migratedAt },
+    { key: LEADER_KEY, revision: leaderKeyRevision },
   ];
   return { conditions, puts, deletes };
 }
 
 function checkSize(snapshot: ConfigSnapshot, entry: HistoryEntry, limits: StoreLimits): void {
   const { changes } = entry;
-  const maxChanges = limits.maxTransactionOps - OTHER_CHANGES;
+  const maxChanges = limits.maxTransactionOps - OTHER_TRANSACTION_OPS;
   if (changes.length > maxChanges)
-    throw new ChangeTooLargeError(`it touches ${changes.length} documents, of ${maxChanges} in one change`);
+    throw new ChangeTooLargeError(
+      `the change affects ${changes.length} documents; one change may affect at most ${maxChanges}`,
+    );
   const added = changes.filter((change) => change.before === null).length;
-  if (snapshot.documents.length + added > MAX_DOCUMENTS)
-    throw new ChangeTooLargeError(`there would be more than ${MAX_DOCUMENTS} documents`);
+  const documentCount = snapshot.documents.length + added;
+  if (documentCount > MAX_DOCUMENTS)
+    throw new ChangeTooLargeError(
+      `the change would result in ${documentCount} documents; at most ${MAX_DOCUMENTS} are allowed`,
+    );
   const maxBytes = limits.maxValueKb * 1024;
   const sizes = [entry, ...changes.map((change) => change.after)].map(jsonBytes);
   if (sizes.some((size) => size > maxBytes))
     throw new ChangeTooLargeError(
-      `a record of it would be larger than ${limits.maxValueKb} KiB: make several changes`,
+      `a record of the change would be larger than ${limits.maxValueKb} KiB; split it into several changes`,
     );
 }
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -1,28 +1,33 @@
-// Changes of the configuration as operators make them: what a change touches, and what undoes it; with what
-// other modules use of the transactions and the history. Pure; src/cli carries changes out.
+// Computes the document changes that lead to a wanted configuration or back to an earlier one. Re-exports the
+// transactions and the history for other modules. Pure functions; src/cli carries changes out.
 import type { DocumentChange, HistoryEntry } from './change-history.ts';
-import { documentKey, documentValue } from './document-codec.ts';
+import { documentKey, encodeDocument } from './document-codec.ts';
 import type { ConfigDocument, ConfigSnapshot } from './document-types.ts';
 
-export { type DocumentChange, HISTORY_LENGTH, type HistoryEntry, readHistory } from './change-history.ts';
+export {
+  type DocumentChange,
+  decodeHistoryEntry as readHistory,
+  HISTORY_LENGTH,
+  type HistoryEntry,
+} from './change-history.ts';
 export {
   ChangeTooLargeError,
-  preparation,
+  changeTransaction as transactionOf,
+  preparationTransaction as preparation,
   type StoreTransaction,
-  transactionOf,
 } from './change-transaction.ts';
 
-/** What is different once the documents are as wanted; documents that are not named stay. */
+/** The changes that lead from the snapshot to the wanted documents; all other documents stay as they are. */
 export function changesTo(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
-  return changedOnly(
+  return diffDocuments(
     snapshot,
     wanted.map((document) => [documentKey(document), document]),
   );
 }
 
 /**
- * What brings the documents back to how they were after the change with this number; null if that is no
- * longer known.
+ * The changes that lead from the snapshot back to the documents as of the change with this number; null if
+ * the history does not reach back that far.
  */
 export function changesBackTo(
   snapshot: ConfigSnapshot,
@@ -36,11 +41,13 @@
     if (entry === undefined) return null;
     for (const change of entry.changes) target.set(change.key, change.before);
   }
-  return changedOnly(snapshot, target);
+  return diffDocuments(snapshot, target);
 }
 
-/** The documents that are not as they are to be under their keys; null: none is to be there. */
-function changedOnly(
+/**
+ * The changes for the keys whose document differs from the target; null in `target`: the document is deleted.
+ */
+function diffDocuments(
   snapshot: ConfigSnapshot,
   target: Iterable<readonly [string, ConfigDocument | null]>,
 ): DocumentChange[] {
@@ -55,10 +62,10 @@
 
 function isSame(first: ConfigDocument | null, second: ConfigDocument | null): boolean {
   if (first === null || second === null) return first === second;
-  return canonicalJson(documentValue(first)) === canonicalJson(documentValue(second));
+  return canonicalJson(encodeDocument(first)) === canonicalJson(encodeDocument(second));
 }
 
-/** The same text for the same fields, in whatever order they were written. */
+/** JSON with sorted fields, so that equal values give equal text. */
 const canonicalJson = (value: unknown): string => JSON.stringify(sortFields(value));
 
 function sortFields(value: unknown): unknown {
--- a/src/core/configuration/configuration.ts
+++ b/src/core/configuration/configuration.ts
@@ -1,6 +1,6 @@
-// The configuration of one controller: which revision it applies, which is the newest that it knows of, and
-// reading what it lacks. News of a change come with the watch on the shard that every node has open, and from
-// the other nodes; without any document nothing is ever asked of the store.
+// The configuration that one controller applies. The controller learns of a newer revision from its watch on
+// the shard and from the messages of other nodes, and then reads the documents from the store. As long as
+// there are no configuration documents, it sends no requests to the store.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -16,54 +16,52 @@
 } from './documents.ts';
 import { lowersLimit } from './effective-config.ts';
 
-/**
- * Reads are at least this far apart, so that a burst of changes costs a bounded number of them; and a little
- * by chance.
- */
-const READ_INTERVAL_MS = 500;
+/** Minimum interval between reads, which bounds the number of reads in a burst of changes. */
+const MIN_READ_INTERVAL_MS = 500;
+/** A random time below this is added to the interval. */
 const READ_JITTER_MS = 200;
-/** After a read that failed, doubled with each in a row. */
+/** Delay after a failed read, doubled with each consecutive failure up to the maximum. */
 const RETRY_DELAY_MS = 250;
 const RETRY_MAX_DELAY_MS = 4000;
 const RETRY_MAX_DOUBLINGS = 8;
 /**
- * A leader that has known of a newer revision for so long, and can't read it, starts nothing under the one
- * that it has.
+ * A leader that has known of a newer revision for longer than this without being able to read it starts no
+ * tasks under the revision that it applies.
  */
-const STOP_STARTS_MS = 5000;
-/** A node that lags for longer than this takes no submissions. */
+const STOP_STARTS_LAG_MS = 5000;
+/** A node that lags behind the newest revision for longer than this accepts no submissions. */
 export const MAX_LAG_MS = 18_000;
 
-/** A revision has been applied in place of an earlier one. */
+/** The controller has replaced the applied revision by a newer one. */
 export interface AppliedChange {
   from: Revision;
   to: Revision;
-  /** Some team's limit is lower than before. */
-  lowered: boolean;
+  /** Whether the limit of any team is lower than before. */
+  isLimitLowered: boolean;
 }
 
-/** The revisions that one controller applies, one after the other. */
+/** Holds the applied configuration of one controller and reads newer revisions. */
 export class Configuration {
-  /** What this node goes by. */
+  /** The settings and documents that this controller acts on. */
   effective: EffectiveConfig;
-  /** The revision that it is as of; 0 without any document. */
+  /** The revision of the applied documents; 0 if there are none. */
   applied = 0 as Revision;
-  /** The newest revision that is known of. */
+  /** The newest revision that this controller knows of. */
   newest = 0 as Revision;
-  /** Since when a newer one than the applied one is known of. */
+  /** The time since which a newer revision than the applied one has been known; null if none is known. */
   private laggingSince: Instant | null = null;
   private appliedAt: Instant = LONG_AGO;
   private documentCount = 0;
   private isReading = false;
-  private readAt: Instant = LONG_AGO;
-  /** Number of reads in a row that have failed. */
-  private failures = 0;
-  /** The unreadable document that was logged last. */
+  private nextReadAt: Instant = LONG_AGO;
+  /** Number of consecutive reads that failed. */
+  private consecutiveFailures = 0;
+  /** Key of the unreadable document that was logged last. */
   private loggedUnreadable: string | null = null;
-  /** Called for every revision that this node applies, after it has. */
+  /** Called after this controller has applied a revision. */
   onApplied: (change: AppliedChange) => void = () => {};
 
-  /** `base`: the settings file, which documents overlay. */
+  /** `base`: the parts of the settings file that documents replace. */
   constructor(
     private readonly io: ControllerIo,
     private readonly base: BaseConfig,
@@ -71,22 +69,22 @@
     this.effective = overlay(base, []);
   }
 
-  /** Whether there are documents, or are about to be. */
+  /** Whether there are documents, or an operator has announced the first ones. */
   get hasDocuments(): boolean {
     return this.newest > 0;
   }
 
-  /** For how long a newer revision has been known and not applied. */
+  /** The time for which a newer revision has been known but not applied. */
   get lagMs(): Millis {
     return this.laggingSince === null ? 0 : elapsedMs(this.io.now, this.laggingSince);
   }
 
-  /** Nothing may be started any more under the revision that is applied. */
+  /** Whether the applied revision has been outdated for so long that no tasks may be started under it. */
   get isOverdue(): boolean {
-    return this.lagMs > STOP_STARTS_MS;
+    return this.lagMs > STOP_STARTS_LAG_MS;
   }
 
-  /** This revision is on record, or applied by another node. */
+  /** Called with a revision that is on record in the store or applied by another node. */
   onRevisionSeen(revision: Revision): void {
     if (revision <= this.newest) return;
     this.newest = revision;
@@ -94,16 +92,16 @@
     this.readIfBehind();
   }
 
-  /** Reads what is lacking once it may be read. */
+  /** Reads the documents if a newer revision is known and a read is due. */
   tick(): void {
     this.readIfBehind();
   }
 
   private readIfBehind(): void {
-    if (this.isReading || this.applied >= this.newest || this.io.now < this.readAt) return;
+    if (this.isReading || this.applied >= this.newest || this.io.now < this.nextReadAt) return;
     this.isReading = true;
-    this.readAt = addMs(this.io.now, READ_INTERVAL_MS + this.io.random.below(READ_JITTER_MS));
-    // Leases and the leader's writes go first.
+    this.nextReadAt = addMs(this.io.now, MIN_READ_INTERVAL_MS + this.io.random.below(READ_JITTER_MS));
+    // Leases and the writes of the leader have a higher priority.
     this.io.store({ kind: 'list', prefix: CONFIG_PREFIX, after: null }, StorePriority.work, (reply) => {
       this.isReading = false;
       this.onRead(reply);
@@ -113,10 +111,10 @@
   private onRead(reply: StoreReply): void {
     if (reply.kind !== 'items') return this.backOff();
     try {
-      // All documents are in one page (change-transaction.ts): more than one would not be atomic.
+      // All documents fit into one page (change-transaction.ts); a listing of several pages is not atomic.
       const snapshot = reply.more ? null : readSnapshot(reply.items);
-      // With changes coming all the time a newer one is always known of: what was read is applied all the
-      // same.
+      // The snapshot is applied even if a newer revision is known already: during frequent changes that is
+      // always so, and otherwise no revision would be applied.
       if (snapshot === null || snapshot.revision <= this.applied) return this.backOff();
       this.apply(snapshot);
     } catch (error) {
@@ -127,9 +125,9 @@
   }
 
   private backOff(): void {
-    const doublings = Math.min(RETRY_MAX_DOUBLINGS, this.failures++);
+    const doublings = Math.min(RETRY_MAX_DOUBLINGS, this.consecutiveFailures++);
     const delayMs = Math.min(RETRY_MAX_DELAY_MS, RETRY_DELAY_MS * 2 ** doublings);
-    this.readAt = addMs(this.io.now, delayMs / 2 + this.io.random.below(delayMs));
+    this.nextReadAt = addMs(this.io.now, delayMs / 2 + this.io.random.below(delayMs));
   }
 
   private logUnreadable(key: string): void {
@@ -142,7 +140,7 @@
     const from = this.applied;
     const previous = this.effective;
     const afterMs = Math.round(this.lagMs);
-    this.failures = 0;
+    this.consecutiveFailures = 0;
     this.loggedUnreadable = null;
     this.applied = snapshot.revision;
     this.newest = Math.max(this.newest, snapshot.revision) as Revision;
@@ -152,10 +150,10 @@
     this.effective = overlay(this.base, snapshot.documents);
     const number = snapshot.head?.number ?? 0;
     this.io.log('info', 'configuration applied', { from, to: this.applied, number, afterMs });
-    this.onApplied({ from, to: this.applied, lowered: lowersLimit(previous, this.effective) });
+    this.onApplied({ from, to: this.applied, isLimitLowered: lowersLimit(previous, this.effective) });
   }
 
-  /** For operators who ask a node about itself. */
+  /** The status output for operators. */
   describe(): Record<string, unknown> {
     const wasApplied = this.appliedAt !== LONG_AGO;
     return {
--- a/src/core/configuration/document-codec.ts
+++ b/src/core/configuration/document-codec.ts
@@ -1,5 +1,5 @@
-// How configuration documents are stored. The stored forms belong to this module alone; each carries the
-// version of its layout.
+// Encodes and decodes stored configuration documents. No other module uses the stored forms of documents;
+// each stored value contains the version of its layout.
 
 import { SwiftfordError } from '../../types/errors.ts';
 import type { TeamName } from '../../types/index.ts';
@@ -13,18 +13,18 @@
   TeamDocument,
 } from './document-types.ts';
 
-/** Layout of the stored values; one of another version is not applied. */
+/** Version of the layout of stored values; documents with another version are not applied. */
 export const DOCUMENT_VERSION = 1;
 
 const TEAM_PREFIX = `${CONFIG_PREFIX}team/`;
 const OBJECTIVES_KEY = `${CONFIG_PREFIX}objectives`;
 const DISPATCH_KEY = `${CONFIG_PREFIX}dispatch`;
 
-/** A record that this program can't read as a configuration document. */
+/** A stored record is not a configuration document that this version of the program can read. */
 export class UnreadableDocumentError extends SwiftfordError {
   readonly code = 'UNREADABLE_DOCUMENT';
 
-  /** `key`: that of the record. */
+  /** `key`: the key of the record. */
   constructor(readonly key: string) {
     super(`${key} is not a configuration document of version ${DOCUMENT_VERSION}`);
   }
@@ -67,7 +67,7 @@
 /** A document as it is stored under its key. */
 export type StoredDocument = Versioned & (StoredTeam | StoredObjectives | StoredDispatch);
 
-/** A document within the record of a change. */
+/** A document as it is stored within a history entry. */
 export type StoredDocumentOfChange =
   | { kind: 'team'; name: TeamName; team: StoredTeam }
   | { kind: 'objectives'; objectives: StoredObjective[] }
@@ -133,8 +133,8 @@
   return document.kind === 'objectives' ? OBJECTIVES_KEY : DISPATCH_KEY;
 }
 
-/** The value that is stored under the document's key. */
-export function documentValue(document: ConfigDocument): StoredDocument {
+/** The value that is stored under the key of the document. */
+export function encodeDocument(document: ConfigDocument): StoredDocument {
   const v = DOCUMENT_VERSION;
   switch (document.kind) {
     case 'team':
@@ -146,9 +146,9 @@
   }
 }
 
-/** The document that is stored under a key. Throws {@link UnreadableDocumentError}. */
-export function readDocument(key: string, value: unknown): ConfigDocument {
-  if (!hasVersion(value)) throw new UnreadableDocumentError(key);
+/** Decodes the document stored under a key. Throws {@link UnreadableDocumentError}. */
+export function decodeDocument(key: string, value: unknown): ConfigDocument {
+  if (!hasSupportedVersion(value)) throw new UnreadableDocumentError(key);
   if (key.startsWith(TEAM_PREFIX)) {
     const name = key.slice(TEAM_PREFIX.length) as TeamName;
     return { kind: 'team', name, team: decodeTeam(value as unknown as StoredTeam) };
@@ -161,7 +161,7 @@
   throw new UnreadableDocumentError(key);
 }
 
-/** A document as the record of a change keeps it. */
+/** Encodes a document for a history entry. */
 export function encodeDocumentOfChange(document: ConfigDocument): StoredDocumentOfChange {
   switch (document.kind) {
     case 'team':
@@ -173,7 +173,7 @@
   }
 }
 
-/** The document that the record of a change keeps. */
+/** Decodes a document of a history entry. */
 export function decodeDocumentOfChange(stored: StoredDocumentOfChange): ConfigDocument {
   switch (stored.kind) {
     case 'team':
@@ -191,21 +191,21 @@
   at: number;
 }
 
-/** The value of the head, and of its copy. */
-export const headValue = (head: ConfigHead): StoredHead => ({
+/** The stored value of the head and of its copy. */
+export const encodeHead = (head: ConfigHead): StoredHead => ({
   v: DOCUMENT_VERSION,
   number: head.number,
   id: head.id,
   at: head.at,
 });
 
-/** The head that is stored. Throws {@link UnreadableDocumentError}. */
-export function readHead(value: unknown): ConfigHead {
-  if (!hasVersion(value)) throw new UnreadableDocumentError(CONFIG_HEAD_KEY);
+/** Decodes the stored head. Throws {@link UnreadableDocumentError}. */
+export function decodeHead(value: unknown): ConfigHead {
+  if (!hasSupportedVersion(value)) throw new UnreadableDocumentError(CONFIG_HEAD_KEY);
   const { number, id, at } = value as StoredHead;
   return { number, id, at };
 }
 
-/** Whether a stored value has the layout that this program knows. */
-export const hasVersion = (value: unknown): value is Versioned =>
+/** Whether a stored value has the supported layout version. */
+export const hasSupportedVersion = (value: unknown): value is Versioned =>
   typeof value === 'object' && (value as { v?: unknown } | null)?.v === DOCUMENT_VERSION;
--- a/src/core/configuration/document-types.ts
+++ b/src/core/configuration/document-types.ts
@@ -1,28 +1,29 @@
-// Configuration documents as the program uses them. A document replaces its part of the settings file: there
-// is one for each team, one for the objectives and one for the operators' own settings.
+// Types of configuration documents. A document replaces a part of the settings file: there is one document
+// for each team, one for the objectives, and one for the scheduler options of the operators (`dispatch`).
 import type { Revision, TeamName } from '../../types/index.ts';
 import type { Objective } from '../base/model.ts';
 
 /**
- * What happens to a team's tasks above a lowered limit: they end by themselves, or are stopped within so many
- * seconds.
+ * What happens to a team's running tasks above a lowered limit: `drain` lets them run to their end, `stop`
+ * stops them within `withinS` seconds.
  */
 export type OverQuotaPolicy = { kind: 'drain' } | { kind: 'stop'; withinS: number };
 
-/** Guarantees and limits of one team. */
+/** Guarantees (`cpus`, `gpus`) and limits (`cpusMax`, `gpusMax`) of one team. */
 export interface TeamDocument {
   cpus: number;
-  /** 0 means none, here and in `gpusMax`. */
+  /** 0 means no limit, here and in `gpusMax`. */
   cpusMax: number;
   gpus: number;
   gpusMax: number;
   above: OverQuotaPolicy;
-  /** Closed to new work; jobs that have not ended go on under the limits given here. */
+  /** Whether the team is closed to new work. Its accepted jobs continue under the limits of this document. */
   removed: boolean;
 }
 
 /**
- * The operators' own settings, as far as documents set them; periods are counted in heartbeats of an agent.
+ * Scheduler options set by the document; absent options keep the value that the program was started with.
+ * Periods (`takeBackReports`) are given as a number of agent heartbeats.
  */
 export interface DispatchDocument {
   threshold?: number;
@@ -31,15 +32,15 @@
   classFloor?: number;
 }
 
-/** One document. */
+/** A configuration document. */
 export type ConfigDocument =
   | { kind: 'team'; name: TeamName; team: TeamDocument }
   | { kind: 'objectives'; objectives: Objective[] }
   | { kind: 'dispatch'; dispatch: DispatchDocument };
 
 /**
- * The newest change: its number, counted from 1, and the id that its operator gave it. Number 0 has no
- * documents yet.
+ * The newest change: its number, counted from 1, and the id that the operator gave it. Number 0 stands for
+ * the announcement of the first change, when there are no documents yet.
  */
 export interface ConfigHead {
   number: number;
@@ -48,7 +49,7 @@
   at: number;
 }
 
-/** All documents as of one revision: that of the newest change. */
+/** All documents at the revision of the newest change. */
 export interface ConfigSnapshot {
   revision: Revision;
   head: ConfigHead | null;
--- a/src/core/configuration/effective-config.ts
+++ b/src/core/configuration/effective-config.ts
@@ -1,13 +1,14 @@
-// What a controller goes by: the settings file, overlaid by the configuration documents.
+// Computes the effective configuration of a controller from the settings file and the configuration
+// documents.
 import type { TeamName } from '../../types/index.ts';
 import type { Objective, Team } from '../base/model.ts';
 import type { ConfigDocument, DispatchDocument, TeamDocument } from './document-types.ts';
 
-/** The settings file, overlaid by the documents. */
+/** The settings file with the parts replaced for which there are documents. */
 export interface EffectiveConfig {
   teams: ReadonlyMap<TeamName, Team>;
   objectives: readonly Objective[];
-  /** What documents set of the operators' own settings. */
+  /** The scheduler options set by the document; empty if there is none. */
   dispatch: DispatchDocument;
 }
 
@@ -23,14 +24,14 @@
   let objectives = base.objectives;
   let dispatch: DispatchDocument = {};
   for (const document of documents) {
-    if (document.kind === 'team') teams.set(document.name, teamOf(document.name, document.team));
+    if (document.kind === 'team') teams.set(document.name, teamFromDocument(document.name, document.team));
     else if (document.kind === 'objectives') objectives = document.objectives;
     else dispatch = document.dispatch;
   }
   return { teams, objectives, dispatch };
 }
 
-function teamOf(name: TeamName, document: TeamDocument): Team {
+function teamFromDocument(name: TeamName, document: TeamDocument): Team {
   const { cpus, cpusMax, gpus, gpusMax, above, removed } = document;
   return {
     name,
@@ -43,16 +44,16 @@
   };
 }
 
-/** Whether any limit of a team is lower than before, or a team is gone. */
+/** Whether the limit of any team is lower than before, or a team no longer exists. */
 export function lowersLimit(before: EffectiveConfig, after: EffectiveConfig): boolean {
-  for (const [name, old] of before.teams) {
-    const now = after.teams.get(name);
-    if (now === undefined) return true;
-    if (isLower(now.cpusMax, old.cpusMax) || isLower(now.gpusMax, old.gpusMax)) return true;
+  for (const [name, previous] of before.teams) {
+    const current = after.teams.get(name);
+    if (current === undefined) return true;
+    if (isLower(current.cpusMax, previous.cpusMax) || isLower(current.gpusMax, previous.gpusMax)) return true;
   }
   return false;
 }
 
-/** Whether a limit is lower than it was; 0 means none. */
+/** Whether a limit is lower than the old one; 0 means no limit. */
 const isLower = (limit: number, oldLimit: number): boolean =>
   limit > 0 && (oldLimit <= 0 || limit < oldLimit);
--- a/src/core/configuration/in-force-record.ts
+++ b/src/core/configuration/in-force-record.ts
@@ -1,14 +1,15 @@
-// The record that says which revision of the configuration is in force, for operators who wait for theirs.
+// The record of the configuration revision in force. Operators' commands read it to wait until a change is in
+// force.
 import type { Revision } from '../../types/index.ts';
 
-/** What the leader has declared in force. */
+/** The revision that the leader has declared in force. */
 export interface InForceRecord {
   revision: Revision;
   /** The term of the leader that declared it. */
   term: Revision;
-  /** Wall time, in milliseconds. */
+  /** Wall time of the declaration, in milliseconds. */
   at: number;
-  /** The nodes that lagged then, each with the revision that it applied. */
+  /** The nodes that lagged behind at that time, each with the revision that it applied. */
   lagging: Record<string, Revision>;
 }
 
@@ -20,7 +21,7 @@
   w: string;
 }
 
-/** The value on record; `writeId` is the idempotency key of the write that makes it. */
+/** The stored value; `writeId` is the idempotency key of the write that stores it. */
 export const encodeInForceRecord = (record: InForceRecord, writeId: string): StoredInForceRecord => ({
   revision: record.revision,
   term: record.term,
--- a/src/core/configuration/lag-monitor.ts
+++ b/src/core/configuration/lag-monitor.ts
@@ -1,11 +1,11 @@
-// Which of the other controllers lag behind the applied configuration: logged once they have lagged for a
-// while, and when they have caught up.
+// Tracks the controllers that lag behind the configuration that this one applies, and logs when a controller
+// has lagged for some time and when it has caught up.
 import { elapsedMs, type Instant, type Millis, type NodeId, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { PeerConfigRevision } from '../membership/peer-registry.ts';
 
-/** A node that applies a revision within this time is not logged. */
-const GRACE_MS = 2000;
+/** A lag shorter than this is not logged. */
+const LOG_DELAY_MS = 2000;
 
 interface Lag {
   from: Revision;
@@ -13,13 +13,13 @@
   isLogged: boolean;
 }
 
-/** The lags of the other controllers, as the leader sees them. */
+/** The lags of the other controllers, as seen by the leader. */
 export class LagMonitor {
   private readonly lags = new Map<NodeId, Lag>();
 
   constructor(private readonly io: ControllerIo) {}
 
-  /** Compares what a node applies with the revision that this one applies. */
+  /** Compares the revision that a peer applies with the one that this controller applies. */
   check(peer: PeerConfigRevision, applied: Revision): void {
     const { node, revision } = peer;
     const lag = this.lags.get(node);
@@ -32,13 +32,13 @@
       this.lags.set(node, { from: revision ?? (0 as Revision), since: this.io.now, isLogged: false });
       return;
     }
-    if (lag.isLogged || this.lagMs(lag) < GRACE_MS) return;
+    if (lag.isLogged || this.lagMs(lag) < LOG_DELAY_MS) return;
     lag.isLogged = true;
     const reason = peer.linked ? 'it has not applied the revision yet' : 'its link is down';
-    this.io.log('info', 'configuration lags', { node, from: lag.from, to: applied, reason });
+    this.io.log('info', 'node lags behind the configuration', { node, from: lag.from, to: applied, reason });
   }
 
-  /** For operators: how long each node that lags has done so, in seconds. */
+  /** The status output for operators: for each lagging node, the duration of its lag in seconds. */
   describe(): Record<string, number> {
     const lagging: Record<string, number> = {};
     for (const [node, lag] of this.lags) lagging[node] = Math.round(this.lagMs(lag) / 100) / 10;
@@ -47,7 +47,12 @@
 
   private logCaughtUp(node: NodeId, lag: Lag, revision: Revision): void {
     const afterMs = Math.round(this.lagMs(lag));
-    this.io.log('info', 'configuration caught up', { node, from: lag.from, to: revision, afterMs });
+    this.io.log('info', 'node caught up with the configuration', {
+      node,
+      from: lag.from,
+      to: revision,
+      afterMs,
+    });
   }
 
   private lagMs(lag: Lag): Millis {
--- a/src/core/configuration/rollout.ts
+++ b/src/core/configuration/rollout.ts
@@ -1,7 +1,7 @@
-// When a revision of the configuration is in force: no controller can act on an older one (docs/safety.md).
-// The leader alone starts tasks, so that is when it has applied the revision and the last start under an
-// older one has reached its machine. It puts that on record, for operators who wait for it, and watches which
-// nodes lag.
+// Declares revisions of the configuration in force: from then on no controller can act on an older one
+// (docs/safety.md). Only the leader starts tasks, so a revision is in force when the leader has applied it
+// and the last start command under an older revision has reached its machine. The leader records the revision
+// for operators who wait for it, and monitors which nodes lag behind.
 import { addMs, type Instant, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { PeerConfigRevision } from '../membership/peer-registry.ts';
@@ -13,34 +13,37 @@
 
 export type { InForceRecord };
 
-/** Agents drop responses after 4 s: a start that was sent under an older limit arrives no later than this. */
+/**
+ * Agents discard responses after 4 s: a start command sent under an older limit arrives within this time or
+ * never.
+ */
 const START_DELIVERY_MS = 4100;
 const LAG_CHECK_INTERVAL_MS = 500;
 
-/** An applied revision that is in force from a moment on. */
+/** An applied revision that has not been declared in force yet. */
 interface PendingRevision {
   revision: Revision;
   inForceAt: Instant;
 }
 
-/** What {@link Rollout} depends on. */
+/** Dependencies of {@link Rollout}. */
 export interface RolloutDependencies {
   io: ControllerIo;
   writer: FencedWriter;
   /** The term of this leader. */
   term: Revision;
   configuration: Configuration;
-  /** What each of the other nodes applies. */
+  /** The revision that each of the other nodes applies. */
   peerRevisions: () => readonly PeerConfigRevision[];
 }
 
-/** Declares revisions in force during one term. */
+/** Declares the applied revisions in force during one term. */
 export class Rollout {
-  /** The last revision that is on record as in force, under this term. */
-  inForce = 0 as Revision;
+  /** The last revision that this term has recorded as in force. */
+  inForceRevision = 0 as Revision;
   private readonly pending: PendingRevision[] = [];
   private isWriting = false;
-  private checkLagsAt = 0 as Instant;
+  private nextLagCheckAt = 0 as Instant;
   private readonly io: ControllerIo;
   private readonly writer: FencedWriter;
   private readonly term: Revision;
@@ -57,35 +60,40 @@
     this.lagMonitor = new LagMonitor(this.io);
   }
 
-  /** The leader begins: what an earlier leader has started may still be on its way. */
+  /**
+   * Called when the term has loaded its records. Start commands of an earlier leader may still be in transit.
+   */
   begin(): void {
     if (this.configuration.hasDocuments) this.addPending(this.configuration.applied, true);
   }
 
-  /** The leader has applied a revision. */
+  /** Called when the leader has applied a revision. */
   onApplied(change: AppliedChange): void {
-    this.addPending(change.to, change.lowered);
+    this.addPending(change.to, change.isLimitLowered);
   }
 
-  /** `isCurrent`: no other controller can be the leader. */
-  tick(isCurrent: boolean): void {
+  /**
+   * Declares due revisions and checks for lagging nodes. `holdsLease`: no other controller can be the leader.
+   */
+  tick(holdsLease: boolean): void {
     if (!this.configuration.hasDocuments) return;
-    if (isCurrent) this.declareNext();
-    if (this.io.now < this.checkLagsAt) return;
-    this.checkLagsAt = addMs(this.io.now, LAG_CHECK_INTERVAL_MS);
+    if (holdsLease) this.declareNext();
+    if (this.io.now < this.nextLagCheckAt) return;
+    this.nextLagCheckAt = addMs(this.io.now, LAG_CHECK_INTERVAL_MS);
     for (const peer of this.peerRevisions()) this.lagMonitor.check(peer, this.configuration.applied);
   }
 
-  /** For operators: what is in force, and how long each node that lags has done so, in seconds. */
+  /** The status output for operators: the revision in force, and the lag of each lagging node in seconds. */
   describe(): Record<string, unknown> {
-    return { inForce: this.inForce, lagging: this.lagMonitor.describe() };
+    return { inForce: this.inForceRevision, lagging: this.lagMonitor.describe() };
   }
 
-  private addPending(revision: Revision, isLimitLowered: boolean): void {
-    const earlier = this.pending.at(-1)?.inForceAt ?? this.io.now;
-    const delivered = isLimitLowered ? addMs(this.io.now, START_DELIVERY_MS) : this.io.now;
-    // Of an earlier revision that lowered a limit a start may be on its way as well.
-    this.pending.push({ revision, inForceAt: Math.max(delivered, earlier) as Instant });
+  private addPending(revision: Revision, mayHaveStartsInTransit: boolean): void {
+    const previousInForceAt = this.pending.at(-1)?.inForceAt ?? this.io.now;
+    const deliveredAt = mayHaveStartsInTransit ? addMs(this.io.now, START_DELIVERY_MS) : this.io.now;
+    // Not before the previous pending revision: start commands from before its limits were lowered may still
+    // be in transit.
+    this.pending.push({ revision, inForceAt: Math.max(deliveredAt, previousInForceAt) as Instant });
   }
 
   private declareNext(): void {
@@ -98,10 +106,10 @@
 
   private declare(revision: Revision): void {
     this.isWriting = true;
-    const lagging = this.revisionsBehind(revision);
+    const lagging = this.laggingRevisions(revision);
     const record: InForceRecord = { revision, term: this.term, at: this.io.wallTime, lagging };
     const writeId = this.writer.nextWriteId();
-    // The same value whichever copy is carried out, under this term only.
+    // A repeated write has the same value, and the writer carries it out under this term only.
     this.writer.write({
       conditions: [],
       puts: [{ key: CONFIG_IN_FORCE_KEY, value: encodeInForceRecord(record, writeId) }],
@@ -112,14 +120,14 @@
       onResult: (result) => {
         this.isWriting = false;
         if (result.kind !== 'ok') return;
-        this.inForce = revision;
+        this.inForceRevision = revision;
         this.io.log('info', 'configuration in force', { revision, lagging: Object.keys(lagging) });
       },
     });
   }
 
-  /** The nodes that apply an older revision, each with the one that it applies. */
-  private revisionsBehind(revision: Revision): Record<string, Revision> {
+  /** The nodes that apply an older revision, each with the revision that it applies. */
+  private laggingRevisions(revision: Revision): Record<string, Revision> {
     const lagging: Record<string, Revision> = {};
     for (const peer of this.peerRevisions()) {
       const applied = peer.revision ?? (0 as Revision);
