--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -1,4 +1,4 @@
-// The configuration changes while controllers, agents and users go on, in a simulated world.
+// Changes of the configuration during operation, in a simulated world of controllers, agents and users.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, UserResponse } from '../src/core/base/model.ts';
@@ -15,11 +15,11 @@
 import { LIMITS, Operator, team } from './support/operator.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-/** The promised time until a change is in force while most of the service is up, in seconds. */
+/** The guaranteed time until a change is in force while most of the service is up, in seconds. */
 const IN_FORCE_S = 18;
 const NODES = ['node-0', 'node-1', 'node-2'];
 
-/** A job of the team that is limited to 6 CPUs at first; its tasks take 2. */
+/** A job of team `small`, whose initial limit is 6 CPUs; each task needs 2 CPUs. */
 const limitedJob = (id: string, changes: Partial<JobSpec> = {}): JobSpec =>
   job(id, { team: 'small' as TeamName, ...changes });
 
@@ -31,7 +31,7 @@
   return { world, operator: new Operator(world) };
 }
 
-/** CPUs that the team's tasks use on machines. */
+/** The number of CPUs that the team's tasks on machines use. */
 function cpusUsedBy(world: SimulatedWorld, name: string): number {
   let cpus = 0;
   for (const machine of world.workers.values()) {
@@ -43,11 +43,11 @@
   return cpus;
 }
 
-/** Number of tasks that were started. */
-const startsOf = (world: SimulatedWorld): number =>
+/** The number of task starts on all machines. */
+const countStarts = (world: SimulatedWorld): number =>
   [...world.workers.values()].reduce((sum, machine) => sum + machine.starts, 0);
 
-/** Records the starts of the team's tasks above the limit that is in force. */
+/** Records task starts of team `small` that exceed the limit in force at that time. */
 function watchStartsAboveLimit(
   world: SimulatedWorld,
   operator: Operator,
@@ -60,13 +60,13 @@
     const limit = [...limits].filter(([revision]) => revision <= inForce).at(-1)?.[1] ?? 6;
     const spec = world.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
     if (spec.team === 'small' && cpusUsedBy(world, 'small') + spec.cpus > limit)
-      starts.push(`${world.now} ${task} beyond ${limit}`);
+      starts.push(`${world.now} ${task} above the limit of ${limit} CPUs`);
     placed(machine, task);
   };
   return { starts };
 }
 
-/** Asserts that this becomes true within so many seconds of simulated time. */
+/** Asserts that the condition becomes true within this number of seconds of simulated time. */
 function assertWithin(
   world: SimulatedWorld,
   seconds: number,
@@ -76,16 +76,17 @@
   assert.equal(world.until(condition, seconds), true, message?.());
 }
 
-/** Asserts that a revision is declared in force within the promised time. */
+/** Asserts that a revision is declared in force within the guaranteed time. */
 function assertInForce(operator: Operator, revision: Revision): void {
-  assert.equal(operator.untilInForce(revision, IN_FORCE_S) !== null, true, 'it is not in force');
+  const isInForce = operator.untilInForce(revision, IN_FORCE_S) !== null;
+  assert.equal(isInForce, true, `revision ${revision} is not in force after ${IN_FORCE_S} s`);
 }
 
 const appliedBy = (world: SimulatedWorld, node: string): number =>
   world.nodes.get(node)!.configuration.applied;
 
 describe('a cluster without configuration documents', () => {
-  it('asks the store nothing about documents, through a failover', () => {
+  it('sends the store no requests for documents, also during a failover', () => {
     const { world } = startWorld();
     world.submit(job('run-1'));
     world.crash(world.owner!);
@@ -98,12 +99,12 @@
 });
 
 describe('a change of a limit', () => {
-  it('raises the limit, and is in force on every node within the promised time', () => {
+  it('raises the limit, and is in force on every node within the guaranteed time', () => {
     const { world, operator } = startWorld();
     world.runS = 200;
     world.submit(limitedJob('run-1', { tasks: 10 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
-    // The world's own check knows the first limit only.
+    // The check built into the world uses the initial limit only.
     world.placed = () => {};
     const revision = operator.change(limitedTeam(14));
     assertInForce(operator, revision);
@@ -117,7 +118,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('lowers the limit at full use while the leader ends: nothing starts above it, and running tasks go on', () => {
+  it('lowers the limit at full use while the leader crashes: no task starts above it, running tasks go on', () => {
     const { world, operator } = startWorld();
     world.runS = 30;
     world.submit(limitedJob('run-1', { tasks: 12 }));
@@ -133,14 +134,14 @@
     limits.set(revision, 2);
     world.crash(world.owner!);
     assertInForce(operator, revision);
-    assert.equal(cpusUsedBy(world, 'small') > 2, true, 'what ran was stopped');
+    assert.equal(cpusUsedBy(world, 'small') > 2, true, 'running tasks were stopped');
     world.run(200);
     assert.deepEqual(watched.starts, []);
     assert.equal(world.isDone('run-1', 'node-1') || cpusUsedBy(world, 'small') <= 2, true);
     assert.deepEqual(world.broken, []);
   });
 
-  it('keeps a former leader that was frozen from starting tasks under the limit that it knows', () => {
+  it('does not let a former leader that was frozen start tasks under its outdated limit', () => {
     const { world, operator } = startWorld();
     world.runS = 8;
     world.submit(limitedJob('run-1', { tasks: 30 }));
@@ -160,7 +161,7 @@
     assert.deepEqual(world.broken, []);
   });
 
-  it('keeps a leader that the store alone refuses from starting tasks beyond its lease once there are documents', () => {
+  it('with documents, does not let a leader refused only by the store start tasks after its lease has ended', () => {
     const { world, operator } = startWorld();
     operator.prepare();
     world.until(
@@ -170,18 +171,18 @@
     world.runS = 6;
     world.submit(limitedJob('run-1', { tasks: 20 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
-    // No other controller is elected: the others can't reach the store either, but the operator does.
+    // The store refuses all controllers, so that no other one is elected, but not the operator.
     for (const node of NODES) world.state.refused.add(node);
     world.run(4);
-    const startsBefore = startsOf(world);
+    const startsBefore = countStarts(world);
     const revision = operator.change(limitedTeam(2));
     world.run(20);
-    assert.equal(startsOf(world), startsBefore);
+    assert.equal(countStarts(world), startsBefore);
     world.state.refused.clear();
     assertInForce(operator, revision);
   });
 
-  it('is declared in force after a start that was on its way has reached its machine', () => {
+  it('is declared in force only after start commands in transit have reached their machines', () => {
     const { world, operator } = startWorld();
     operator.prepare();
     world.run(6);
@@ -201,7 +202,7 @@
     assert.deepEqual(watched.starts, []);
   });
 
-  it('keeps tasks that are queued on a machine above the lowered limit from starting there', () => {
+  it('does not let tasks queued on a machine start above the lowered limit', () => {
     const { world, operator } = startWorld();
     operator.prepare();
     world.run(6);
@@ -225,14 +226,14 @@
 });
 
 describe('a controller that lags behind the configuration', () => {
-  it('is elected only with the configuration that is on record', () => {
+  it('is elected only after it knows the configuration on record', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(6);
     world.runS = 600;
     world.submit(limitedJob('run-1', { tasks: 3 }));
-    // The change is made between the end of the leader's lease and the next leader's term, and news of it
-    // comes late.
+    // The change is made between the end of the leader's lease and the term of the next leader, and the watch
+    // reports it late.
     world.crash(world.owner!);
     while (world.state.keys.has(CONFIGURED_LEADER_KEY)) world.run(0.001);
     world.run(0.004);
@@ -245,10 +246,11 @@
       return (operator.inForce?.revision ?? 0) >= revision;
     }, 60);
     assert.equal(wasElectedEarly, false);
-    assert.equal((operator.inForce?.revision ?? 0) >= revision, true, 'it is not in force');
+    const isInForce = (operator.inForce?.revision ?? 0) >= revision;
+    assert.equal(isInForce, true, `revision ${revision} is not in force after 60 s`);
   });
 
-  it('accepts no job by the old configuration when it is isolated for a minute, and catches up', () => {
+  it('accepts no job under the old configuration after a minute of isolation, and catches up', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(5);
@@ -262,7 +264,8 @@
     assert.equal(appliedBy(world, isolated) < revision, true);
     assert.equal(world.nodes.get(isolated)!.ready, false);
     world.heal(isolated, 'state');
-    // Its watch has not told it yet: what it would accept by itself is checked against the record.
+    // Its watch has not reported the change yet: a submission that it accepts without the leader is written
+    // on the condition that the configuration on record is unchanged.
     const request = world.ask(isolated, { op: 'submit', spec: job('run-1') });
     world.run(2);
     assert.notEqual(request.answer?.kind, 'accepted');
@@ -271,7 +274,7 @@
     assertWithin(world, IN_FORCE_S, () => appliedBy(world, isolated) === revision);
   });
 
-  it('accepts no submission without the leader that was checked against an older configuration', () => {
+  it('without the leader, accepts no submission that was checked against an outdated configuration', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(6);
@@ -281,13 +284,13 @@
     world.state.watchLagMs = 60_000;
     world.run(5);
     operator.change(team('open', { removed: true }));
-    const answer = world.ask(isolated, { op: 'submit', spec: job('run-1') });
+    const request = world.ask(isolated, { op: 'submit', spec: job('run-1') });
     world.run(1);
-    assert.equal(answer.answer?.kind, 'retry');
+    assert.equal(request.answer?.kind, 'retry');
     assert.equal(world.state.keys.has('o/run-1'), false);
   });
 
-  it('lists the shard again when its watch is too old', () => {
+  it('lists the shard again when the store no longer has the events that its watch missed', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(3);
@@ -301,7 +304,7 @@
 });
 
 describe('a team under a changed limit', () => {
-  it('takes no new work once it is removed, while accepted jobs end and a repeated submission is known', () => {
+  it('accepts no new jobs once it is removed; accepted jobs end, and repeated submissions are recognised', () => {
     const { world, operator } = startWorld();
     world.runS = 20;
     const spec = limitedJob('run-1', { tasks: 3 });
@@ -315,7 +318,7 @@
     assertWithin(world, 60, () => world.doneOnRecord('run-1'));
   });
 
-  it('has a job wait that the lowered limit does not allow, with the reason, until the limit is raised', () => {
+  it('keeps a job queued that the lowered limit does not allow, with a reason, until the limit is raised', () => {
     const { world, operator } = startWorld();
     world.runS = 5;
     operator.prepare();
@@ -338,7 +341,7 @@
     assertWithin(world, 60, () => world.doneOnRecord('run-1'));
   });
 
-  it('has tasks above the lowered limit stopped if its document says so, whichever controller leads', () => {
+  it('has tasks above the lowered limit stopped if its document requires it, also by a new leader', () => {
     const { world, operator } = startWorld();
     world.runS = 600;
     world.submit(limitedJob('run-1', { tasks: 3 }));
@@ -358,7 +361,7 @@
 });
 
 describe('a sequence of changes', () => {
-  it('brings the last change in force through a failover in the middle, with a bounded number of reads', () => {
+  it('has its last change in force after a failover midway, with a bounded number of reads', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(6);
@@ -388,10 +391,10 @@
     world.run(4);
     const teams = (): string =>
       [...world.nodes.get(world.owner!)!.configuration.effective.teams.values()]
-        .map((task) => `${task.name} ${task.cpusMax}`)
+        .map((teamConfig) => `${teamConfig.name} ${teamConfig.cpusMax}`)
         .join(', ');
     assert.equal(teams(), 'open 0, small 4');
-    // Accepted when its team was there, it is neither lost nor refused.
+    // The job was accepted while its team existed: it is neither lost nor refused.
     assert.equal(world.submit(job('run-1', { team: 'guests' as TeamName }), 'node-2')?.kind, 'known');
     operator.rollback(0);
     world.run(4);
@@ -400,7 +403,7 @@
 });
 
 describe('the migration of the leader key', () => {
-  it('does not interrupt the leader, also while the leader writes', () => {
+  it('does not interrupt the leader, even while it writes', () => {
     const { world, operator } = startWorld();
     const leader = world.owner!;
     for (let i = 0; i < 60; i++) world.ask('node-1', { op: 'submit', spec: job(`run-${i}`) });
@@ -411,11 +414,11 @@
     assert.equal(world.logs.filter((l) => l.includes('leadership acquired')).length, 2);
   });
 
-  it('leaves a leader that loses its term meanwhile able to be elected again', () => {
+  it('allows a leader that loses its term during the migration to be elected again', () => {
     const { world, operator } = startWorld();
     const first = world.owner!;
     operator.commit(preparation('first', world.now));
-    // It knows of the change, and can't write.
+    // The leader has learned of the announced change, and cannot write.
     world.run(0.005);
     world.state.refused.add(first);
     assertWithin(world, 20, () => world.owner !== undefined && world.owner !== first);
@@ -437,7 +440,7 @@
     assert.equal(operator.commit(early).kind, 'conflict');
   });
 
-  it('is carried out for one of two operators who make changes at once', () => {
+  it('is carried out for only one of two operators who make changes at the same time', () => {
     const { operator } = startWorld();
     operator.prepare();
     const [first, second] = [
@@ -446,13 +449,13 @@
     ];
     assert.equal(operator.commit(first).kind, 'committed');
     assert.equal(operator.commit(second).kind, 'conflict');
-    // Carried out once more, late, a change does nothing.
+    // A late repetition of a change that was carried out has no effect.
     assert.equal(operator.commit(first).kind, 'conflict');
   });
 });
 
 describe('the stored form of a change', () => {
-  it('has the fields and their order that every version reads', () => {
+  it('has the fields, in the order, that every version of the program reads', () => {
     const snapshot = { revision: 0 as Revision, head: null, documents: [] };
     const wanted: ConfigDocument[] = [
       limitedTeam(4, { above: { kind: 'stop', withinS: 30 } }),
@@ -499,12 +502,13 @@
 });
 
 describe('a controller that cannot read the documents', () => {
-  it('cannot be elected if its version does not know documents', () => {
+  it('cannot be elected if its version does not support documents', () => {
     const { world, operator } = startWorld();
     operator.change(limitedTeam(4));
     for (const node of NODES) world.crash(node);
     world.run(20);
-    // It is elected on the condition that the first leader key is absent, and looks for a node's name there.
+    // A controller of such a version is elected on the condition that the first leader key is absent, and
+    // reads the name of the leading node from its record.
     const leaderItem = world.state.keys.get(LEADER_KEY)!;
     assert.equal((leaderItem.value as { node?: string }).node, undefined);
     const claim = {
@@ -518,14 +522,14 @@
     assert.equal(appliedBy(world, 'node-1'), operator.snapshot.revision);
   });
 
-  it('starts nothing as a new leader', () => {
+  it('starts no tasks as a new leader', () => {
     const { world, operator } = startWorld();
     world.runS = 600;
     operator.change(limitedTeam(2));
     world.run(6);
     world.crash(world.owner!);
     world.state.unreadable = CONFIG_PREFIX;
-    // News of a change make its reads necessary on every node.
+    // Every node learns of this change and has to read the documents.
     operator.change(limitedTeam(4));
     assertWithin(world, 20, () => world.owner !== undefined);
     const newLeader = world.owner!;
@@ -539,14 +543,17 @@
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 2);
   });
 
-  it('does not apply a document of a later version, and starts nothing more as the leader', () => {
+  it('does not apply a document of a later version, and starts no more tasks as the leader', () => {
     const { world, operator } = startWorld();
     world.runS = 600;
     operator.change(limitedTeam(6));
     world.run(6);
-    const later = { key: 'config/team/small', value: { v: 2, cpusMax: 2 } };
+    const laterDocument = { key: 'config/team/small', value: { v: 2, cpusMax: 2 } };
     const planned = operator.planned([limitedTeam(4)]);
-    operator.commit({ ...planned, puts: planned.puts.map((p) => (p.key === later.key ? later : p)) });
+    operator.commit({
+      ...planned,
+      puts: planned.puts.map((p) => (p.key === laterDocument.key ? laterDocument : p)),
+    });
     world.run(10);
     world.ask(world.owner!, { op: 'submit', spec: limitedJob('run-1') });
     world.run(20);
@@ -555,8 +562,8 @@
   });
 });
 
-describe('limits that change during faults', () => {
-  it('break no rule of the service while crashes and outages coincide', () => {
+describe('changes of limits during faults', () => {
+  it('violate no rule of the service while crashes and store outages coincide', () => {
     const { world, operator } = startWorld();
     const checked = judge(world);
     world.runS = 4;
@@ -565,10 +572,10 @@
     for (let i = 0; i < 12; i++) {
       operator.change(limitedTeam(2 + (i % 3) * 2));
       if (i % 4 === 1) {
-        const name = world.owner;
-        if (name !== undefined) {
-          world.crash(name);
-          world.after(400, () => world.start(name));
+        const leader = world.owner;
+        if (leader !== undefined) {
+          world.crash(leader);
+          world.after(400, () => world.start(leader));
         }
       }
       if (i % 4 === 2) world.state.outage(5);
