--- a/src/core/base/agent-model.ts
+++ b/src/core/base/agent-model.ts
@@ -1,4 +1,4 @@
-// What agents (the workers on machines) and controllers say to each other.
+// Messages between controllers and agents (the worker processes on the machines).
 import type {
   Attempt,
   FencingToken,
@@ -10,26 +10,26 @@
 } from '../../types/index.ts';
 
 /**
- * State of a task on its machine. `waiting`: for the other tasks of its gang. `saving`: a checkpoint, before
- * it stops.
+ * State of a task on its machine. `waiting`: it waits for the other tasks of its gang to start. `saving`: it
+ * saves a checkpoint before it stops.
  */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 
 /**
- * Why a task exited. `peers`: another task of its gang ended. `alone`: the others of its gang did not start
- * in time. `no_room`, `busy`, `unknown`: the machine refused to start it, for lack of free capacity, because
- * the task is in use there already, or because it does not know the task.
+ * Why a task exited. `peers`: another task of its gang ended. `alone`: the other tasks of its gang did not
+ * start in time. The machine refused to start the task: `no_room`: it lacks free capacity; `busy`: the task
+ * is already in use there; `unknown`: it has no record of the task.
  */
 export type ExitReason = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** A task in a machine's list. */
+/** A task in the task list of a heartbeat. */
 export interface TaskStatus {
   task: TaskId;
   attempt: Attempt;
   state: TaskState;
-  /** Null while it has not exited. */
+  /** Null until the task has exited. */
   exitReason: ExitReason | null;
-  /** A checkpoint has been saved, from which a later attempt goes on. */
+  /** A checkpoint has been saved, from which a later attempt resumes. */
   checkpointed: boolean;
 }
 
@@ -41,30 +41,39 @@
   type: TypeName;
   zone: ZoneName;
   spot: boolean;
-  /** Session of the agent: a new one begins when its lease has expired and its tasks have been stopped. */
+  /**
+   * Session number of the agent; a new session begins when its lease has expired and its tasks have been
+   * stopped.
+   */
   agentEpoch: number;
-  /** Number of the heartbeat; later ones of the same epoch have higher ones. */
+  /** Sequence number of the heartbeat, increasing within an epoch. */
   seq: number;
-  /** The highest fencing token that the agent has seen; it follows no commands under a lower one. */
+  /** The highest fencing token that the agent has received; it rejects commands with a lower one. */
   fencingToken: FencingToken;
-  /** Seconds until the machine is preempted; null if it has no notice. */
+  /** Seconds until the machine is preempted; null without a preemption notice. */
   preemptionNoticeS: number | null;
-  /** All tasks on the machine, and exited ones that it has not been told to forget. */
+  /** All tasks on the machine, including exited ones until a `forget` command removes them. */
   tasks: readonly TaskStatus[];
 }
 
-/** What an agent is to do; `graceS`: seconds for saving a checkpoint. */
+/**
+ * A command to an agent. `graceS`: seconds that the task has to save a checkpoint. `forget`: removes an
+ * exited task from the agent's list.
+ */
 export type Command =
   | { op: 'start'; task: TaskId; attempt: Attempt }
   | { op: 'stop'; task: TaskId; attempt: Attempt; graceS: number }
   | { op: 'forget'; task: TaskId; attempt: Attempt };
 
-/** Response to a heartbeat. `redirect`: to another controller, any other for null. */
+/**
+ * Response to a heartbeat. `redirect`: the agent must send its heartbeats to the controller `node`, or to any
+ * other controller if that is null.
+ */
 export type HeartbeatResponse =
   | { kind: 'commands'; fencingToken: FencingToken; commands: Command[] }
   | { kind: 'redirect'; node: NodeId | null };
 
-/** An agent's reply to a probe; `executed`: it followed the commands that came with it. */
+/** An agent's reply to a probe. `executed`: the agent executed the commands sent with the probe. */
 export type WorkerReply =
   | { kind: 'heartbeat'; heartbeat: Heartbeat; executed: boolean }
   | { kind: 'no-answer' };
--- a/src/core/base/cloud-model.ts
+++ b/src/core/base/cloud-model.ts
@@ -1,7 +1,7 @@
-// Machine types, and requests to the cloud from which machines are rented.
+// Machine types, and the requests and replies of the cloud API from which machines are rented.
 import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
 
-/** A type of machines that can be rented. */
+/** A machine type that can be rented. */
 export interface MachineType {
   name: TypeName;
   cpus: number;
@@ -11,16 +11,17 @@
   cacheGb: number;
   /** Rate at which images are fetched. */
   fetchGbPerS: number;
-  /** Price of a machine for a unit of time, and of a spot machine. */
+  /** Price of a machine per unit of time. */
   price: number;
+  /** Price of a spot machine per unit of time. */
   spotPrice: number;
-  /** Time that a rented machine takes to boot. */
+  /** Seconds that a rented machine takes to boot. */
   bootS: number;
-  /** Zones in which it is offered. */
+  /** Zones in which the type is offered. */
   zones: ZoneName[];
 }
 
-/** A rented machine in the cloud's list. */
+/** A machine in the cloud's list of rented machines. */
 export interface ListedMachine {
   id: MachineId;
   addr: string;
@@ -28,7 +29,7 @@
   zone: ZoneName;
   spot: boolean;
   status: 'booting' | 'running' | 'failed';
-  /** Seconds since it was rented. */
+  /** Seconds since the machine was rented. */
   ageS: number;
 }
 
@@ -38,18 +39,18 @@
   /** `request`: idempotency key. */
   | { kind: 'rent'; request: string; type: TypeName; zone: ZoneName; spot: boolean; count: number }
   | { kind: 'release'; machines: MachineId[] }
-  /** Machines in the order of their ids, from the first after `after` on. */
+  /** Lists machines in the order of their ids, starting after the id `after`. */
   | { kind: 'list'; after: MachineId | null };
 
-/** The cloud's reply, or what is known without one. */
+/** The cloud's reply; `no-answer` if there was none. */
 export type CloudReply =
   | { kind: 'types'; types: MachineType[] }
   | { kind: 'rented'; machines: MachineId[] }
   | { kind: 'no-capacity' }
   | { kind: 'released' }
-  /** `more`: the list goes on after the last machine. */
+  /** `more`: the list continues after the last machine. */
   | { kind: 'listed'; machines: ListedMachine[]; more: boolean }
-  /** Not executed. `busy`: there were too many requests. */
+  /** Not executed. `busy`: the request rate was above the limit. */
   | { kind: 'refused'; busy: boolean }
-  /** May have been executed, or may yet be. */
+  /** It is unknown whether the request was executed or still will be. */
   | { kind: 'no-answer' };
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -1,4 +1,4 @@
-// The boundary of the core: the inputs that it takes, and the effects that it asks its surroundings for.
+// The boundary of the core: the inputs of a controller, and the effects that the runtime executes for it.
 import type { FencingToken, Instant, NodeId, WallTime } from '../../types/index.ts';
 import { DependencyHealth } from './dependency-health.ts';
 import type { Log, LogFields, LogLevel } from './log.ts';
@@ -18,7 +18,7 @@
 
 export type { LogFields, LogLevel } from './log.ts';
 
-/** What happens to a controller. Replies carry the tag of the effect that they answer. */
+/** An input event of a controller. A reply carries the tag of the effect that it belongs to. */
 export type Input =
   | { kind: 'user'; requestId: number; request: UserRequest }
   | { kind: 'heartbeat'; requestId: number; heartbeat: Heartbeat }
@@ -26,22 +26,23 @@
   | { kind: 'cloud'; tag: number; reply: CloudReply }
   | { kind: 'worker'; tag: number; reply: WorkerReply }
   | { kind: 'peer'; node: NodeId; message: PeerMessage }
-  /** A connection to another controller is open, or closed. */
+  /** The connection to another controller was opened. */
   | { kind: 'peer-up'; node: NodeId }
+  /** The connection to another controller was closed. */
   | { kind: 'peer-down'; node: NodeId }
   /**
-   * Time has passed. `queuedMs`: how long the oldest heartbeat has been waiting to be read. `memory`: the
+   * Time has passed. `queuedMs`: how long the oldest unprocessed heartbeat has been queued. `memory`: the
    * fraction of the memory limit in use.
    */
   | { kind: 'tick'; queuedMs?: number; memory?: number };
 
-/** What a controller asks its surroundings to do. */
+/** An action that the runtime executes for a controller. */
 export type Effect =
   | { kind: 'user-response'; requestId: number; response: UserResponse }
   | { kind: 'heartbeat-response'; requestId: number; response: HeartbeatResponse }
   | { kind: 'store'; tag: number; request: StoreRequest; timeoutMs: number }
   | { kind: 'cloud'; tag: number; request: CloudRequest; timeoutMs: number }
-  /** Asks the agent at an address for a heartbeat. */
+  /** Requests a heartbeat from the agent at an address. */
   | {
       kind: 'probe';
       tag: number;
@@ -53,78 +54,76 @@
   | { kind: 'peer'; node: NodeId; message: PeerMessage }
   | { kind: 'log'; level: LogLevel; message: string; fields: LogFields };
 
-/** A source of random numbers; the only one of the core. */
+/** A source of random numbers. The core uses no other. */
 export interface Random {
-  /** A whole number from 0 up to, not including, the bound. */
+  /** A random integer from 0 (inclusive) to the bound (exclusive). */
   below(bound: number): number;
 }
 
-/** Ids of requests to other controllers have 32 bits (peer.proto). */
-const REQUEST_IDS = 2 ** 32;
+/** Ids of requests to other controllers are 32-bit integers (peer.proto) below this limit. */
+const REQUEST_ID_LIMIT = 2 ** 32;
 
 const STORE_TIMEOUT_MS = 1500;
 const CLOUD_TIMEOUT_MS = 4000;
 const PROBE_TIMEOUT_MS = 2000;
 
-/** The core's side of every exchange: keeps the callback of each open request, and collects effects. */
+/** Input and output of the core: collects effects, and holds the callback of each open request. */
 export class ControllerIo {
-  /** Monotonic time of this step. */
+  /** Monotonic time of the current step. */
   now = 0 as Instant;
-  /** Wall time of this step. */
+  /** Wall time of the current step. */
   wallTime = 0 as WallTime;
-  /** How much further apart recurring work is done than without overload; set by the load shedder. */
+  /** Factor by which intervals of recurring work are stretched under overload; set by the load shedder. */
   intervalFactor = 1;
-  /** The only source of random numbers. */
   readonly random: Random;
   private effects: Effect[] = [];
   private nextTag = 1;
   private lastRequestId: number;
   private readonly openRequests = new Map<number, (reply: never) => void>();
   /**
-   * Callbacks of store requests that were given up before they were sent; called at the beginning of the next
-   * step.
+   * Callbacks of store requests that were dropped from the queue before they were sent; called at the
+   * beginning of the next step.
    */
-  private givenUp: ((reply: StoreReply) => void)[] = [];
+  private droppedStoreCallbacks: ((reply: StoreReply) => void)[] = [];
   private readonly storeHealth: DependencyHealth;
   private readonly cloudHealth: DependencyHealth;
 
   constructor(
     random: Random,
-    /** Budget of requests to the store; without one all are sent at once. */
+    /** Budget of requests to the store; null: all requests are sent at once. */
     readonly storeBudget: StoreRequestBudget | null = null,
     addrs = { state: '', cloud: '' },
   ) {
     this.random = random;
-    // If every run began with the same number, a response to a request of the previous run would be taken for
-    // one to another request: a controller may have restarted before it arrives.
-    this.lastRequestId = random.below(REQUEST_IDS);
+    // A response may arrive after this controller has restarted. If every run began with the same id, that
+    // response would be matched to a request of the new run.
+    this.lastRequestId = random.below(REQUEST_ID_LIMIT);
     const log: Log = (level, message, fields) => this.log(level, message, fields);
     this.storeHealth = new DependencyHealth('state service', addrs.state, log);
     this.cloudHealth = new DependencyHealth('cloud', addrs.cloud, log);
   }
 
-  /** Whether the store has not served this controller for some seconds. */
+  /** Whether the store has served no request of this controller for some seconds. */
   get isStoreUnavailable(): boolean {
     return this.storeHealth.isUnavailable(this.now);
   }
 
-  /** Begins a step at this time; to be called before each input. */
+  /** Begins a step at this time; must be called before each input is processed. */
   beginStep(now: Instant, wallTime: WallTime): void {
     this.now = now;
     this.wallTime = wallTime;
     this.storeBudget?.tick(now);
-    if (this.givenUp.length > 0)
-      for (const onReply of this.givenUp.splice(0)) onReply({ kind: 'refused', busy: true });
+    if (this.droppedStoreCallbacks.length > 0)
+      for (const onReply of this.droppedStoreCallbacks.splice(0)) onReply({ kind: 'refused', busy: true });
   }
 
-  /** The effects since the last call, in their order. */
+  /** Returns and clears the effects since the last call, in their order. */
   takeEffects(): Effect[] {
     const { effects } = this;
     this.effects = [];
     return effects;
   }
 
-  /** Adds an effect. */
   emit(effect: Effect): void {
     this.effects.push(effect);
   }
@@ -134,14 +133,15 @@
     this.emit({ kind: 'log', level, message, fields });
   }
 
-  /** An id for a request to another controller, which the response repeats. */
+  /** An id for a request to another controller; the response carries the same id. */
   nextRequestId(): number {
-    this.lastRequestId = (this.lastRequestId + 1) % REQUEST_IDS;
+    this.lastRequestId = (this.lastRequestId + 1) % REQUEST_ID_LIMIT;
     return this.lastRequestId;
   }
 
   /**
-   * Sends a request to the store, when the budget allows; one that is given up before that counts as refused.
+   * Sends a request to the store as soon as the budget allows. A request that is dropped from the queue
+   * before that gets the reply `refused`.
    */
   store(
     request: StoreRequest,
@@ -157,7 +157,7 @@
     };
     const send = () => this.emit({ kind: 'store', tag: this.openRequest(receive), request, timeoutMs });
     if (storeBudget === null) return send();
-    storeBudget.submit(this.now, priority, send, () => this.givenUp.push(onReply));
+    storeBudget.submit(this.now, priority, send, () => this.droppedStoreCallbacks.push(onReply));
   }
 
   /** Sends a request to the cloud. */
@@ -169,7 +169,7 @@
     this.emit({ kind: 'cloud', tag: this.openRequest(receive), request, timeoutMs });
   }
 
-  /** Asks the agent at an address for a heartbeat. */
+  /** Requests a heartbeat from the agent at an address. */
   probe(
     addr: string,
     fencingToken: FencingToken,
@@ -180,7 +180,7 @@
     this.emit({ kind: 'probe', tag, addr, fencingToken, agentEpoch, timeoutMs: PROBE_TIMEOUT_MS });
   }
 
-  /** The reply to the effect with this tag has come; a second one is ignored. */
+  /** Passes the reply to the effect with this tag to its callback; further replies are ignored. */
   resolve(tag: number, reply: unknown): void {
     const onReply = this.openRequests.get(tag);
     if (onReply === undefined) return;
@@ -195,7 +195,7 @@
   }
 
   private recordHealth(health: DependencyHealth, reply: StoreReply | CloudReply): void {
-    if (reply.kind === 'no-answer') health.recordFailure(this.now, 'silent');
+    if (reply.kind === 'no-answer') health.recordFailure(this.now, 'no-answer');
     else if (reply.kind === 'refused' && !reply.busy) health.recordFailure(this.now, 'refused');
     else health.recordSuccess(this.now);
   }
--- a/src/core/base/job-model.ts
+++ b/src/core/base/job-model.ts
@@ -1,4 +1,4 @@
-// Jobs as their users submit them.
+// The specification of a job as its user submits it, and its status.
 import type { JobId, TeamName, TypeName, ZoneName } from '../../types/index.ts';
 
 /**
@@ -7,25 +7,26 @@
  */
 export type JobKind = 'array' | 'gang' | 'service';
 
-/** 3 is the most urgent. */
+/** Priority of a job; 3 is the most urgent. */
 export type Priority = 0 | 1 | 2 | 3;
 
-/** A job's specification. It never changes. */
+/** A job's specification; immutable once submitted. */
 export interface JobSpec {
   id: JobId;
-  /** Name given by users to similar jobs: objectives and run time estimates go by it. */
+  /** Name that users give to similar jobs; objectives and run time estimates are kept per class. */
   class: string;
   team: TeamName;
   kind: JobKind;
   priority: Priority;
-  /** Number of tasks, from 1 on. */
+  /** Number of tasks; at least 1. */
   tasks: number;
-  /** What each task needs. CPUs and GPUs may be fractions. */
+  /** Resources of each task. CPUs and GPUs may be fractions. */
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Container image, and its size, which a machine fetches before it runs a task. */
+  /** Container image, which a machine fetches before it runs a task. */
   image: string;
+  /** Size of the container image. */
   imageGb: number;
   /** Machine types on which tasks may run; null for any. */
   machineTypes: TypeName[] | null;
@@ -37,17 +38,17 @@
   spread: boolean;
   /** Tasks may run on spot machines, which can be preempted. */
   spot: boolean;
-  /** The user's estimate of a task's run time, without fetching the image. */
+  /** The user's estimate of a task's run time, not counting the fetch of the image. */
   estimatedRunS: number;
-  /** Run time between two checkpoints that a task saves by itself; 0 for none. */
+  /** Interval at which a running task saves checkpoints by itself; 0: it saves none. */
   checkpointIntervalS: number;
-  /** How long saving a checkpoint takes when a task is stopped. */
+  /** Time that a task needs to save a checkpoint when it is stopped. */
   checkpointDurationS: number;
   /** Seconds from acceptance within which the job should be done; null for no deadline. */
   deadlineS: number | null;
   /**
-   * Jobs that must be done before any task of this one starts; absent when there are none, as in older
-   * records.
+   * Jobs that must be done before any task of this job starts. Absent if there are none, as in records of
+   * versions without dependencies.
    */
   dependsOn?: JobId[];
 }
--- a/src/core/base/log.ts
+++ b/src/core/base/log.ts
@@ -1,9 +1,9 @@
-// Log lines of the core.
+// Types for the log lines of the core.
 
-/** How much a log line matters. */
+/** Severity of a log line. */
 export type LogLevel = 'error' | 'info' | 'debug';
 
-/** Fields of a log line, in camelCase with units. */
+/** Fields of a log line. Their names are in camelCase and end with the unit. */
 export type LogFields = Record<string, unknown>;
 
 /** Writes a log line. */
--- a/src/core/base/model.ts
+++ b/src/core/base/model.ts
@@ -1,4 +1,4 @@
-// The types that all modules of the core and the protocol codecs share, by what they are about.
+// Re-exports the types that the modules of the core and the protocol codecs share, one file per subject.
 export type * from './agent-model.ts';
 export type * from './cloud-model.ts';
 export type * from './job-model.ts';
--- a/src/core/base/responses.ts
+++ b/src/core/base/responses.ts
@@ -1,7 +1,7 @@
-// Responses to users that several modules give.
+// Responses to users that several modules create.
 import type { UserResponse } from './model.ts';
 
-/** Sends a user back for `afterS` seconds. */
+/** A response that tells the user to retry after `afterS` seconds. */
 export const retryLater = (reason: string, afterS = 1, overload = false): UserResponse => ({
   kind: 'retry',
   afterS,
--- a/src/core/base/settings-model.ts
+++ b/src/core/base/settings-model.ts
@@ -1,49 +1,52 @@
 // Settings of a deployment: the controllers, the teams and their limits, and the limits of the services that
-// they depend on.
+// the controllers depend on.
 import type { NodeId, TeamName, ZoneName } from '../../types/index.ts';
 
 /**
- * Limits of the store: the lower of those in force and those announced, since both must be kept to from the
- * start.
+ * Limits of the store. Each is the lower of the limit in force and the limit announced for later, because the
+ * time of the change is not announced.
  */
 export interface StoreLimits {
-  /** Requests of all controllers together. */
+  /** Requests per second by all controllers together. */
   requestsPerS: number;
-  /** Changes of keys by all controllers together. */
+  /** Changes of keys per second by all controllers together. */
   writesPerS: number;
   maxValueKb: number;
-  /** Changes in one transaction. */
+  /** Maximum number of changes in one transaction. */
   maxTransactionOps: number;
 }
 
-/** A team, with what it is guaranteed and what it may use at most. */
+/** A team, with its guaranteed resources and its limits. */
 export interface Team {
   name: TeamName;
-  /** Guaranteed; 0 means nothing. */
+  /** Guaranteed CPUs; 0: no guarantee. */
   cpus: number;
-  /** Limit; 0 means none. */
+  /** Limit of CPUs; 0: no limit. */
   cpusMax: number;
-  /** Guaranteed; 0 means nothing. */
+  /** Guaranteed GPUs; 0: no guarantee. */
   gpus: number;
-  /** Limit; 0 means none. */
+  /** Limit of GPUs; 0: no limit. */
   gpusMax: number;
-  /** Work above a limit that was lowered is stopped within so many seconds; absent: it ends by itself. */
+  /**
+   * Seconds within which tasks above a lowered limit are stopped; absent: they run until they end by
+   * themselves.
+   */
   stopAboveWithinS?: number;
-  /** Takes no new work; jobs accepted before go on. */
+  /** New jobs are refused; jobs accepted earlier continue. */
   closed?: boolean;
 }
 
 /** A service-level objective. */
 export interface Objective {
-  /** `wait`, `finished` or `deadline`; others are known to operators only. */
+  /** `wait`, `finished`, `deadline` or `guarantee`; other kinds do not affect scheduling. */
   kind: string;
-  /** The class of jobs that it is about; null if it is not about a class. */
+  /** The job class that the objective applies to; null: it does not apply to a class. */
   class: string | null;
-  /** Of `wait` and `finished`: seconds from a job's being ready to its first start, or its end. */
+  /** For `wait` and `finished`: maximum seconds from when a job is ready to its first start or its end. */
   withinS: number | null;
-  /** Fraction of the jobs for which it is to be met. */
+  /** Fraction of the jobs for which the objective must be met. */
   share: number | null;
-  /** Of `deadline`: within this many times a job's deadline. */
+  /** For `deadline`: a job must be done within its deadline multiplied by this factor. */
   times: number | null;
 }
 
@@ -64,18 +67,19 @@
   teams: Team[];
   objectives: Objective[];
   /**
-   * Agents send a heartbeat every `heartbeatS` and stop their tasks when none has been answered for `leaseS`.
-   * Tasks of a gang wait `gangWaitS` for the others to start, and end `gangPeerS` after one of the others
-   * has. Tasks of a job whose cancellation was confirmed must have ended after `cancelS`.
+   * Timing of the agents, in seconds. An agent sends a heartbeat every `heartbeatS`, and stops its tasks when
+   * it has received no response for `leaseS`. A task of a gang waits up to `gangWaitS` for the other tasks to
+   * start, and ends `gangPeerS` after another task of the gang has ended. All tasks of a job must have ended
+   * `cancelS` after its cancellation was confirmed.
    */
   workers: { heartbeatS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
   store: StoreLimits;
-  /** The rate of changes granted until the announced limits are in force. */
+  /** Limit of changes per second that is in force now, whatever limit is announced for later. */
   currentWritesPerS: number;
-  /** Limit of requests to the cloud, and for how long its list of machines may miss a change. */
+  /** Limit of requests to the cloud, and the maximum time by which its list of machines lags behind. */
   cloud: { requestsPerS: number; listLagS: number };
-  /** Sockets that a controller may have open. */
+  /** Maximum number of open sockets of a controller. */
   sockets: number;
-  /** Memory limit of a controller in MB; null if the platform does not tell. */
+  /** Memory limit of a controller in MB; null if the settings file has none. */
   ramMb: number | null;
 }
--- a/src/core/base/store-request-budget.ts
+++ b/src/core/base/store-request-budget.ts
@@ -1,102 +1,102 @@
-// One budget for all requests of a controller to the store. The store counts the requests of all controllers
-// together and refuses those above its limit, whatever they are for: the renewal of a leader's lease must
-// never be among these, and must never wait behind a user's status request.
+// Rate limit with priorities for all requests of a controller to the store. The store counts the requests of
+// all controllers together and refuses those above its limit, regardless of their purpose. The renewal of a
+// leader's lease must never be refused, and must never wait behind a user's status request.
 import { addMs, type Instant, LONG_AGO } from '../../types/index.ts';
 import { TokenBucket } from './token-bucket.ts';
 
-/** The order in which requests are sent while the budget is short. */
+/** Priorities of requests; while the budget is exhausted, lower numbers are sent first. */
 export const StorePriority = {
-  /** Leases and leader records: sent at once, in debt if need be. */
+  /** Leases and leader records: sent at once, even if the budget goes into debt. */
   lease: 0,
-  /** Reads of a new leader, and writes of a leader. */
+  /** Reads by a new leader, and writes by the leader. */
   leader: 1,
-  /** What work in progress waits for. */
+  /** Requests that work in progress is waiting for. */
   work: 2,
-  /** Requests of users; given up when they cannot be sent soon. */
+  /** Requests of users; dropped if they cannot be sent soon. */
   query: 3,
 } as const;
-/** One of the priorities above. */
+/** The priority of a request to the store. */
 export type StorePriority = (typeof StorePriority)[keyof typeof StorePriority];
 
 interface QueuedRequest {
   send: () => void;
-  giveUp: () => void;
+  onDropped: () => void;
   queuedAt: Instant;
 }
 
 /**
- * Fraction of the store's limit that all controllers together use; the rest is for differing clocks and vain
- * retries.
+ * Fraction of the store's limit that all controllers together use. The rest is a margin for clock differences
+ * and for retries that fail.
  */
-const USED_FRACTION = 0.94;
-/** Fraction of the limit that each controller but the leader may use while there is a leader. */
-const FOLLOWER_FRACTION = 0.14;
-/** A query that cannot be sent within this time is given up, and its user sent back. */
+const USED_LIMIT_FRACTION = 0.94;
+/** Maximum fraction of the store's limit that each controller other than the leader may use. */
+const FOLLOWER_LIMIT_FRACTION = 0.14;
+/** A query that cannot be sent within this time is dropped, and its user is asked to retry. */
 const QUERY_TIMEOUT_MS = 800;
 const MAX_QUEUED_QUERIES = 400;
 /**
- * After a refusal for too many requests the rate falls by this factor, and not below that; it recovers by so
- * much a second.
+ * When the store refuses a request because of its limit, the rate factor is multiplied by the slowdown
+ * factor, down to the minimum. It then recovers linearly.
  */
 const SLOWDOWN_FACTOR = 0.6;
-const MIN_PACE = 0.2;
-const RECOVERY_PER_S = 0.1;
-/** Refusals within this time of a slowdown cause no other. */
+const MIN_RATE_FACTOR = 0.2;
+const RATE_FACTOR_RECOVERY_PER_S = 0.1;
+/** Refusals within this time after a slowdown cause no further slowdown. */
 const SLOWDOWN_INTERVAL_MS = 500;
 
-/** Sends requests within this controller's part of the store's limit, in the order of their priorities. */
+/** Sends requests by priority, within this controller's fraction of the store's limit. */
 export class StoreRequestBudget {
   private readonly bucket: TokenBucket;
-  private recoveredAt: Instant | null = null;
+  private lastRecoveryAt: Instant | null = null;
   /** Fraction of the store's limit that this controller may use. */
-  private fraction: number;
-  /** Below 1 after refusals. */
-  private pace = 1;
+  private limitFraction: number;
+  /** Multiplies the rate; below 1 after refusals. */
+  private rateFactor = 1;
   private slowedDownAt: Instant = LONG_AGO;
-  /** By priority. */
+  /** Queued requests; the index is their priority. */
   private readonly queues: QueuedRequest[][] = [[], [], [], []];
-  /** Number of requests sent, for operators. */
+  /** Number of requests sent; reported in the status. */
   sent = 0;
-  /** Number of requests refused as too many, for operators. */
+  /** Number of requests refused because of the store's limit; reported in the status. */
   refused = 0;
 
   constructor(
     private readonly requestsPerS: number,
-    private readonly controllers: number,
+    private readonly controllerCount: number,
   ) {
-    this.fraction = this.fractionFor(false);
+    this.limitFraction = this.fractionFor(false);
     this.bucket = new TokenBucket(this.rate, this.rate);
   }
 
-  /** The leader needs most; the rest is divided among the others, so that the sum stays below the limit. */
+  /** The leader gets the largest fraction. The sum over all controllers stays below the limit. */
   setLeader(isLeader: boolean): void {
-    this.fraction = this.fractionFor(isLeader);
+    this.limitFraction = this.fractionFor(isLeader);
   }
 
   private fractionFor(isLeader: boolean): number {
-    const follower = Math.min(FOLLOWER_FRACTION, USED_FRACTION / (2 * this.controllers));
-    return isLeader ? USED_FRACTION - follower * (this.controllers - 1) : follower;
+    const follower = Math.min(FOLLOWER_LIMIT_FRACTION, USED_LIMIT_FRACTION / (2 * this.controllerCount));
+    return isLeader ? USED_LIMIT_FRACTION - follower * (this.controllerCount - 1) : follower;
   }
 
   private get rate(): number {
-    return Math.max(1, this.requestsPerS * this.fraction) * this.pace;
+    return Math.max(1, this.requestsPerS * this.limitFraction) * this.rateFactor;
   }
 
-  /** Sends the request now, or when the budget allows; calls `giveUp` if that is too late to be of use. */
-  submit(now: Instant, priority: StorePriority, send: () => void, giveUp: () => void): void {
+  /** Sends the request at once or as soon as the budget allows; calls `onDropped` if it is dropped before. */
+  submit(now: Instant, priority: StorePriority, send: () => void, onDropped: () => void): void {
     this.recover(now);
     if (priority === StorePriority.lease) {
       this.bucket.takeOnCredit(now);
       return this.sendNow(send);
     }
     const queue = this.queues[priority]!;
-    if (this.isIdleUpTo(priority) && this.bucket.take(now)) return this.sendNow(send);
-    if (priority === StorePriority.query && queue.length >= MAX_QUEUED_QUERIES) return giveUp();
-    queue.push({ send, giveUp, queuedAt: now });
+    if (this.hasEmptyQueuesUpTo(priority) && this.bucket.take(now)) return this.sendNow(send);
+    if (priority === StorePriority.query && queue.length >= MAX_QUEUED_QUERIES) return onDropped();
+    queue.push({ send, onDropped, queuedAt: now });
   }
 
-  private isIdleUpTo(lowest: StorePriority): boolean {
-    for (let priority = 0; priority <= lowest; priority++)
+  private hasEmptyQueuesUpTo(lastPriority: StorePriority): boolean {
+    for (let priority = 0; priority <= lastPriority; priority++)
       if (this.queues[priority]!.length > 0) return false;
     return true;
   }
@@ -107,33 +107,33 @@
   }
 
   private recover(now: Instant): void {
-    if (this.recoveredAt !== null) {
-      const recovered = ((now - this.recoveredAt) / 1000) * RECOVERY_PER_S;
-      this.pace = Math.min(1, this.pace + recovered);
+    if (this.lastRecoveryAt !== null) {
+      const recovered = ((now - this.lastRecoveryAt) / 1000) * RATE_FACTOR_RECOVERY_PER_S;
+      this.rateFactor = Math.min(1, this.rateFactor + recovered);
     }
-    this.recoveredAt = now;
+    this.lastRecoveryAt = now;
     this.bucket.resize(this.rate, this.rate);
   }
 
-  /** Gives up queries that have waited too long, and sends what has become due. */
+  /** Drops queries that have waited too long, and sends queued requests as the budget allows. */
   tick(now: Instant): void {
     this.recover(now);
     const queries = this.queues[StorePriority.query]!;
-    while (queries.length > 0 && now - queries[0]!.queuedAt > QUERY_TIMEOUT_MS) queries.shift()!.giveUp();
+    while (queries.length > 0 && now - queries[0]!.queuedAt > QUERY_TIMEOUT_MS) queries.shift()!.onDropped();
     for (const queue of this.queues)
       while (queue.length > 0 && this.bucket.take(now)) this.sendNow(queue.shift()!.send);
   }
 
   /**
-   * The store refused a request as one too many: every controller slows down, whichever of them used up the
-   * limit.
+   * The store refused a request because of its limit. Every controller that is refused slows down, no matter
+   * which one used up the limit.
    */
   onThrottled(now: Instant): void {
     this.refused++;
     this.bucket.empty();
     if (now < addMs(this.slowedDownAt, SLOWDOWN_INTERVAL_MS)) return;
     this.slowedDownAt = now;
-    this.pace = Math.max(MIN_PACE, this.pace * SLOWDOWN_FACTOR);
+    this.rateFactor = Math.max(MIN_RATE_FACTOR, this.rateFactor * SLOWDOWN_FACTOR);
   }
 
   /** Number of queued requests. */
--- a/src/core/base/user-model.ts
+++ b/src/core/base/user-model.ts
@@ -1,8 +1,8 @@
-// Requests of users, and responses to them.
+// Requests of users and the responses to them.
 import type { JobId } from '../../types/index.ts';
 import type { JobSpec, JobStatus } from './job-model.ts';
 
-/** A request of a user. Submission and cancellation are idempotent: a job is known by its id. */
+/** A request of a user. Submission and cancellation are idempotent, because the job id identifies the job. */
 export type UserRequest =
   | { op: 'submit'; spec: JobSpec }
   | { op: 'status'; id: JobId }
@@ -10,28 +10,29 @@
 
 /** The response to a user's request. */
 export type UserResponse =
-  /** The submitted job is stored. */
+  /** The submitted job has been stored. */
   | { kind: 'accepted'; id: JobId }
-  /** The submitted job was accepted before. */
+  /** The submitted job had already been accepted. */
   | { kind: 'known'; id: JobId; status: JobStatus }
   | {
       kind: 'status';
       id: JobId;
       status: JobStatus;
-      /** Number of tasks that are done, and that run. */
+      /** Number of tasks that are done. */
       done: number;
+      /** Number of tasks that are running. */
       running: number;
       /** Dependencies that are not done yet. */
       dependsOn?: JobId[];
-      /** Why its waiting tasks can't start as things are. */
+      /** Why the job's waiting tasks cannot start at present. */
       reason?: string;
     }
-  /** The final state of the job is stored, or, of a cancelled one, its cancellation. */
+  /** The job has ended: its final state has been stored or, for a cancelled job, its cancellation. */
   | { kind: 'ended'; id: JobId; status: 'done' | 'cancelled' }
   /** The submitted job can never run. */
   | { kind: 'impossible'; reason: string }
-  /** The submitted job is larger than a record may be. */
+  /** The submitted job exceeds the maximum size of a record. */
   | { kind: 'too-large'; reason: string }
   | { kind: 'not-found' }
-  /** Not served now; the user should retry after `afterS` seconds. `overload`: there is too much work. */
+  /** Not served; the user should retry after `afterS` seconds. `overload`: because of overload. */
   | { kind: 'retry'; afterS: number; reason: string; overload: boolean };
--- a/src/types/index.ts
+++ b/src/types/index.ts
@@ -1,4 +1,4 @@
-// Types of their own for ids, versions and times, so that the compiler tells them apart. At run time they are plain
+// Branded types for ids, versions and times, which the compiler keeps apart. At run time they are plain
 // strings and numbers.
 declare const brand: unique symbol;
 type Brand<T, B> = T & { readonly [brand]: B };
@@ -7,46 +7,46 @@
 export type JobId = Brand<string, 'JobId'>;
 /** A task's id: its job's id, a slash and its index. */
 export type TaskId = Brand<string, 'TaskId'>;
-/** A machine's id, given by the cloud. */
+/** A machine's id, assigned by the cloud. */
 export type MachineId = Brand<string, 'MachineId'>;
 /** A controller's name in the settings files. */
 export type NodeId = Brand<string, 'NodeId'>;
-/** A team's name; quotas are given to teams. */
+/** A team's name. Quotas are set per team. */
 export type TeamName = Brand<string, 'TeamName'>;
 /** The name of a zone of the cloud. */
 export type ZoneName = Brand<string, 'ZoneName'>;
 /** The name of a machine type. */
-export type TypeName = Brand<string, 'TypeName'>;
-/** The version of a key in the store; also the store's counter of changes. */
+export type TypeName = Brand<string, 'MachineTypeName'>;
+/** The revision of a key in the store, and the store's global revision, which increases with each change. */
 export type Revision = Brand<number, 'Revision'>;
-/** What entitles a leader to command a machine; the larger one wins. */
-export type FencingToken = Brand<number, 'Token'>;
-/** The number of one start of a task; never used twice for the same task. */
+/** The fencing token of a leader's commands; machines reject tokens lower than the highest received. */
+export type FencingToken = Brand<number, 'FencingToken'>;
+/** The number of an attempt to run a task; unique within the task. */
 export type Attempt = Brand<number, 'Attempt'>;
-/** A lease of the store. */
-export type StoreLeaseId = Brand<number, 'HoldId'>;
-/** Milliseconds on this process's steady clock. */
+/** The id of a lease in the store. */
+export type StoreLeaseId = Brand<number, 'StoreLeaseId'>;
+/** Milliseconds of this process's monotonic clock. */
 export type Instant = Brand<number, 'Instant'>;
-/** Milliseconds of the time of day; only for what outlives a process. */
+/** Milliseconds of the wall clock; only for times that must stay valid after the process has ended. */
 export type WallTime = Brand<number, 'WallTime'>;
 /** A duration in milliseconds. */
 export type Millis = number;
 
-/** An instant after all others. */
+/** An instant later than all others. */
 export const NEVER = Number.POSITIVE_INFINITY as Instant;
-/** An instant before all others. */
+/** An instant earlier than all others. */
 export const LONG_AGO = Number.NEGATIVE_INFINITY as Instant;
 
-/** The id of a job's task. */
+/** The id of the job's task with this index. */
 export const taskId = (job: JobId, index: number): TaskId => `${job}/${index}` as TaskId;
 
-/** The instant so many milliseconds after another. */
+/** The instant `ms` milliseconds after `instant`. */
 export const addMs = (instant: Instant, ms: Millis): Instant => (instant + ms) as Instant;
 
-/** The milliseconds from `then` to `now`. */
+/** The milliseconds that have elapsed from `then` to `now`. */
 export const elapsedMs = (now: Instant, then: Instant): Millis => now - then;
 
-/** The parts of a task's id. */
+/** Splits a task's id into its job's id and its index. */
 export function parseTaskId(id: TaskId): { job: JobId; index: number } {
   const slash = id.lastIndexOf('/');
   return { job: id.slice(0, slash) as JobId, index: Number(id.slice(slash + 1)) };
