--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -1,4 +1,4 @@
-// Messages and settings files: what is refused, what is ignored, what survives encoding and decoding.
+// Protocol codecs and settings files: validation, ignored fields, and round trips of encoding and decoding.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { defaults, readOptions } from '../src/cli/options.ts';
@@ -50,7 +50,7 @@
 };
 
 describe('a submitted job', () => {
-  it('is read in full; unknown fields are ignored, and what may be null may be left out', () => {
+  it('is decoded in full; unknown fields are ignored, and nullable fields may be left out', () => {
     const { yard: _, ...withoutZone } = { ...wireJob, colour: 'red' };
     const spec = parseJob(withoutZone);
     assert.equal(spec.kind, 'gang');
@@ -59,7 +59,7 @@
     assert.deepEqual(spec.machineTypes, ['g8']);
   });
 
-  it('with a missing or invalid field is refused by the name of that field', () => {
+  it('is refused if a field is missing or invalid; the error begins with the name of the field', () => {
     const invalid: [string, unknown][] = [
       ['nameId', 'job-1'],
       ['nameId', undefined],
@@ -87,7 +87,7 @@
     assert.throws(() => parseJob([]), InvalidMessageError);
   });
 
-  it('has each dependency once; without any it is as before there were dependencies', () => {
+  it('lists each dependency once; without dependencies its specification has no such field', () => {
     for (const none of [{}, { awaits: null }, { awaits: [] }])
       assert.deepEqual(parseJob({ ...wireJob, ...none }), parseJob(wireJob));
     assert.equal('awaits' in parseJob(wireJob), false);
@@ -99,7 +99,7 @@
 });
 
 describe('a response to a user', () => {
-  it('who is to retry later carries Retry-After, in whole seconds', () => {
+  it('that asks for a retry has a Retry-After header in whole seconds', () => {
     const response = encodeUserResponse({ kind: 'retry', afterS: 1.2, reason: 'later', overload: false });
     assert.equal(response.status, 503);
     assert.match(formatResponse(response, true), /^HTTP\/1\.1 503 .*\r\n(.*\r\n)*Retry-After: 2\r\n/);
@@ -108,7 +108,7 @@
 });
 
 describe('the worker protocol', () => {
-  it('reads a heartbeat and writes commands with the names of the wire', () => {
+  it('decodes heartbeats and encodes commands with the field names of the wire format', () => {
     const heartbeat = parseHeartbeat({
       berth: 'i-1',
       endpoint: '10.1.0.1:9000',
@@ -140,7 +140,7 @@
 });
 
 describe('the store protocol', () => {
-  it('tells refused requests, conflicts, missing keys and compared ones apart', () => {
+  it('encodes transactions, and distinguishes conflicts from refusals because of load or a fault', () => {
     const request: StoreRequest = {
       kind: 'compare-and-swap',
       conditions: [{ key: 'a', revision: 0 as Revision }],
@@ -163,7 +163,7 @@
 });
 
 describe('the cloud protocol', () => {
-  it('tells a cloud without capacity from one that fails', () => {
+  it('distinguishes a cloud without capacity from a failing cloud', () => {
     const request = { kind: 'list' as const, after: null };
     assert.deepEqual(decodeCloudReply(request, 503, { error: 'no capacity' }), { kind: 'no-capacity' });
     assert.deepEqual(decodeCloudReply(request, 503, { error: 'trouble' }), { kind: 'refused', busy: false });
@@ -275,7 +275,7 @@
     { kind: 'forwarded-heartbeat-response', id: 13, response: null },
   ];
 
-  it('reads messages wherever the stream is cut, and tells forwarded heartbeats by their first byte', () => {
+  it('decodes messages received byte by byte, and detects forwarded heartbeats by their first byte', () => {
     const decoder = new PeerDecoder();
     const bytes = Buffer.concat(messages.map(encodePeerMessage));
     assert.deepEqual(
@@ -305,7 +305,7 @@
 };
 
 describe('a settings file', () => {
-  it('may have unknown fields; an invalid one is named with the file in one line', () => {
+  it('may have unknown fields; the error for an invalid field names file and field in one line', () => {
     assert.equal(parseSettings('s.json', JSON.stringify(settingsFile)).workers.leaseS, 10);
     const invalid = structuredClone(settingsFile) as { params: { workers: { lease_s: unknown } } };
     invalid.params.workers.lease_s = 'long';
@@ -316,7 +316,7 @@
     assert.throws(() => parseSettings('s.json', '{'), /s\.json: not JSON/);
   });
 
-  it('may name later limits of the store, each of which holds from the start; an invalid one is named', () => {
+  it('may announce store limits, which apply at once if lower; the error for an invalid one names it', () => {
     const withNext = (next: unknown) => {
       const { state } = settingsFile.params;
       return JSON.stringify({
@@ -324,11 +324,11 @@
         params: { ...settingsFile.params, state: { ...state, next } },
       });
     };
-    const now = { requestsPerS: 10, writesPerS: 5, maxValueKb: 8, maxTransactionOps: 24 };
+    const currentLimits = { requestsPerS: 10, writesPerS: 5, maxValueKb: 8, maxTransactionOps: 24 };
     for (const none of [undefined, null, {}])
-      assert.deepEqual(parseSettings('s.json', withNext(none)).store, now);
+      assert.deepEqual(parseSettings('s.json', withNext(none)).store, currentLimits);
     const settings = parseSettings('s.json', withNext({ write_rps: 3, value_kb: 2, rps: 99 }));
-    assert.deepEqual(settings.store, { ...now, writesPerS: 3, maxValueKb: 2 });
+    assert.deepEqual(settings.store, { ...currentLimits, writesPerS: 3, maxValueKb: 2 });
     assert.equal(settings.currentWritesPerS, 5);
     assert.throws(
       () => parseSettings('s.json', withNext({ txn_ops: 1.5 })),
@@ -338,7 +338,7 @@
 });
 
 describe("the operators' settings", () => {
-  it('have their defaults from one place; unknown names and invalid values are refused', () => {
+  it('have the built-in defaults if the file sets none; unknown names and invalid values are refused', () => {
     assert.deepEqual(readOptions('o.hcl', {}), defaults());
     assert.equal(readOptions('o.hcl', { dispatch: [{ threshold: 4 }] }).threshold, 4);
     assert.throws(
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,5 +1,6 @@
-// Two versions side by side: `fixtures/production.json` holds records and frames exactly as the last version
-// without dependencies wrote them. Limits of the store fall while records of the larger size are stored.
+// Compatibility with the version in production: `fixtures/production.json` holds records and frames exactly
+// as the last version without dependencies wrote them. Also covers limits of the store that are lowered while
+// larger records are stored.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
@@ -17,19 +18,17 @@
   readFileSync(new URL('./fixtures/production.json', import.meta.url), 'utf8'),
 ) as { records: Record<string, Json>; frames: Record<string, string> };
 
-/**
- * With a message of its own: without one, the runner searches the source for the failed line, for minutes.
- */
+/** Always passes a message: without one, the test runner spends minutes on finding the failed source line. */
 const assertTrue = (value: boolean | undefined, message = 'this must hold') =>
   assert.equal(value, true, message);
 const NODES = ['node-0', 'node-1', 'node-2'];
 const LOWER_LIMITS = { requestsPerS: 200, writesPerS: 28, maxValueKb: 2, maxTransactionOps: 8 };
 
-/** A world that finds the records of production, with the smaller limits in force. */
-function upgradedWorld(more: Record<string, unknown> = {}): SimulatedWorld {
+/** A simulated world whose store has the records of production, with the lower limits in force. */
+function upgradedWorld(extraRecords: Record<string, unknown> = {}): SimulatedWorld {
   const world = new SimulatedWorld({ store: LOWER_LIMITS, currentWritesPerS: 40 });
   world.state.limits = { valueBytes: 2048, txnOps: 8 };
-  for (const [key, value] of Object.entries({ ...production.records, ...more })) {
+  for (const [key, value] of Object.entries({ ...production.records, ...extraRecords })) {
     world.state.keys.set(key, { value, revision: ++world.state.revision, hold: null });
     if (key.startsWith('o/')) {
       const { s: spec } = value as unknown as { s: JobSpec };
@@ -39,14 +38,14 @@
   return world;
 }
 
-/** The done tasks of all progress records, as the version in production reads them. */
+/** The done tasks by job according to all progress records, decoded like the version in production does. */
 function doneTasksOnRecord(records: Iterable<[string, unknown]>): Map<string, Set<number>> {
   const doneTasks = new Map<string, Set<number>>();
   for (const [key, value] of records) {
     if (!key.startsWith('d/')) continue;
-    const page = value as { v: number; b: Record<string, string> };
-    assert.equal(page.v, 1);
-    for (const [name, text] of Object.entries(page.b)) {
+    const record = value as { v: number; b: Record<string, string> };
+    assert.equal(record.v, 1);
+    for (const [name, text] of Object.entries(record.b)) {
       const separator = name.lastIndexOf('/');
       const from = Number(name.slice(separator + 1)) * 32_768;
       assertTrue(Number.isInteger(from), name);
@@ -60,7 +59,7 @@
   return doneTasks;
 }
 const recordsOf = (world: SimulatedWorld): [string, unknown][] =>
-  [...world.state.keys].map(([key, kept]) => [key, kept.value]);
+  [...world.state.keys].map(([key, item]) => [key, item.value]);
 const machinesOnRecord = (records: [string, unknown][]): Set<string> =>
   new Set(
     records.flatMap(([key, value]) =>
@@ -69,7 +68,7 @@
   );
 
 describe('records of the version in production', () => {
-  it('are read: jobs, final states, results and machines', () => {
+  it('are read: jobs, final states, task results and machines', () => {
     const world = upgradedWorld();
     world.run(8);
     assert.deepEqual(world.status('run-over'), { kind: 'ended', id: 'run-over', status: 'done' });
@@ -78,38 +77,41 @@
       id: 'run-gone',
       status: 'cancelled',
     });
-    const big = world.status('run-big');
+    const bigJobStatus = world.status('run-big');
     assert.equal(
-      big?.kind === 'status' && big.done,
+      bigJobStatus?.kind === 'status' && bigJobStatus.done,
       doneTasksOnRecord(Object.entries(production.records)).get('run-big')!.size,
     );
-    // A new job may await one that production accepted, and one that it saw end.
+    // A new job may depend on jobs that the version in production accepted, whether they have ended or not.
     const spec = job('run-next', { dependsOn: ['run-over', 'run-open'] as JobId[] });
     assert.equal(world.submit(spec)?.kind, 'accepted');
     assert.equal(world.status('run-next')?.kind, 'status');
   });
 
-  it('are split when larger than a value may be by now; nothing is missing at any moment, with or without a failover', () => {
-    // Both pages are due to be written: one names a job that is over, one a machine that another page has
-    // too.
-    const lines = Array.from({ length: 80 }, (_, i) => [
+  it('are split if above the lowered size limit, without losing data at any time, also during a failover', () => {
+    // Both records must be rewritten: one has results of a job that has ended, the other has a machine that a
+    // third record has too.
+    const machineLines = Array.from({ length: 80 }, (_, i) => [
       `i-${String(i).padStart(6, '0')}`,
       'box',
       'north',
       0,
     ]);
-    const page = production.records['d/1.1'] as unknown as { v: number; b: Record<string, string> };
-    const more = {
-      'd/1.1': { ...page, b: { ...page.b, 'run-was/0': 'AQ==' } },
-      'm/1.0': { v: 1, m: [lines[0]], w: 'x' },
-      'm/1.1': { v: 1, m: lines, w: 'y' },
+    const progressRecord = production.records['d/1.1'] as unknown as { v: number; b: Record<string, string> };
+    const extraRecords = {
+      'd/1.1': { ...progressRecord, b: { ...progressRecord.b, 'run-was/0': 'AQ==' } },
+      'm/1.0': { v: 1, m: [machineLines[0]], w: 'x' },
+      'm/1.1': { v: 1, m: machineLines, w: 'y' },
     };
-    assertTrue(JSON.stringify(more['d/1.1']).length > 2048 && JSON.stringify(more['m/1.1']).length > 2048);
-    const wanted = doneTasksOnRecord(Object.entries(production.records));
+    assertTrue(
+      JSON.stringify(extraRecords['d/1.1']).length > 2048 &&
+        JSON.stringify(extraRecords['m/1.1']).length > 2048,
+    );
+    const expectedDoneTasks = doneTasksOnRecord(Object.entries(production.records));
     for (let crashAt = 5; crashAt < 20; crashAt++) {
-      const world = upgradedWorld(more);
+      const world = upgradedWorld(extraRecords);
       world.cloud.down = true;
-      // In force from the beginning, or only from the moment when the leader crashes.
+      // The lower limits are in force from the beginning, or only from the crash of the leader on.
       const limits = world.state.limits;
       if (crashAt % 2 === 1) world.state.limits = null;
       for (let i = 0; i < 130; i++) {
@@ -121,24 +123,25 @@
           world.after(2000, () => world.start(leader));
         }
         const doneTasks = doneTasksOnRecord(recordsOf(world));
-        for (const [id, done] of wanted)
+        for (const [id, done] of expectedDoneTasks)
           for (const index of done)
             assertTrue(doneTasks.get(id)?.has(index), `${id}/${index} after ${world.now} ms`);
         const machines = machinesOnRecord(recordsOf(world));
-        for (const [id] of lines) assertTrue(machines.has(id as string), `${id} after ${world.now} ms`);
+        for (const [id] of machineLines)
+          assertTrue(machines.has(id as string), `${id} after ${world.now} ms`);
       }
       world.run(10);
       for (const [key, value] of recordsOf(world))
         if (key === 'd/1.1' || key === 'm/1.1') assertTrue(JSON.stringify(value).length <= 2048, key);
       assert.deepEqual(
-        world.logs.filter((l) => l.includes('rejected')),
+        world.logs.filter((line) => line.includes('rejected')),
         [],
       );
       assert.deepEqual(world.broken, []);
     }
   });
 
-  it('can be cancelled when too large to be written again, while a new one is refused and a known one is known', () => {
+  it('above the size limit allow repeated submission and cancellation of the job; a new such job is refused', () => {
     const machineTypes = Array.from({ length: 300 }, (_, i) => `type-${i}`).concat(
       'box',
     ) as JobSpec['machineTypes'];
@@ -157,7 +160,7 @@
   });
 });
 
-describe('a job that awaits hundreds of others', () => {
+describe('a job that depends on hundreds of others', () => {
   it('is stored in several values, which are written, read and deleted together', () => {
     const world = upgradedWorld();
     world.runS = 3;
@@ -172,10 +175,11 @@
     world.submit(job(ids[299]!));
     const spec = job('run-last', { dependsOn: ids });
     assert.equal(world.submit(spec, 'node-1')?.kind, 'accepted');
-    const parts = () => [...world.state.keys.keys()].filter((k) => k.startsWith('a/run-last/')).length;
-    assertTrue(parts() >= 2, `${parts()} parts`);
-    // The last one named stands in the last part: a leader that reads only the first value would start the
-    // job.
+    const dependencyRecordCount = () =>
+      [...world.state.keys.keys()].filter((key) => key.startsWith('a/run-last/')).length;
+    assertTrue(dependencyRecordCount() >= 2, `${dependencyRecordCount()} dependency records`);
+    // The only dependency that is not done is in the last value: a leader that reads only the first value
+    // would start the job.
     for (const node of NODES) world.crash(node);
     world.run(5);
     for (const node of NODES) world.start(node);
@@ -189,24 +193,24 @@
       status: 'cancelled',
     });
     world.run(10);
-    assert.equal(parts(), 0);
+    assert.equal(dependencyRecordCount(), 0);
     assert.deepEqual(world.broken, []);
   });
 });
 
 describe('records that this version writes', () => {
-  it('keep the form that the version in production reads', () => {
+  it('keep the format that the version in production reads', () => {
     const world = new SimulatedWorld({ store: LOWER_LIMITS, currentWritesPerS: 40 });
     world.runS = 20;
     world.submit(job('run-a', { tasks: 200 }));
     world.submit(job('run-gone'));
     world.insist({ op: 'cancel', id: 'run-gone' as JobId });
     world.submit(job('run-b', { dependsOn: ['run-a'] as JobId[] }));
-    const hasProgressRecords = () => [...world.state.keys.keys()].some((k) => k.startsWith('d/'));
+    const hasProgressRecords = () => [...world.state.keys.keys()].some((key) => key.startsWith('d/'));
     assert.equal(world.until(hasProgressRecords, 60), true);
     const storedSample = (prefix: string) =>
-      Object.entries(production.records).find(([k]) => k.startsWith(prefix))![1] as Json;
-    const shapes: Record<string, string[]> = {
+      Object.entries(production.records).find(([key]) => key.startsWith(prefix))![1] as Json;
+    const allowedFields: Record<string, string[]> = {
       'o/': [...Object.keys(storedSample('o/')), 'c'],
       'f/': [...Object.keys(storedSample('f/')), 't'],
       'd/': Object.keys(storedSample('d/')),
@@ -215,10 +219,10 @@
     const specKeys = Object.keys((storedSample('o/') as unknown as { s: object }).s).sort();
     let checkedRecords = 0;
     for (const [key, value] of recordsOf(world)) {
-      const shape = shapes[key.slice(0, 2)];
-      if (shape === undefined) continue;
+      const allowed = allowedFields[key.slice(0, 2)];
+      if (allowed === undefined) continue;
       checkedRecords++;
-      for (const name of Object.keys(value as object)) assertTrue(shape.includes(name), `${key}: ${name}`);
+      for (const name of Object.keys(value as object)) assertTrue(allowed.includes(name), `${key}: ${name}`);
       if (key.startsWith('o/')) {
         const { awaits, ...rest } = (value as { s: StoredJobSpec }).s;
         assert.deepEqual(Object.keys(rest).sort(), specKeys);
@@ -227,7 +231,7 @@
       if (key.startsWith('m/'))
         for (const line of (value as { m: unknown[][] }).m)
           assert.deepEqual(
-            line.map((x) => typeof x),
+            line.map((field) => typeof field),
             ['string', 'string', 'string', 'number'],
           );
     }
@@ -236,7 +240,7 @@
 });
 
 describe('peer messages of the version in production', () => {
-  it('are understood, and what that version knows is sent to it byte for byte as before', () => {
+  it('are decoded, and messages that it supports are encoded byte for byte as before', () => {
     const read = (hex: string): PeerMessage => new PeerDecoder().feed(Buffer.from(hex, 'hex'))[0]!;
     const { hello, submit, cancel, status } = production.frames;
     assert.deepEqual(read(hello!), {
@@ -249,7 +253,7 @@
     });
     for (const hex of [submit!, cancel!, status!])
       assert.equal(encodePeerMessage(read(hex)).toString('hex'), hex);
-    // The new field comes after the old ones, which a decoder that does not know it skips.
+    // New fields are encoded after the old ones; a decoder without support for them skips them.
     const node = 'node-1' as NodeId;
     const sent = encodePeerMessage({
       kind: 'hello',
@@ -270,7 +274,7 @@
   });
 });
 
-/** A writer whose transactions the test answers itself. */
+/** A fenced writer outside of a controller; the test serves its transactions. */
 function isolatedWriter() {
   const io = new ControllerIo(seededRandom(1));
   let now = 0;
@@ -289,7 +293,7 @@
       onResult: (result) => results.set(key, result),
     });
   };
-  /** Lets time pass, and answers what is sent. */
+  /** Advances the time by `ms`, and replies to each store request with the result of `serve`. */
   const advance = (
     ms: number,
     serve: (request: Extract<StoreRequest, { kind: 'compare-and-swap' }>) => StoreReply,
@@ -309,12 +313,12 @@
 }
 
 describe('the fenced writer', () => {
-  it('completes all other writes of a transaction of which the store rejects one', () => {
+  it('completes all other writes of a transaction when the store rejects one of them', () => {
     const { write, advance, results } = isolatedWriter();
     write('first');
     for (const key of ['a', 'bad', 'c']) write(key);
     advance(3000, ({ puts }) =>
-      puts.some((p) => p.key === 'bad')
+      puts.some((put) => put.key === 'bad')
         ? { kind: 'rejected', reason: 'too large' }
         : { kind: 'committed', revision: 8 as Revision },
     );
@@ -322,7 +326,7 @@
     assert.equal(results.get('bad')?.kind, 'rejected');
   });
 
-  it('slows down to the rate announced for later after a refusal for too many changes, and loses nothing', () => {
+  it('slows down to the announced rate after a refusal for too many changes, and loses no write', () => {
     const { write, advance, results } = isolatedWriter();
     for (let i = 0; i < 400; i++) write(`k-${i}`);
     let refuse = true;
@@ -343,6 +347,6 @@
       `${changesMade} changes in 5 s`,
     );
     advance(20_000, serve);
-    assert.equal([...results.values()].filter((r) => r.kind === 'ok').length, 400);
+    assert.equal([...results.values()].filter((result) => result.kind === 'ok').length, 400);
   });
 });
