--- a/src/http/address.ts
+++ b/src/http/address.ts
@@ -1,6 +1,6 @@
-// Addresses as the settings give them: host, colon, port.
+// Addresses in the form of the settings, `host:port`.
 
-/** An address that can be connected to or listened at. */
+/** An address to connect to or to listen on. */
 export interface Address {
   host: string;
   port: number;
--- a/src/http/client-connection.ts
+++ b/src/http/client-connection.ts
@@ -7,50 +7,53 @@
 export interface ClientCall {
   method: string;
   path: string;
-  /** JSON, or null without a body. */
+  /** JSON, or null for no body. */
   body: string | null;
-  /** From the call on, the time in the queue included. */
+  /** Time for the whole call, including the time in the queue. */
   timeoutMs: number;
 }
 
-/** A response, as the client's caller gets it. */
+/** A response to a call. */
 export interface ClientReply {
   status: number;
-  /** By their names in lower case. */
+  /** Header values by their names in lower case. */
   headers: Map<string, string>;
   body: Buffer;
 }
 
-/** null: no response; the request may or may not have been executed, now or later. */
+/**
+ * Called with the response, or with null if there was none: the server may have executed the request or may
+ * yet do so.
+ */
 export type ClientDone = (reply: ClientReply | null) => void;
 
-/** A request that waits for a connection. */
+/** A request waiting for a connection. */
 export interface QueuedCall {
   call: ClientCall;
   done: ClientDone;
-  /** On the steady clock. */
+  /** Time on the monotonic clock at which the call fails. */
   deadlineMs: number;
 }
 
-/** What a connection needs of its client. */
+/** Options that a client passes to its connections. */
 export interface ClientConnectionOptions {
   address: Address;
   /** The value of the Host header. */
   hostHeader: string;
-  /** The largest body of a response in bytes. */
+  /** Maximum size of a response body in bytes. */
   maxBody: number;
-  /** The connection can take the next request. */
+  /** Called when the connection can send the next request. */
   onIdle: () => void;
-  /** The connection takes no further request. */
+  /** Called when the connection can send no further request. */
   onClosed: () => void;
 }
 
-/** A connection that carries one request at a time. */
+/** A connection with at most one outstanding request. */
 export class ClientConnection {
   private readonly socket: Socket;
   private readonly parser: HttpParser;
-  private current: { done: ClientDone; timer: NodeJS.Timeout } | null = null;
-  private closed = false;
+  private currentCall: { done: ClientDone; timer: NodeJS.Timeout } | null = null;
+  private isClosed = false;
 
   constructor(private readonly options: ClientConnectionOptions) {
     this.parser = new HttpParser('response', options.maxBody);
@@ -65,7 +68,7 @@
   send(queued: QueuedCall, nowMs: number): void {
     const { call, done, deadlineMs } = queued;
     const timer = setTimeout(() => this.close(), Math.max(1, deadlineMs - nowMs));
-    this.current = { done, timer };
+    this.currentCall = { done, timer };
     const body = call.body ?? '';
     const bodyHeaders =
       call.body === null
@@ -76,8 +79,8 @@
   }
 
   /**
-   * Closes the connection; an open request has no response. A request that timed out ends its connection, too: a late
-   * response must not be taken for another's.
+   * Closes the connection; an outstanding request completes without a response. Also called when a request
+   * times out, so that its late response cannot be taken for the response to the next request.
    */
   close(): void {
     this.disconnect();
@@ -102,17 +105,17 @@
   }
 
   private finish(reply: ClientReply | null): void {
-    if (this.current === null) return;
-    const { done, timer } = this.current;
-    this.current = null;
+    if (this.currentCall === null) return;
+    const { done, timer } = this.currentCall;
+    this.currentCall = null;
     clearTimeout(timer);
     done(reply);
-    if (!this.closed) this.options.onIdle();
+    if (!this.isClosed) this.options.onIdle();
   }
 
   private disconnect(): void {
-    if (this.closed) return;
-    this.closed = true;
+    if (this.isClosed) return;
+    this.isClosed = true;
     this.options.onClosed();
     this.socket.destroy();
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,17 +1,17 @@
-// An HTTP client with keep-alive: a few connections to one address, one request at a time on each.
+// HTTP client with keep-alive: a bounded number of connections to one address, one request at a time on each.
 import { type Address, splitAddress } from './address.ts';
 import { type ClientCall, ClientConnection, type ClientDone, type QueuedCall } from './client-connection.ts';
 
 export type { ClientCall, ClientDone, ClientReply } from './client-connection.ts';
 
-/** Sends requests to one address; those that find no free connection wait in a queue. */
+/** Sends requests to one address; while no connection is free, requests wait in a queue. */
 export class HttpClient {
   private readonly connections = new Set<ClientConnection>();
   private readonly idle: ClientConnection[] = [];
   private readonly queue: QueuedCall[] = [];
   private readonly address: Address;
 
-  /** `addr`: such as `10.0.0.1:8080`. `maxBody`: the largest body of a response in bytes. */
+  /** `addr`: such as `10.0.0.1:8080`. `maxBody`: maximum size of a response body in bytes. */
   constructor(
     private readonly addr: string,
     private readonly maxConnections: number,
@@ -20,13 +20,13 @@
     this.address = splitAddress(addr);
   }
 
-  /** Sends a request, or queues it; `done` is called once, in any case. */
+  /** Sends or queues a request; `done` is called exactly once, with or without a response. */
   call(call: ClientCall, done: ClientDone): void {
     this.queue.push({ call, done, deadlineMs: performance.now() + call.timeoutMs });
     this.sendQueued();
   }
 
-  /** Closes all connections; requests that are open have no response. */
+  /** Closes all connections; outstanding requests complete without a response. */
   close(): void {
     for (const connection of [...this.connections]) connection.close();
   }
@@ -44,7 +44,7 @@
     }
   }
 
-  /** A new connection, or null if there are as many as there may be. */
+  /** Opens a connection; returns null if the maximum number of connections is open. */
   private connect(): ClientConnection | null {
     if (this.connections.size >= this.maxConnections) return null;
     const connection = new ClientConnection({
@@ -55,13 +55,13 @@
         this.idle.push(connection);
         this.sendQueued();
       },
-      onClosed: () => this.forget(connection),
+      onClosed: () => this.removeConnection(connection),
     });
     this.connections.add(connection);
     return connection;
   }
 
-  private forget(connection: ClientConnection): void {
+  private removeConnection(connection: ClientConnection): void {
     this.connections.delete(connection);
     const index = this.idle.indexOf(connection);
     if (index >= 0) this.idle.splice(index, 1);
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,22 +1,24 @@
-// An incremental parser of HTTP/1.1 messages, for requests and responses. Bytes may arrive in any pieces.
+// Incremental parser of HTTP/1.1 requests and responses. The byte stream may be split anywhere.
 import { SwiftfordError, type SwiftfordErrorOptions } from '../types/errors.ts';
 
 /** A request or a response. */
 export interface HttpMessage {
-  /** Of a request; empty in a response. */
+  /** Method of a request; empty in a response. */
   method: string;
-  /** Of a request; empty in a response. */
+  /** Target of a request (path and query); empty in a response. */
   target: string;
-  /** Of a response; 0 in a request. */
+  /** Status of a response; 0 in a request. */
   status: number;
-  /** By their names in lower case. */
+  /** Header values by their names in lower case. */
   headers: Map<string, string>;
   body: Buffer;
   /** Whether the connection stays open after this message. */
   keepAlive: boolean;
 }
 
-/** A message that is not HTTP/1.1 or larger than allowed; `status` is that of the response to it. */
+/**
+ * Thrown for a message that is not valid HTTP/1.x or too large; `status` is the status of the response to it.
+ */
 export class HttpParseError extends SwiftfordError {
   readonly code = 'INVALID_HTTP';
 
@@ -38,63 +40,66 @@
 const LF = 10;
 const CRLF = '\r\n';
 const END_OF_HEAD = '\r\n\r\n';
-const EMPTY = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** Values of `bodyLength` for bodies without a length of their own. */
+/** Values of `bodyLength` for bodies without a Content-Length. */
 const CHUNKED = -1;
 const UNTIL_CLOSE = -2;
 
 type Role = 'request' | 'response';
 
-/** Reads the messages of one direction of one connection. */
+/** Parses the messages in one direction of a connection. */
 export class HttpParser {
-  private buffer: Buffer = EMPTY;
+  private buffer: Buffer = EMPTY_BUFFER;
   /** The message whose body is being read. */
   private current: HttpMessage | null = null;
-  /** Bytes of the body, `CHUNKED` or `UNTIL_CLOSE`. */
+  /** Number of bytes of the body, or `CHUNKED` or `UNTIL_CLOSE`. */
   private bodyLength = 0;
   private chunks: Buffer[] = [];
   private chunkBytes = 0;
   private expectsContinue = false;
 
-  /** `maxBody`: the largest body in bytes. */
+  /** `maxBody`: maximum size of a body in bytes. */
   constructor(
     private readonly role: Role,
     private readonly maxBody: number,
   ) {}
 
-  /** True once for each request whose sender waits for `100 Continue` before it sends the body. */
-  takeContinue(): boolean {
+  /**
+   * Whether the sender of the current request waits for `100 Continue` before it sends the body. Resets this
+   * state, so that the result is true only once for each request.
+   */
+  takeExpectsContinue(): boolean {
     const expected = this.expectsContinue;
     this.expectsContinue = false;
     return expected;
   }
 
-  /** True while a message has begun and is not complete. */
-  get midMessage(): boolean {
+  /** True while a message is incomplete. */
+  get isMidMessage(): boolean {
     return this.current !== null || this.buffer.length > 0;
   }
 
-  /** The messages that are complete with these bytes; throws `HttpParseError`. */
+  /** Parses further bytes; returns the messages that they complete. Throws `HttpParseError`. */
   feed(data: Buffer): HttpMessage[] {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     const messages: HttpMessage[] = [];
     for (;;) {
-      const message = this.next();
+      const message = this.nextMessage();
       if (message === null) return messages;
-      // The body has come without being asked for.
+      // The sender did not wait for `100 Continue`: the body has arrived.
       this.expectsContinue = false;
       messages.push(message);
     }
   }
 
-  /** The connection was closed: returns a response whose body goes on until then, or null. */
+  /** Called when the connection was closed: returns the response whose body ends with it, or null. */
   end(): HttpMessage | null {
     if (this.current === null || this.bodyLength !== UNTIL_CLOSE) return null;
     return this.complete(this.buffer);
   }
 
-  private next(): HttpMessage | null {
+  private nextMessage(): HttpMessage | null {
     if (this.current === null && !this.readHead()) return null;
     if (this.bodyLength === UNTIL_CLOSE) return null;
     return this.bodyLength === CHUNKED ? this.readChunkedBody() : this.readSizedBody();
@@ -109,8 +114,8 @@
     return message;
   }
 
-  /** Takes bytes off the buffer. */
-  private skip(bytes: number): void {
+  /** Removes bytes from the start of the buffer. */
+  private consume(bytes: number): void {
     this.buffer = this.buffer.subarray(bytes);
   }
 
@@ -121,7 +126,7 @@
       throw new HttpParseError(431, 'head too large');
     if (end < 0) return false;
     const lines = this.buffer.toString('latin1', 0, end).split(CRLF);
-    this.skip(end + END_OF_HEAD.length);
+    this.consume(end + END_OF_HEAD.length);
     const message = this.parseStartLine(lines[0] ?? '');
     this.current = message;
     for (let i = 1; i < lines.length; i++) parseHeader(lines[i] ?? '', message.headers);
@@ -131,11 +136,11 @@
     return true;
   }
 
-  /** Blank lines before a message are tolerated, as the standard asks. */
+  /** Blank lines before a message are ignored, as RFC 9112 recommends. */
   private skipBlankLines(): void {
     let start = 0;
     while (this.buffer[start] === CR || this.buffer[start] === LF) start++;
-    if (start > 0) this.skip(start);
+    if (start > 0) this.consume(start);
   }
 
   private parseStartLine(line: string): HttpMessage {
@@ -147,7 +152,7 @@
       target: '',
       status: 0,
       headers: new Map(),
-      body: EMPTY,
+      body: EMPTY_BUFFER,
       keepAlive: version === 'HTTP/1.1',
     };
     if (this.role === 'request') parseRequestLine(parts, message);
@@ -186,7 +191,7 @@
     const length = this.bodyLength;
     if (this.buffer.length < length) return null;
     const body = this.buffer.subarray(0, length);
-    this.skip(length);
+    this.consume(length);
     return this.complete(body);
   }
 
@@ -205,11 +210,13 @@
       if (this.buffer[end] !== CR) throw new HttpParseError(400, 'bad chunk');
       this.chunks.push(this.buffer.subarray(start, end));
       this.chunkBytes += size;
-      this.skip(end + CRLF.length);
+      this.consume(end + CRLF.length);
     }
   }
 
-  /** The size of the chunk whose first line ends at `lineEnd`; extensions after `;` are ignored. */
+  /**
+   * Parses the size of the chunk whose first line ends at `lineEnd`; chunk extensions after `;` are ignored.
+   */
   private parseChunkSize(lineEnd: number): number {
     const line = this.buffer.toString('latin1', 0, lineEnd);
     const hex = line.split(';')[0]!.trim();
@@ -219,14 +226,14 @@
     return size;
   }
 
-  /** The lines after the last chunk are ignored, up to a blank one. */
+  /** Skips the trailer section, which ends with a blank line, and completes the message. */
   private readTrailer(start: number): HttpMessage | null {
     let lineStart = start;
     for (;;) {
       const lineEnd = this.buffer.indexOf(CRLF, lineStart);
       if (lineEnd < 0) return null;
       if (lineEnd === lineStart) {
-        this.skip(lineEnd + CRLF.length);
+        this.consume(lineEnd + CRLF.length);
         return this.complete(Buffer.concat(this.chunks));
       }
       lineStart = lineEnd + CRLF.length;
@@ -252,7 +259,7 @@
   const name = line.slice(0, colon).toLowerCase();
   if (colon < 1 || !TOKEN.test(name)) throw new HttpParseError(400, 'bad header');
   const value = line.slice(colon + 1).trim();
-  // Two different lengths would let two readers see two different messages.
+  // With two different lengths, a proxy and this server could see different messages (request smuggling).
   if (name === 'content-length' && headers.has(name) && headers.get(name) !== value)
     throw new HttpParseError(400, 'two lengths');
   headers.set(name, value);
--- a/src/http/response.ts
+++ b/src/http/response.ts
@@ -1,11 +1,11 @@
-// Responses of the HTTP server as they are sent.
+// Formats responses of the HTTP server.
 
 /** A response of the HTTP server. */
 export interface ServerResponse {
   status: number;
-  /** JSON. */
+  /** The body, as JSON. */
   body: string;
-  /** Seconds after which the client may try again; sent rounded up. */
+  /** Seconds after which the client may retry; rounded up in the Retry-After header. */
   retryAfterS?: number;
 }
 
@@ -25,7 +25,7 @@
   503: 'Service Unavailable',
 };
 
-/** The bytes of a response, as text; without `keepAlive` it says that the connection will be closed. */
+/** The text of a response; without `keepAlive` it has the header `Connection: close`. */
 export function formatResponse(response: ServerResponse, keepAlive: boolean): string {
   const { status, body, retryAfterS } = response;
   const statusLine = `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Status'}\r\n`;
--- a/src/http/server-connection.ts
+++ b/src/http/server-connection.ts
@@ -1,37 +1,38 @@
-// One connection of the HTTP server: reads requests, answers them one at a time, enforces the limits.
+// One connection of the HTTP server: reads requests, has them handled one at a time, enforces limits of time
+// and size.
 import type { Socket } from 'node:net';
 import { type HttpMessage, HttpParseError, HttpParser } from './parser.ts';
 import { formatResponse, type ServerResponse } from './response.ts';
 import type { Urgency, WorkQueue } from './work-queue.ts';
 
-/** Sends the response to a request; only the first call counts. */
+/** Sends the response to a request; further calls are ignored. */
 export type Respond = (response: ServerResponse) => void;
 
-/** Answers a request, at once or later. */
+/** Responds to a request, immediately or later. */
 export type Handler = (request: HttpMessage, respond: Respond) => void;
 
-/** What the first bytes of a request tell about it before it is parsed. */
+/** Scheduling class of a request, determined before it is parsed. */
 export interface RequestClass {
   urgency: Urgency;
-  /** Milliseconds after which its sender has timed out. */
+  /** Milliseconds after which the sender of the request has timed out. */
   uselessAfterMs: number;
 }
 
-/** Tells the class of a request from its first bytes. */
+/** Determines the class of a request from its first bytes. */
 export type RequestClassifier = (bytes: Buffer) => RequestClass;
 
 /** Limits of time and size; times in milliseconds. */
 export interface ServerLimits {
   maxConnections: number;
-  /** Bytes of a request's body. */
+  /** Maximum size of a request body in bytes. */
   maxBody: number;
-  /** A request that has begun must be complete within this time. */
+  /** Time within which a request must be complete. */
   requestMs: number;
-  /** A connection without a request is closed after this time. */
+  /** Time after which a connection without a request is closed. */
   idleMs: number;
 }
 
-/** What the connections of a server have in common. */
+/** Options shared by all connections of a server. */
 export interface ConnectionContext {
   handler: Handler;
   limits: ServerLimits;
@@ -39,19 +40,21 @@
   classify: RequestClassifier;
 }
 
-/** The rest of a request that has begun: its body may hold anything, so it is not classified. */
+/**
+ * Class of further bytes of an incomplete request: they may be part of its body, so they are not classified.
+ */
 const REST_OF_REQUEST: RequestClass = { urgency: 0, uselessAfterMs: Number.POSITIVE_INFINITY };
-const CONTINUE = 'HTTP/1.1 100 Continue\r\n\r\n';
+const CONTINUE_RESPONSE = 'HTTP/1.1 100 Continue\r\n\r\n';
 
 /** One connection of the HTTP server. */
 export class ServerConnection {
   private readonly parser: HttpParser;
-  /** Requests that wait until the one before them is answered. */
-  private readonly requests: HttpMessage[] = [];
-  private busy = false;
-  private closing = false;
-  /** Bytes that wait in the work queue. */
-  private readonly received: Buffer[] = [];
+  /** Requests waiting for the response to the previous one. */
+  private readonly queuedRequests: HttpMessage[] = [];
+  private isHandlingRequest = false;
+  private isClosing = false;
+  /** Received bytes that wait in the work queue to be parsed. */
+  private readonly receivedChunks: Buffer[] = [];
   private lastActiveMs = performance.now();
 
   constructor(
@@ -65,14 +68,16 @@
     socket.on('error', () => this.socket.destroy());
   }
 
-  /** Called about once a second: closes idle connections and refuses slow senders. */
-  sweep(nowMs: number): void {
-    if (this.busy || this.received.length > 0 || this.socket.destroyed) return;
+  /**
+   * Closes the connection if it is idle too long or its request takes too long; called about once a second.
+   */
+  enforceTimeouts(nowMs: number): void {
+    if (this.isHandlingRequest || this.receivedChunks.length > 0 || this.socket.destroyed) return;
     const { requestMs, idleMs } = this.context.limits;
     const ageMs = nowMs - this.lastActiveMs;
-    if (this.closing) {
+    if (this.isClosing) {
       if (ageMs > requestMs) this.socket.destroy();
-    } else if (this.parser.midMessage && ageMs > requestMs) {
+    } else if (this.parser.isMidMessage && ageMs > requestMs) {
       this.refuse(408, 'request took too long');
     } else if (ageMs > idleMs) {
       this.socket.destroy();
@@ -80,10 +85,11 @@
   }
 
   private enqueue(data: Buffer): void {
-    if (this.closing) return;
-    // One work item a connection, so that its bytes are read in the order in which they came.
-    if (this.received.push(data) > 1) return;
-    const { urgency, uselessAfterMs } = this.parser.midMessage
+    if (this.isClosing) return;
+    // At most one work item per connection, so that bytes are parsed in the order in which they were
+    // received.
+    if (this.receivedChunks.push(data) > 1) return;
+    const { urgency, uselessAfterMs } = this.parser.isMidMessage
       ? REST_OF_REQUEST
       : this.context.classify(data);
     this.context.queue.add({
@@ -96,18 +102,19 @@
   }
 
   private readReceived(): void {
-    for (const data of this.received.splice(0)) {
+    for (const data of this.receivedChunks.splice(0)) {
       if (!this.socket.destroyed) this.read(data);
     }
   }
 
   private read(data: Buffer): void {
-    if (this.closing) return;
-    if (!this.parser.midMessage) this.lastActiveMs = performance.now();
+    if (this.isClosing) return;
+    if (!this.parser.isMidMessage) this.lastActiveMs = performance.now();
     try {
-      this.requests.push(...this.parser.feed(data));
-      // A request that its head alone rules out, as by too large a body, has thrown by now: its body is not asked for.
-      if (this.parser.takeContinue() && !this.busy) this.socket.write(CONTINUE);
+      this.queuedRequests.push(...this.parser.feed(data));
+      // A request that is refused because of its head, for example because of its Content-Length, has thrown
+      // by now: its sender does not get `100 Continue`.
+      if (this.parser.takeExpectsContinue() && !this.isHandlingRequest) this.socket.write(CONTINUE_RESPONSE);
     } catch (error) {
       const { status, message } =
         error instanceof HttpParseError ? error : new HttpParseError(400, 'bad request', { cause: error });
@@ -118,15 +125,15 @@
   }
 
   private refuse(status: number, reason: string): void {
-    this.closing = true;
+    this.isClosing = true;
     this.socket.end(formatResponse({ status, body: JSON.stringify({ error: reason }) }, false));
   }
 
   private handleNext(): void {
-    if (this.busy || this.closing) return;
-    const request = this.requests.shift();
+    if (this.isHandlingRequest || this.isClosing) return;
+    const request = this.queuedRequests.shift();
     if (request === undefined) return;
-    this.busy = true;
+    this.isHandlingRequest = true;
     let responded = false;
     this.context.handler(request, (response) => {
       if (responded) return;
@@ -136,7 +143,7 @@
   }
 
   private send(response: ServerResponse, keepAlive: boolean): void {
-    this.busy = false;
+    this.isHandlingRequest = false;
     this.lastActiveMs = performance.now();
     if (this.socket.destroyed) return;
     this.socket.write(formatResponse(response, keepAlive));
@@ -144,7 +151,7 @@
       this.handleNext();
       return;
     }
-    this.closing = true;
+    this.isClosing = true;
     this.socket.end();
   }
 }
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,4 +1,4 @@
-// A small HTTP/1.1 server on TCP: one request at a time a connection, with limits of time and size.
+// HTTP/1.1 server on TCP sockets: one request at a time on each connection, with limits of time and size.
 import { createServer, type Server } from 'node:net';
 import { type ConnectionContext, type RequestClass, ServerConnection } from './server-connection.ts';
 import { WorkQueue } from './work-queue.ts';
@@ -6,31 +6,31 @@
 export { formatResponse, type ServerResponse } from './response.ts';
 export type { Handler, RequestClass, RequestClassifier, Respond, ServerLimits } from './server-connection.ts';
 
-const SWEEP_INTERVAL_MS = 1000;
+const TIMEOUT_CHECK_INTERVAL_MS = 1000;
 const BACKLOG = 256;
 const DEFAULT_CLASS: RequestClass = { urgency: 1, uselessAfterMs: Number.POSITIVE_INFINITY };
 
-/** What an HTTP server needs. */
+/** Options of an HTTP server. */
 export interface HttpServerOptions extends Pick<ConnectionContext, 'handler' | 'limits'> {
   host: string;
   /** 0 for any free port. */
   port: number;
   /** Called with the port once the server listens. */
   onListening?: (port: number) => void;
-  /** Where requests wait for processor time; a queue of the server's own by default. */
+  /** The queue in which requests wait for processor time; by default the server creates its own. */
   queue?: ConnectionContext['queue'];
-  /** Without it all requests are of one class, which never times out. */
+  /** By default all requests have the same class, which never times out. */
   classify?: ConnectionContext['classify'];
 }
 
-/** A server that was started. */
+/** A running server. */
 export interface HttpServer {
   server: Server;
-  /** Stops listening; open connections go on. */
+  /** Stops listening; open connections stay open. */
   close(): void;
 }
 
-/** Starts a server. An address that cannot be used is an `error` event of `server`. */
+/** Starts a server. If it cannot listen on the address, `server` emits an `error` event. */
 export function serveHttp(options: HttpServerOptions): HttpServer {
   const { host, port, handler, limits, onListening } = options;
   const context: ConnectionContext = {
@@ -46,16 +46,16 @@
     socket.on('close', () => connections.delete(connection));
   });
   server.maxConnections = limits.maxConnections;
-  const sweeper = setInterval(() => {
+  const timeoutTimer = setInterval(() => {
     const nowMs = performance.now();
-    for (const connection of connections) connection.sweep(nowMs);
-  }, SWEEP_INTERVAL_MS);
-  sweeper.unref();
+    for (const connection of connections) connection.enforceTimeouts(nowMs);
+  }, TIMEOUT_CHECK_INTERVAL_MS);
+  timeoutTimer.unref();
   server.listen({ host, port, backlog: BACKLOG }, () =>
     onListening?.((server.address() as { port: number }).port),
   );
   const close = (): void => {
-    clearInterval(sweeper);
+    clearInterval(timeoutTimer);
     server.close();
   };
   return { server, close };
--- a/test/http-parser.test.ts
+++ b/test/http-parser.test.ts
@@ -1,11 +1,11 @@
-// The parser of HTTP messages: cuts of the stream, framing of bodies, refusals.
+// Tests of the HTTP message parser: split input, body framing, refused messages.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { HttpParseError, HttpParser } from '../src/http/parser.ts';
 
 const MAX_BODY = 64;
 
-/** The status with which a request is refused, 0 if it is not. */
+/** The status with which the parser refuses a request, 0 if it accepts it. */
 function refusalStatus(text: string): number {
   try {
     new HttpParser('request', MAX_BODY).feed(Buffer.from(text));
@@ -29,18 +29,19 @@
         ['GET', '/ready', ''],
       ],
     );
-    assert.equal(parser.midMessage, false);
+    assert.equal(parser.isMidMessage, false);
   });
 
-  it('reports an expected 100 Continue once, and only while the body is still to come', () => {
+  it('reports an expected 100 Continue once, and only before the body has arrived', () => {
     const head = 'POST /work HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n';
     const parser = new HttpParser('request', MAX_BODY);
     assert.deepEqual(parser.feed(Buffer.from(head)), []);
-    assert.deepEqual([parser.takeContinue(), parser.takeContinue()], [true, false]);
+    assert.deepEqual([parser.takeExpectsContinue(), parser.takeExpectsContinue()], [true, false]);
     assert.equal(parser.feed(Buffer.from('hello'))[0]?.body.toString(), 'hello');
     assert.equal(parser.feed(Buffer.from(`${head}hello`)).length, 1);
-    assert.equal(parser.takeContinue(), false);
-    // What would be refused anyway is refused by its head: the body is never asked for.
+    assert.equal(parser.takeExpectsContinue(), false);
+    // A request that is refused because of its head must not get `100 Continue`, as its body would be
+    // discarded.
     assert.equal(
       refusalStatus('POST /a HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 65\r\n\r\n'),
       413,
@@ -48,7 +49,7 @@
     assert.equal(refusalStatus('POST /a HTTP/1.1\r\nExpect: 200-ok\r\nContent-Length: 5\r\n\r\n'), 417);
   });
 
-  it('joins the chunks of a body, wherever the stream is cut', () => {
+  it('joins the chunks of a body, wherever the stream is split', () => {
     const text =
       'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n4;x=1\r\ndefg\r\n0\r\n\r\n';
     for (let cut = 1; cut < text.length; cut++) {
@@ -64,13 +65,13 @@
     }
   });
 
-  it('ends a body without a length with the connection', () => {
+  it('reads a body without a length until the connection closes', () => {
     const parser = new HttpParser('response', MAX_BODY);
     assert.deepEqual(parser.feed(Buffer.from('HTTP/1.1 200 OK\r\n\r\nab')), []);
     assert.equal(parser.end()?.body.toString(), 'ab');
   });
 
-  it('refuses invalid messages, and those that are too large by their own status', () => {
+  it('refuses invalid and too large messages with the status of each error', () => {
     assert.equal(refusalStatus('nonsense\r\n\r\n'), 400);
     assert.equal(refusalStatus('GET /a HTTP/2.0\r\n\r\n'), 400);
     assert.equal(refusalStatus('POST /a HTTP/1.1\r\nContent-Length: x\r\n\r\n'), 400);
