--- a/packages/client/build.mjs
+++ b/packages/client/build.mjs
@@ -1,4 +1,5 @@
-// Bundles the library, with its libraries left outside, and writes its types.
+// Bundles the library into dist/index.js, with its dependencies left as imports, and writes its type
+// declarations.
 import { execFileSync } from 'node:child_process';
 import { build } from 'esbuild';
 
--- a/packages/client/src/client-options.ts
+++ b/packages/client/src/client-options.ts
@@ -1,60 +1,60 @@
-// What callers give to a client and get from it, besides jobs and outcomes. Durations are in seconds.
+// Options and results of the client's methods, besides jobs and outcomes. Durations are in seconds.
 import type { JobRequest, Outcome } from './types.ts';
 
-/** How a client reaches the service. */
+/** Options of `Client.open`. */
 export interface ClientOptions {
   /**
-   * Addresses of nodes or of their load balancer, `host:port`. Each is asked, and avoided for a while when it
-   * fails.
+   * Addresses of nodes or of their load balancer, `host:port`. Requests are spread over all of them; an
+   * address that does not answer is avoided for a while.
    */
   nodes: string[];
   /**
-   * File of the journal, in which jobs are recorded before they are sent; without it a script that ends
-   * forgets them.
+   * Path of the journal file, in which jobs are recorded before they are sent. Without it, a script that is
+   * started again cannot resume its jobs.
    */
   outbox?: string;
-  /** Connections to each node; default 8. */
+  /** Maximum number of connections to each node; default 8. */
   connections?: number;
-  /** Submissions that may wait for acceptance before `submit` itself waits; default 1000. */
+  /** Number of submissions not accepted yet from which on `submit` waits before it sends; default 1000. */
   pending?: number;
   /**
-   * Called before a new job is recorded and sent, as to upload what its tasks need; the job is not sent if it
-   * fails.
+   * Called before a new job is recorded and sent, for example to upload the commands of its tasks. If it
+   * rejects, the job is not sent.
    */
   prepare?: (id: string, request: JobRequest, key: string | null) => Promise<void>;
 }
 
-/** How one job is submitted and waited for. */
+/** Options of submitting a job and waiting for it. */
 export interface SubmitOptions {
   /**
-   * The caller's own name for this job, the same whenever the script runs. With an outbox: submitted once
-   * under it.
+   * The caller's own name for this job, the same in every run of the script. With the option `outbox`, only
+   * one job is ever submitted under a key.
    */
   key?: string;
-  /** Id of the job; by default a new one. */
+  /** Id of the job; default: a new unique id. */
   id?: string;
-  /** Seconds after which it is given up if it was not accepted; default 600. */
+  /** Seconds after which the client gives the job up if it was not accepted; default 600. */
   acceptWithinS?: number;
-  /** Seconds after which it is given up if it has not ended; default: never. The job itself goes on. */
+  /** Seconds after which the client gives the job up if it has not ended; default: never. The job goes on. */
   withinS?: number;
   /** Ends the caller's waiting (AbortError), not the job. */
   signal?: AbortSignal;
 }
 
-/** How the end of a job is waited for. */
+/** Options of waiting for the end of a job. */
 export type WaitOptions = Pick<SubmitOptions, 'signal' | 'withinS'>;
 
-/** A job that was submitted. */
+/** Result of `Client.submit`. */
 export interface Submitted {
   id: string;
-  /** Null if it was accepted and goes on. */
+  /** Null if the job was accepted and has not ended. */
   outcome: Outcome | null;
 }
 
-/** A job of the journal. */
+/** A job in the journal, as `Client.jobs` lists it. */
 export interface JournalSummary {
   id: string;
   key: string | null;
-  /** Null if it is not known yet. */
+  /** Null if the outcome is not known yet. */
   outcome: Outcome | null;
 }
--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -1,4 +1,4 @@
-// The library's client: jobs as promises, over a session that sends, retries and polls.
+// The library's main class: a promise-based interface over a session that sends, retries and polls.
 import type {
   ClientOptions,
   JournalSummary,
@@ -17,15 +17,16 @@
 import type { CallerTimeouts } from './tracked-job.ts';
 import { InvalidRequestError, type JobRequest, type JobState, type Outcome } from './types.ts';
 
-const DEFAULT_CONNECTIONS = 8;
-const DEFAULT_PENDING = 1000;
-const DEFAULT_ACCEPT_S = 600;
-const FOREVER = Number.POSITIVE_INFINITY;
+const DEFAULT_CONNECTIONS_PER_NODE = 8;
+const DEFAULT_MAX_PENDING = 1000;
+const DEFAULT_ACCEPT_TIMEOUT_S = 600;
+const NO_TIMEOUT = Number.POSITIVE_INFINITY;
 const NODE_ADDRESS = /^[^\s:]+:\d{1,5}$/;
 
+/** Validated options with the defaults filled in. */
 type CheckedOptions = Required<Omit<ClientOptions, 'outbox' | 'prepare'>> & Pick<ClientOptions, 'prepare'>;
 
-/** A new job on its way to the session. */
+/** A new job that was not passed to the session yet. */
 interface NewJob {
   readonly id: string;
   readonly key: string | null;
@@ -34,7 +35,7 @@
   readonly signal: AbortSignal | undefined;
 }
 
-/** Submits, watches and cancels jobs; every job has exactly one outcome. */
+/** Submits, watches and cancels jobs. Every job has exactly one outcome. */
 export class Client {
   private readonly limiter: SubmissionLimiter;
   private readonly registry: JobRegistry;
@@ -47,17 +48,19 @@
   }
 
   /**
-   * Reads the journal, if there is one, and resumes the jobs in it. Throws InvalidRequestError or
-   * JournalError.
+   * Creates a client. With the option `outbox`, reads the journal and resumes the jobs in it. Throws
+   * InvalidRequestError if the addresses are invalid, or JournalError if the journal cannot be opened.
    */
   static async open(options: ClientOptions): Promise<Client> {
-    const invalid = options.nodes.find((node) => !NODE_ADDRESS.test(node));
-    if (options.nodes.length === 0 || invalid !== undefined)
-      throw new InvalidRequestError(`${invalid ?? 'nodes'}: addresses of nodes look like 10.0.0.1:8080`);
+    const invalidAddress = options.nodes.find((node) => !NODE_ADDRESS.test(node));
+    if (options.nodes.length === 0 || invalidAddress !== undefined)
+      throw new InvalidRequestError(
+        `${invalidAddress ?? 'nodes'}: addresses of nodes look like 10.0.0.1:8080`,
+      );
     const { outbox, ...rest } = options;
     const client = new Client({
-      connections: DEFAULT_CONNECTIONS,
-      pending: DEFAULT_PENDING,
+      connections: DEFAULT_CONNECTIONS_PER_NODE,
+      pending: DEFAULT_MAX_PENDING,
       ...rest,
       nodes: [...new Set(rest.nodes)],
     });
@@ -70,12 +73,12 @@
     for (const job of journal.all()) this.resume(job, timeoutsOf(undefined));
   }
 
-  /** What was found unfinished at the end of the journal and cut off; null if nothing was. */
+  /** The incomplete record that was cut off the end of the journal on opening; null if there was none. */
   get torn(): TornTail | null {
     return this.driver.journal?.torn ?? null;
   }
 
-  /** Jobs of the journal, in the order of their submission, with their outcomes as far as they are known. */
+  /** Jobs in the journal, in the order of their submission, with the outcomes known so far. */
   jobs(): JournalSummary[] {
     const journaled = this.driver.journal?.all() ?? [];
     return journaled.map(({ id, key, outcome }) => ({
@@ -86,11 +89,12 @@
   }
 
   /**
-   * Submits a job and returns when it is accepted or has ended otherwise. Waits while too many others are not
-   * accepted yet. With a `key` that the journal knows, resumes that job whatever the request says.
+   * Submits a job and resolves when it is accepted or has an outcome. Waits first while too many earlier
+   * submissions are not accepted yet. If the journal has a job under `key`, resumes that job and ignores the
+   * request.
    */
   async submit(request: JobRequest, options: SubmitOptions = {}): Promise<Submitted> {
-    this.checkUsable();
+    this.throwIfUnusable();
     const { key = null, signal } = options;
     const id = (key === null ? undefined : this.idOf(key)) ?? options.id ?? newId();
     const timeouts = timeoutsOf(options.withinS, options.acceptWithinS);
@@ -104,13 +108,16 @@
     return { id, outcome: handle.outcome };
   }
 
-  /** Submits and waits for the end. */
+  /** Submits a job and waits for its outcome. */
   async run(request: JobRequest, options: SubmitOptions = {}): Promise<Outcome> {
     const { id, outcome } = await this.submit(request, options);
     return outcome ?? this.wait(id, options);
   }
 
-  /** The job's one outcome. `withinS` counts if nobody here has asked for the job yet. */
+  /**
+   * Resolves with the outcome of the job. `withinS` has an effect only if this client does not track the job
+   * yet.
+   */
   async wait(id: string, options: WaitOptions = {}): Promise<Outcome> {
     const handle = this.track(id, options);
     await handle.waitUntil(() => handle.outcome !== null, options.signal);
@@ -118,8 +125,8 @@
   }
 
   /**
-   * States as they change, the last one included; returns the outcome. A state that is overtaken may be left
-   * out.
+   * Yields the state of the job each time it changes, the final state included, and returns the outcome. A
+   * state may be skipped if it was replaced by a newer one in the meantime.
    */
   async *watch(id: string, options: WaitOptions = {}): AsyncGenerator<JobState, Outcome> {
     const handle = this.track(id, options);
@@ -133,7 +140,8 @@
   }
 
   /**
-   * Asks for the end of a job and returns what the service settled on: cancelled, or done if that came first.
+   * Requests the cancellation of a job and resolves with the outcome that the service reports: cancelled, or
+   * done if the job completed first.
    */
   async cancel(id: string, options: WaitOptions = {}): Promise<Outcome> {
     this.track(id, options).cancelRequested = true;
@@ -142,14 +150,15 @@
   }
 
   /**
-   * Jobs by name, of which each may await others by their names. Each is submitted as soon as all that it
-   * awaits are accepted, and refused unsent if one of them is not. Names are keys of the journal, after
-   * `options.key` and a slash.
+   * Runs named jobs, whose `awaits` list the names of other jobs in the pipeline, and resolves with their
+   * outcomes. Each job is submitted as soon as all its dependencies are accepted; if one of them is not, it
+   * gets the outcome `refused` without being sent. The journal key of a job is `options.key`, a slash and its
+   * name.
    */
-  async pipeline<N extends string>(
-    jobs: Record<N, JobRequest>,
+  async pipeline<Name extends string>(
+    jobs: Record<Name, JobRequest>,
     options: PipelineOptions = {},
-  ): Promise<Record<N, Outcome>> {
+  ): Promise<Record<Name, Outcome>> {
     const client = {
       submit: (request: JobRequest, submitOptions: SubmitOptions) => this.submit(request, submitOptions),
       wait: (id: string, waitOptions: WaitOptions) => this.wait(id, waitOptions),
@@ -159,8 +168,8 @@
   }
 
   /**
-   * Ends all waiting here (AbortError). Jobs that were sent go on; those in the journal are resumed next
-   * time.
+   * Closes the client. Pending calls reject with an AbortError. Jobs that were sent go on; those in the
+   * journal are resumed by the next client that opens it.
    */
   async close(): Promise<void> {
     this.driver.stop();
@@ -168,27 +177,28 @@
     await this.driver.close();
   }
 
-  // ---- jobs of this process
+  // ---- jobs tracked by this client
 
-  private checkUsable(): void {
+  private throwIfUnusable(): void {
     if (this.driver.failure !== null) throw this.driver.failure;
     if (this.driver.isStopped) throw abortError('the client is closed');
   }
 
   private idOf(key: string): string | undefined {
-    return this.registry.idOf(key) ?? this.driver.journal?.find(key)?.id;
+    return this.registry.idOf(key) ?? this.driver.journal?.getByKey(key)?.id;
   }
 
   private async submitNew({ id, key, request, timeouts, signal }: NewJob): Promise<JobHandle> {
     const body = bodyOf(id, request);
-    // From here on the id and the key are taken: the same submission made twice at once is one job.
+    // The id and the key are reserved before the first wait, so that two concurrent submissions with the same
+    // key or id are one job.
     const handle = this.registry.add(id, key);
     try {
       await this.limiter.waitForTurn(signal);
       await this.options.prepare?.(id, request, key);
-      this.checkUsable();
+      this.throwIfUnusable();
     } catch (error) {
-      // Nothing was recorded or sent. Others who wait for the same job get the same error.
+      // Nothing was recorded or sent. Concurrent calls that wait for the same job reject with the same error.
       this.registry.discard(id, key, error as Error);
       throw error;
     }
@@ -208,18 +218,19 @@
     this.driver.step({ kind: 'resume', job, ...timeouts });
   }
 
-  /** The handle of a job; one that others submitted is polled from now on. */
+  /** The handle of a job. A job that this client does not track yet is polled from now on. */
   private track(id: string, options: WaitOptions): JobHandle {
-    this.checkUsable();
+    this.throwIfUnusable();
     if (!this.registry.isTracked(id)) {
       const journaled = this.driver.journal?.get(id);
       if (journaled !== undefined) this.resume(journaled, timeoutsOf(options.withinS));
-      else this.trackForeign(id, options);
+      else this.trackExternal(id, options);
     }
     return this.registry.get(id)!;
   }
 
-  private trackForeign(id: string, options: WaitOptions): void {
+  /** Tracks a job that was submitted by another client. */
+  private trackExternal(id: string, options: WaitOptions): void {
     this.registry.add(id, null).accepted = true;
     const job: JournaledJob = {
       id,
@@ -229,12 +240,12 @@
       cancelRequested: false,
       outcome: null,
     };
-    this.driver.step({ kind: 'resume', job, ...timeoutsOf(options.withinS), acceptMs: FOREVER });
+    this.driver.step({ kind: 'resume', job, ...timeoutsOf(options.withinS), acceptMs: NO_TIMEOUT });
   }
 }
 
-/** The caller's durations in seconds, with the defaults, as the session takes them. */
-const timeoutsOf = (withinS = FOREVER, acceptWithinS = DEFAULT_ACCEPT_S): CallerTimeouts => ({
+/** Converts the caller's time-outs from seconds to milliseconds, with defaults for those left out. */
+const timeoutsOf = (withinS = NO_TIMEOUT, acceptWithinS = DEFAULT_ACCEPT_TIMEOUT_S): CallerTimeouts => ({
   acceptMs: acceptWithinS * 1000,
   endMs: withinS * 1000,
 });
--- a/packages/client/src/dependency-order.ts
+++ b/packages/client/src/dependency-order.ts
@@ -1,58 +1,58 @@
-// Jobs that await one another by name, in an order in which each comes after what it awaits (a topological
-// sort).
+// Topological sort of the jobs of a pipeline: each job comes after its dependencies.
 import { InvalidRequestError } from './types.ts';
 
-type Visit = 'open' | 'ordered';
+/** `visiting`: on the current path, its dependencies are not all ordered yet. */
+type VisitState = 'visiting' | 'ordered';
 
-/** A job on the path that is being followed, and the next of its dependencies to follow. */
+/** A job on the current path of the search, and the index of its next dependency to visit. */
 interface PathStep {
   readonly name: string;
   nextDependency: number;
 }
 
 /**
- * The names of `awaits` in order. Throws InvalidRequestError for an unknown name or a cycle, which it spells
- * out.
+ * Returns the names in topological order. Throws InvalidRequestError for a dependency that is not among the
+ * names and for a cycle; the message lists the names on the cycle.
  */
-export function inOrder(awaits: ReadonlyMap<string, readonly string[]>): string[] {
-  const sort = new TopologicalSort(awaits);
-  for (const name of awaits.keys()) sort.visit(name);
+export function topologicalOrder(dependenciesByName: ReadonlyMap<string, readonly string[]>): string[] {
+  const sort = new TopologicalSort(dependenciesByName);
+  for (const name of dependenciesByName.keys()) sort.visit(name);
   return sort.order;
 }
 
-/** Depth-first search without recursion: chains may be long. */
+/** Depth-first search, iterative so that long dependency chains do not overflow the call stack. */
 class TopologicalSort {
   readonly order: string[] = [];
-  private readonly visits = new Map<string, Visit>();
+  private readonly visitStates = new Map<string, VisitState>();
   private readonly path: PathStep[] = [];
 
-  constructor(private readonly awaits: ReadonlyMap<string, readonly string[]>) {}
+  constructor(private readonly dependenciesByName: ReadonlyMap<string, readonly string[]>) {}
 
-  /** Adds a job and all that it awaits to the order. */
+  /** Appends a job, after its direct and indirect dependencies, to the order. */
   visit(name: string): void {
     this.enter(name);
-    while (this.path.length > 0) this.advance(this.path.at(-1)!);
+    while (this.path.length > 0) this.followNextDependency(this.path.at(-1)!);
   }
 
-  private advance(step: PathStep): void {
-    const dependencies = this.awaits.get(step.name)!;
+  private followNextDependency(step: PathStep): void {
+    const dependencies = this.dependenciesByName.get(step.name)!;
     if (step.nextDependency >= dependencies.length) {
-      this.visits.set(step.name, 'ordered');
+      this.visitStates.set(step.name, 'ordered');
       this.order.push(step.name);
       this.path.pop();
       return;
     }
     const dependency = dependencies[step.nextDependency++]!;
-    if (!this.awaits.has(dependency))
+    if (!this.dependenciesByName.has(dependency))
       throw new InvalidRequestError(`${step.name} awaits ${dependency}, which is not in the pipeline`);
     this.enter(dependency);
   }
 
   private enter(name: string): void {
-    const visit = this.visits.get(name);
-    if (visit === 'ordered') return;
-    if (visit === 'open') throw this.cycleError(name);
-    this.visits.set(name, 'open');
+    const state = this.visitStates.get(name);
+    if (state === 'ordered') return;
+    if (state === 'visiting') throw this.cycleError(name);
+    this.visitStates.set(name, 'visiting');
     this.path.push({ name, nextDependency: 0 });
   }
 
--- a/packages/client/src/deprecated.ts
+++ b/packages/client/src/deprecated.ts
@@ -1,4 +1,4 @@
-// Earlier names of exports, for scripts that were written with them.
+// Former names of exports, kept as deprecated aliases for existing scripts.
 import type { TornTail } from './request-journal.ts';
 import { InvalidRequestError, type JobPhase, JournalError } from './types.ts';
 
--- a/packages/client/src/index.ts
+++ b/packages/client/src/index.ts
@@ -1,4 +1,4 @@
-// The library's public entry.
+// Public interface of the library.
 export { Client } from './client.ts';
 export type { ClientOptions, JournalSummary, SubmitOptions, Submitted } from './client-options.ts';
 export * from './deprecated.ts';
--- a/packages/client/src/job-handle.ts
+++ b/packages/client/src/job-handle.ts
@@ -1,33 +1,33 @@
-// One job as the callers of this process wait for it.
+// State of one job in this client, and the callers that wait for it to change.
 import type { JobState, Outcome } from './types.ts';
 
-/** The state of a job, and the callers that wait for it to change. */
+/** Holds the newest state of a job and wakes waiting callers when it changes. */
 export class JobHandle {
   accepted = false;
-  /** The newest state that the service gave. */
+  /** The newest state that the service reported. */
   state: JobState | null = null;
   outcome: Outcome | null = null;
-  /** Why nothing more will be known of the job here. */
+  /** The error after which this client receives no further updates of the job; null if there is none. */
   error: Error | null = null;
-  /** It is to be cancelled, perhaps before the session knows of it. */
+  /** Set when the caller requests cancellation, which may be before the job is passed to the session. */
   cancelRequested = false;
   private closed = false;
   private readonly listeners = new Set<() => void>();
 
-  /** Wakes the callers that wait; they look at what has changed. */
+  /** Wakes the waiting callers, which check their conditions again. */
   notify(): void {
     for (const listener of [...this.listeners]) listener();
   }
 
-  /** The client is closed: callers that wait are rejected with an AbortError. */
+  /** Called when the client is closed: waiting callers are rejected with an AbortError. */
   close(): void {
     this.closed = true;
     this.notify();
   }
 
   /**
-   * Resolves when the condition holds. Rejects with the error of the job, the reason of the signal, or an
-   * AbortError if the client is closed.
+   * Resolves when the condition holds. Rejects with the error of the job, with the reason of the signal, or
+   * with an AbortError if the client is closed.
    */
   waitUntil(condition: () => boolean, signal: AbortSignal | undefined): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -51,5 +51,5 @@
   }
 }
 
-/** The error of a wait that was ended by its caller. */
+/** The error with which a call rejects when its wait is aborted or the client is closed. */
 export const abortError = (message: string): Error => new DOMException(message, 'AbortError');
--- a/packages/client/src/job-registry.ts
+++ b/packages/client/src/job-registry.ts
@@ -1,15 +1,15 @@
-// The jobs that this process waits for, kept up to date with what the session reports of them.
+// Registry of the jobs that this client tracks, updated by the events of the session.
 import { JobHandle } from './job-handle.ts';
 import type { SessionListener } from './session-driver.ts';
 import type { SubmissionLimiter } from './submission-limiter.ts';
 import type { JobState, JournalError, Outcome } from './types.ts';
 
-/** Handles by job id, and ids by the callers' keys. */
+/** Job handles by id, and ids by the callers' keys. */
 export class JobRegistry implements SessionListener {
   private readonly handles = new Map<string, JobHandle>();
   private readonly idsByKey = new Map<string, string>();
 
-  /** `limiter`: is told of submissions that are no longer under way. */
+  /** `limiter`: its slots are released when submissions are accepted or end. */
   constructor(private readonly limiter: SubmissionLimiter) {}
 
   /** The handle of a job, if there is one. */
@@ -17,7 +17,7 @@
     return this.handles.get(id);
   }
 
-  /** A new handle, in place of one whose job was given up. */
+  /** Adds a handle for a job. Replaces the handle of the same id if the client gave that job up. */
   add(id: string, key: string | null): JobHandle {
     const handle = new JobHandle();
     this.handles.set(id, handle);
@@ -25,7 +25,9 @@
     return handle;
   }
 
-  /** The job was not submitted after all: whoever waits for it gets the error. */
+  /**
+   * Removes a job that was not submitted because of an error; callers that wait for it reject with the error.
+   */
   discard(id: string, key: string | null, error: Error): void {
     const handle = this.handles.get(id)!;
     this.handles.delete(id);
@@ -34,18 +36,18 @@
     handle.notify();
   }
 
-  /** The id that was given to a key in this process. */
+  /** The id of the job that was added under a key. */
   idOf(key: string): string | undefined {
     return this.idsByKey.get(key);
   }
 
-  /** Whether the job is known here and was not given up. */
+  /** Whether the registry has the job and the client did not give it up. */
   isTracked(id: string): boolean {
     const handle = this.handles.get(id);
     return handle !== undefined && handle.outcome?.kind !== 'gave-up';
   }
 
-  /** The client is closed: all waiting ends. */
+  /** Called when the client is closed: all waiting callers are rejected. */
   close(): void {
     for (const handle of this.handles.values()) handle.close();
     this.limiter.disable();
--- a/packages/client/src/journal-file.ts
+++ b/packages/client/src/journal-file.ts
@@ -1,4 +1,4 @@
-// The journal's file on a real disk, with a lock against a second writer.
+// Journal file on disk, with a lock that prevents two processes from writing it.
 import { statSync } from 'node:fs';
 import { type FileHandle, open as openFile, readFile, rename } from 'node:fs/promises';
 import { dirname } from 'node:path';
@@ -7,75 +7,78 @@
 import type { JournalFile } from './request-journal.ts';
 import { JournalError } from './types.ts';
 
-/** The lock of a writer that has not renewed it for so long is stale, as after SIGKILL. */
+/** A lock that was not renewed for this long is stale: its holder was probably killed. */
 const LOCK_STALE_MS = 5000;
-const LOCK_RENEW_MS = 1000;
-/** As long as it may take until the lock of a killed writer is stale, and a little more. */
-const LOCK_RETRIES = 14;
-const LOCK_RETRY_MS = 500;
+const LOCK_RENEW_INTERVAL_MS = 1000;
+/** 14 retries at 500 ms wait 7 s, longer than the lock of a killed process takes to become stale. */
+const LOCK_MAX_RETRIES = 14;
+const LOCK_RETRY_INTERVAL_MS = 500;
 
 /**
- * Opens or creates the file. Waits up to 7 s for the lock of a process that was killed. Throws JournalError
- * if the file cannot be opened or another process holds its lock.
+ * Opens or creates the file and locks it. Waits up to 7 s for the lock, so that the lock of a killed process
+ * becomes stale. Throws JournalError if the file cannot be opened or another process holds the lock.
  */
-export async function openJournalFile(file: string): Promise<JournalFile> {
-  const lock = await FileLock.acquire(file);
+export async function openJournalFile(path: string): Promise<JournalFile> {
+  const lock = await FileLock.acquire(path);
   try {
-    return await LockedJournalFile.open(file, lock);
+    return await LockedJournalFile.open(path, lock);
   } catch (error) {
     await lock.release();
     const reason = (error as NodeJS.ErrnoException).code ?? String(error);
-    throw new JournalError(file, 0, reason, { cause: error });
+    throw new JournalError(path, 0, reason, { cause: error });
   }
 }
 
-/** This process may no longer write the file. */
+/** This process has lost the lock and may no longer write the file. */
 class LockLostError extends SwiftfordError {
   readonly code = 'LOCK_LOST';
 }
 
-/** A lock beside the file; it is a directory, and whoever takes it over makes another one. */
+/**
+ * Lock on the journal file: the directory `<path>.lock`. A process that takes over a stale lock creates the
+ * directory anew, so it gets another inode number or birth time.
+ */
 class FileLock {
-  private lost: Error | null = null;
+  private lostError: Error | null = null;
   private unlock: () => Promise<void> = async () => {};
 
-  private constructor(private readonly file: string) {}
+  private constructor(private readonly path: string) {}
 
-  /** Throws JournalError if another process holds the lock for as long as is waited. */
-  static async acquire(file: string): Promise<FileLock> {
-    const lock = new FileLock(file);
+  /** Throws JournalError if another process still holds the lock after the last retry. */
+  static async acquire(path: string): Promise<FileLock> {
+    const lock = new FileLock(path);
     try {
-      lock.unlock = await lockfile.lock(file, {
+      lock.unlock = await lockfile.lock(path, {
         stale: LOCK_STALE_MS,
-        update: LOCK_RENEW_MS,
+        update: LOCK_RENEW_INTERVAL_MS,
         realpath: false,
         retries: {
-          retries: LOCK_RETRIES,
+          retries: LOCK_MAX_RETRIES,
           factor: 1,
-          minTimeout: LOCK_RETRY_MS,
-          maxTimeout: LOCK_RETRY_MS,
+          minTimeout: LOCK_RETRY_INTERVAL_MS,
+          maxTimeout: LOCK_RETRY_INTERVAL_MS,
         },
         onCompromised: (error) => {
-          lock.lost = error;
+          lock.lostError = error;
         },
       });
       return lock;
     } catch (error) {
       const { code, message } = error as NodeJS.ErrnoException;
       const reason = code === 'ELOCKED' ? 'another process is using it' : (code ?? message);
-      throw new JournalError(file, 0, reason, { cause: error });
+      throw new JournalError(path, 0, reason, { cause: error });
     }
   }
 
-  /** Whether the lock was taken over by another process, as far as its own timer has noticed. */
+  /** Whether the periodic renewal has found that another process took over the lock. */
   get isLost(): boolean {
-    return this.lost !== null;
+    return this.lostError !== null;
   }
 
-  /** Which lock directory is there now. */
+  /** Inode number and birth time of the current lock directory, or `none`. */
   identity(): string {
     try {
-      const { ino, birthtimeMs } = statSync(`${this.file}.lock`);
+      const { ino, birthtimeMs } = statSync(`${this.path}.lock`);
       return `${ino} ${birthtimeMs}`;
     } catch {
       return 'none';
@@ -87,21 +90,22 @@
   }
 }
 
+/** The journal file and the lock that this process holds on it. */
 class LockedJournalFile implements JournalFile {
-  private readonly ownLock: string;
+  private readonly acquiredLockIdentity: string;
 
   private constructor(
     readonly name: string,
     private handle: FileHandle,
     private readonly lock: FileLock,
   ) {
-    this.ownLock = lock.identity();
+    this.acquiredLockIdentity = lock.identity();
   }
 
-  static async open(file: string, lock: FileLock): Promise<LockedJournalFile> {
-    const handle = await openFile(file, 'a+');
-    await syncDirectory(file);
-    return new LockedJournalFile(file, handle, lock);
+  static async open(path: string, lock: FileLock): Promise<LockedJournalFile> {
+    const handle = await openFile(path, 'a+');
+    await syncDirectory(path);
+    return new LockedJournalFile(path, handle, lock);
   }
 
   read(): Promise<Buffer> {
@@ -122,25 +126,26 @@
   }
 
   async replace(bytes: Buffer): Promise<void> {
-    const newFile = `${this.name}.new`;
-    const newHandle = await openFile(newFile, 'w');
+    const newPath = `${this.name}.new`;
+    const newHandle = await openFile(newPath, 'w');
     try {
       await newHandle.writeFile(bytes);
       await newHandle.sync();
     } finally {
       await newHandle.close();
     }
-    await rename(newFile, this.name);
+    await rename(newPath, this.name);
     await syncDirectory(this.name);
     await this.handle.close();
     this.handle = await openFile(this.name, 'a+');
   }
 
-  check(): void {
+  checkWritable(): void {
     if (this.lock.isLost) throw new LockLostError('another process has taken it over');
-    // A process that was stopped for longer than its lock lasts may wake up in here, before the lock's own
-    // timer has looked: what it would write now might follow the records of another.
-    if (this.lock.identity() !== this.ownLock)
+    // A process that was suspended for longer than LOCK_STALE_MS may resume here before the renewal timer
+    // runs. Another process may have taken over the lock and written records meanwhile, so the lock directory
+    // itself is compared.
+    if (this.lock.identity() !== this.acquiredLockIdentity)
       throw new LockLostError('its lock was lost while this process did not run');
   }
 
@@ -150,9 +155,9 @@
   }
 }
 
-/** A file that was created or renamed is there after a power failure only if its directory was synced. */
-async function syncDirectory(file: string): Promise<void> {
-  const directory = await openFile(dirname(file), 'r');
+/** Creating or renaming a file survives a power failure only if its directory is synced. */
+async function syncDirectory(path: string): Promise<void> {
+  const directory = await openFile(dirname(path), 'r');
   try {
     await directory.sync();
   } finally {
--- a/packages/client/src/journal-frames.ts
+++ b/packages/client/src/journal-frames.ts
@@ -1,24 +1,24 @@
-// The format of the journal's file: a header line, then frames. A frame holds what was written together:
-// either all of it is there or none. Layout, numbers little-endian:
-//   mark: 4 bytes; length of the payload: 4 bytes; CRC-32 of length and payload: 4 bytes;
-//   payload: JSON, a list of entries
+// Format of the journal file: a header line, then frames. A frame holds the entries of one write and is read
+// as a whole or not at all. Layout of a frame, numbers in little-endian order:
+//   marker: 4 bytes; length of the payload: 4 bytes; CRC-32 of length and payload: 4 bytes;
+//   payload: JSON array of entries
 import crc from 'crc-32';
 import { SwiftfordError } from '../../../src/types/errors.ts';
 
-/** The header line of every journal. */
+/** The first line of every journal file. */
 export const HEADER = Buffer.from('swiftford outbox 1\n');
 
-const MARK = Buffer.from([0xf7, 0x53, 0x46, 0x0a]);
+const FRAME_MARKER = Buffer.from([0xf7, 0x53, 0x46, 0x0a]);
 const LENGTH_OFFSET = 4;
 const CHECKSUM_OFFSET = 8;
 const PAYLOAD_OFFSET = 12;
 const MAX_PAYLOAD_BYTES = 64 << 20;
 
-/** A frame is damaged. */
+/** A frame, or the header line, is damaged. */
 export class DamagedFrameError extends SwiftfordError {
   readonly code = 'DAMAGED_FRAME';
 
-  /** `offset`: where the frame begins, in bytes. */
+  /** `offset`: position in the file at which the frame begins, in bytes. */
   constructor(
     readonly offset: number,
     readonly reason: string,
@@ -28,19 +28,19 @@
   }
 }
 
-/** What was read from a file. */
+/** Contents of a journal file. */
 export interface DecodedFrames {
-  /** The entries of all whole frames, in order. */
+  /** The entries of all intact frames, in order. */
   entries: unknown[];
-  /** Length in bytes of the part that is in order. */
-  end: number;
+  /** Length in bytes of the header line and the intact frames; an incomplete frame may follow. */
+  validLength: number;
 }
 
-/** The frame for entries that are written together. */
+/** Encodes entries that are written together as one frame. */
 export function encodeFrame(entries: readonly unknown[]): Buffer {
   const payload = Buffer.from(JSON.stringify(entries));
   const frame = Buffer.alloc(PAYLOAD_OFFSET + payload.length);
-  MARK.copy(frame);
+  FRAME_MARKER.copy(frame);
   frame.writeUInt32LE(payload.length, LENGTH_OFFSET);
   payload.copy(frame, PAYLOAD_OFFSET);
   frame.writeUInt32LE(checksum(frame, payload.length), CHECKSUM_OFFSET);
@@ -48,13 +48,14 @@
 }
 
 /**
- * Reads a file. What does not make a frame at its end was being written when the process ended: its writer
- * did not yet know that it is on disk, so nothing depends on it, and it is left out. The same before
- * another whole frame is damage: DamagedFrameError says where, and nothing may be concluded from the rest.
+ * Decodes a journal file. An incomplete frame at the end was being written when the process ended. It was
+ * never reported as persisted, so nothing depends on it, and it is ignored. An invalid frame before an intact
+ * one is damage: throws DamagedFrameError with its offset, as the later entries cannot be relied on without
+ * it.
  */
 export function readFrames(bytes: Buffer): DecodedFrames {
   if (bytes.length < HEADER.length && HEADER.subarray(0, bytes.length).equals(bytes))
-    return { entries: [], end: 0 };
+    return { entries: [], validLength: 0 };
   if (!bytes.subarray(0, HEADER.length).equals(HEADER)) throw new DamagedFrameError(0, 'this is no outbox');
   const entries: unknown[] = [];
   let end = HEADER.length;
@@ -66,24 +67,27 @@
   }
   if (hasFrameAfter(bytes, end))
     throw new DamagedFrameError(end, 'a record is damaged, and others follow it');
-  return { entries, end };
+  return { entries, validLength: end };
 }
 
-/** A length that was damaged to reach beyond the end must not hide what comes after it either. */
+/**
+ * Whether an intact frame begins after `offset`. Searches for the marker instead of skipping by the length
+ * field, as a damaged length may point beyond the end of the file.
+ */
 function hasFrameAfter(bytes: Buffer, offset: number): boolean {
-  let mark = bytes.indexOf(MARK, offset + 1);
-  while (mark >= 0) {
-    if (frameAt(bytes, mark) !== null) return true;
-    mark = bytes.indexOf(MARK, mark + 1);
+  let markerOffset = bytes.indexOf(FRAME_MARKER, offset + 1);
+  while (markerOffset >= 0) {
+    if (frameAt(bytes, markerOffset) !== null) return true;
+    markerOffset = bytes.indexOf(FRAME_MARKER, markerOffset + 1);
   }
   return false;
 }
 
-/** The payload of a whole and undamaged frame at `offset`, and where the next one begins. */
+/** The payload of the intact frame at `offset` and the offset after it; null if there is none. */
 function frameAt(bytes: Buffer, offset: number): { payload: Buffer; end: number } | null {
   const payloadStart = offset + PAYLOAD_OFFSET;
   if (payloadStart > bytes.length) return null;
-  if (!bytes.subarray(offset, offset + MARK.length).equals(MARK)) return null;
+  if (!bytes.subarray(offset, offset + FRAME_MARKER.length).equals(FRAME_MARKER)) return null;
   const length = bytes.readUInt32LE(offset + LENGTH_OFFSET);
   const end = payloadStart + length;
   if (length > MAX_PAYLOAD_BYTES || end > bytes.length) return null;
@@ -93,19 +97,19 @@
 }
 
 function checksum(frame: Uint8Array, payloadLength: number): number {
-  const ofLength = crc.buf(frame.subarray(LENGTH_OFFSET, CHECKSUM_OFFSET));
-  return crc.buf(frame.subarray(PAYLOAD_OFFSET, PAYLOAD_OFFSET + payloadLength), ofLength) >>> 0;
+  const lengthChecksum = crc.buf(frame.subarray(LENGTH_OFFSET, CHECKSUM_OFFSET));
+  return crc.buf(frame.subarray(PAYLOAD_OFFSET, PAYLOAD_OFFSET + payloadLength), lengthChecksum) >>> 0;
 }
 
 function parsePayload(payload: Buffer, offset: number): unknown[] {
-  const unreadable = (cause?: unknown): DamagedFrameError =>
+  const invalidPayload = (cause?: unknown): DamagedFrameError =>
     new DamagedFrameError(offset, 'a record cannot be read', cause);
-  let list: unknown;
+  let entries: unknown;
   try {
-    list = JSON.parse(payload.toString('utf8'));
+    entries = JSON.parse(payload.toString('utf8'));
   } catch (error) {
-    throw unreadable(error);
+    throw invalidPayload(error);
   }
-  if (!Array.isArray(list)) throw unreadable();
-  return list;
+  if (!Array.isArray(entries)) throw invalidPayload();
+  return entries;
 }
--- a/packages/client/src/request-dispatcher.ts
+++ b/packages/client/src/request-dispatcher.ts
@@ -1,85 +1,88 @@
-// Decides which requests are sent now and to which node: cancellations before submissions before status
-// polls, within the connections of the nodes and the budget for retries.
+// Decides which requests are sent now and to which node: cancellations first, then submissions, then status
+// polls, within the limits of open requests per node and of the retry budget.
 import { NodeHealth } from './node-health.ts';
 import { RetryBudget } from './retry-policy.ts';
 import type { Effect } from './session-messages.ts';
 import { callFor, type Operation, type TrackedJob } from './tracked-job.ts';
 
-/** The nodes of the service and how they may be used. */
+/** The nodes of the service and the limits on requests. */
 export interface DispatcherOptions {
   /** Addresses, `host:port`. */
   nodes: readonly string[];
-  /** Requests under way at one node at most. */
+  /** Maximum number of requests in flight at one node. */
   perNode: number;
-  /** Random numbers from 0 to below 1. */
+  /** Returns random numbers from 0 to below 1. */
   random: () => number;
 }
 
-/** A request that was sent and not answered yet. */
+/** A request that was sent and has not completed yet. */
 export interface InFlightRequest {
   readonly job: TrackedJob;
   readonly operation: Operation;
   readonly node: string;
-  /** The job has asked for something else since: the answer only tells how the node is. */
-  superseded: boolean;
+  /** Whether a newer request of the job replaces this one: its response only counts for the node's health. */
+  isSuperseded: boolean;
 }
 
-/** Jobs that could be sent now if a node had a free connection. */
-interface ReadyJobs {
+/** Jobs with a request that is ready to be sent. */
+interface ReadyQueues {
   readonly firstAttempts: Set<TrackedJob>;
-  /** These need a token of the retry budget. */
+  /** Jobs whose last attempt failed; sending them takes a token of the retry budget. */
   readonly retries: Set<TrackedJob>;
 }
 
-const OPERATIONS_BY_RANK = ['cancel', 'submit', 'status'] as const;
-/** As long as the service takes to answer, by its own limits, and a little for the network. */
-const TIMEOUT_MS: Record<Operation, number> = { cancel: 5500, submit: 5500, status: 2500 };
+const OPERATIONS_BY_PRIORITY = ['cancel', 'submit', 'status'] as const;
+/** The service's own limit on response times, plus a margin for the network. */
+const REQUEST_TIMEOUT_MS: Record<Operation, number> = { cancel: 5500, submit: 5500, status: 2500 };
 const RETRIES_PER_S = 5;
 const RETRIES_PER_SUCCESS = 0.5;
-const MAX_SAVED_RETRIES = 50;
-/** Submissions take at most this part of the connections, so that ends are noticed under any load. */
+const RETRY_BUDGET_CAPACITY = 50;
+/** Maximum fraction of the connections used by submissions, so that status polls get through at any load. */
 const MAX_SUBMISSION_FRACTION = 0.7;
 
-const noJobs = (): ReadyJobs => ({ firstAttempts: new Set(), retries: new Set() });
+const emptyQueues = (): ReadyQueues => ({ firstAttempts: new Set(), retries: new Set() });
 
-/** Queues of requests that are ready, the requests under way, and the health of the nodes. */
+/** Keeps the queues of ready requests, the requests in flight and the health of the nodes. */
 export class RequestDispatcher {
-  private readonly ready: Record<Operation, ReadyJobs> = {
-    cancel: noJobs(),
-    submit: noJobs(),
-    status: noJobs(),
+  private readonly ready: Record<Operation, ReadyQueues> = {
+    cancel: emptyQueues(),
+    submit: emptyQueues(),
+    status: emptyQueues(),
   };
   private readonly inFlight = new Map<number, InFlightRequest>();
   private readonly health: NodeHealth;
   private readonly retryBudget = new RetryBudget({
     perSecond: RETRIES_PER_S,
     perSuccess: RETRIES_PER_SUCCESS,
-    maxSaved: MAX_SAVED_RETRIES,
+    capacity: RETRY_BUDGET_CAPACITY,
   });
   private readonly maxSubmissions: number;
   private submissionsInFlight = 0;
   private nextTag = 1;
   private blockedUntilMs = Number.POSITIVE_INFINITY;
 
-  /** `options`: the nodes and the limits of their use. */
+  /** `options`: the nodes and the limits on requests. */
   constructor(options: DispatcherOptions) {
     this.health = new NodeHealth(options.nodes, options.perNode, options.random);
     const connections = options.nodes.length * options.perNode;
     this.maxSubmissions = Math.max(1, Math.floor(connections * MAX_SUBMISSION_FRACTION));
   }
 
-  /** When a ready request that cannot be sent now may be; infinite if none waits for time alone. */
+  /**
+   * The earliest time at which a ready request that is blocked now may be sent; infinite if no request is
+   * blocked only until a certain time.
+   */
   get blockedUntil(): number {
     return this.blockedUntilMs;
   }
 
-  /** Makes a job ready to be sent. */
+  /** Adds a job to the queue of ready requests of an operation. */
   enqueue(job: TrackedJob, operation: Operation): void {
     const { firstAttempts, retries } = this.ready[operation];
     (job.attempts > 0 ? retries : firstAttempts).add(job);
   }
 
-  /** Takes a job out of all queues. */
+  /** Removes a job from all queues. */
   remove(job: TrackedJob): void {
     for (const { firstAttempts, retries } of Object.values(this.ready)) {
       firstAttempts.delete(job);
@@ -87,53 +90,54 @@
     }
   }
 
-  /** The answer to the request that is under way for a job will not count. */
+  /** Marks the job's request in flight, if there is one, as superseded: its response will be ignored. */
   supersede(job: TrackedJob): void {
     const request = job.requestTag === null ? undefined : this.inFlight.get(job.requestTag);
-    if (request !== undefined) request.superseded = true;
+    if (request !== undefined) request.isSuperseded = true;
     job.requestTag = null;
   }
 
-  /**
-   * Takes note of an answer, or of none, and gives the request that it belongs to; null for an unknown tag.
-   */
-  complete(tag: number, answered: boolean, now: number): InFlightRequest | null {
+  /** Records that a request was answered or failed, and returns the request; null for an unknown tag. */
+  complete(tag: number, wasAnswered: boolean, now: number): InFlightRequest | null {
     const request = this.inFlight.get(tag);
     if (request === undefined) return null;
     this.inFlight.delete(tag);
     if (request.operation === 'submit') this.submissionsInFlight--;
-    if (answered) this.health.recordAnswer(request.node);
+    if (wasAnswered) this.health.recordResponse(request.node);
     else this.health.recordFailure(request.node, now);
     return request;
   }
 
-  /** A request was answered for good: the budget for retries grows. */
+  /** Records a successful response, which adds to the retry budget. */
   recordSuccess(): void {
     this.retryBudget.recordSuccess();
   }
 
-  /** Sends what may be sent. Looks at no more jobs than it sends and one for each limit that stops it. */
+  /**
+   * Sends all requests that the limits allow. Visits only the jobs that it sends and one more for each limit
+   * reached, so that the cost does not grow with the length of the queues.
+   */
   dispatch(now: number, effects: Effect[]): void {
     this.blockedUntilMs = Number.POSITIVE_INFINITY;
-    for (const operation of OPERATIONS_BY_RANK) {
+    for (const operation of OPERATIONS_BY_PRIORITY) {
       if (!this.sendFirstAttempts(operation, now, effects)) return;
       if (!this.sendRetries(operation, now, effects)) return;
     }
   }
 
-  /** False if no node has a free connection. */
+  /** Returns false if no node is available. */
   private sendFirstAttempts(operation: Operation, now: number, effects: Effect[]): boolean {
     for (const job of this.ready[operation].firstAttempts) {
-      if (this.isLimited(operation)) break;
+      if (this.isAtSubmissionLimit(operation)) break;
       if (!this.send(job, operation, now, effects)) return false;
     }
     return true;
   }
 
-  /** False if no node has a free connection. */
+  /** Returns false if no node is available. */
   private sendRetries(operation: Operation, now: number, effects: Effect[]): boolean {
     for (const job of this.ready[operation].retries) {
-      if (this.isLimited(operation)) break;
+      if (this.isAtSubmissionLimit(operation)) break;
       const waitMs = this.retryBudget.take(now);
       if (waitMs > 0) {
         this.blockUntil(now + waitMs);
@@ -147,11 +151,11 @@
     return true;
   }
 
-  private isLimited(operation: Operation): boolean {
+  private isAtSubmissionLimit(operation: Operation): boolean {
     return operation === 'submit' && this.submissionsInFlight >= this.maxSubmissions;
   }
 
-  /** False if no node has a free connection. */
+  /** Returns false if no node is available. */
   private send(job: TrackedJob, operation: Operation, now: number, effects: Effect[]): boolean {
     const node = this.health.acquire(now, job.attempts > 0 ? job.lastNode : null);
     if (node === null) {
@@ -163,16 +167,16 @@
     job.requestTag = tag;
     job.lastNode = node;
     if (operation === 'submit') {
-      job.maybeSent = true;
+      job.mayHaveBeenSent = true;
       this.submissionsInFlight++;
     }
-    this.inFlight.set(tag, { job, operation, node, superseded: false });
+    this.inFlight.set(tag, { job, operation, node, isSuperseded: false });
     const call = callFor(operation, job);
-    effects.push({ kind: 'send', tag, node, call, timeoutMs: TIMEOUT_MS[operation] });
+    effects.push({ kind: 'send', tag, node, call, timeoutMs: REQUEST_TIMEOUT_MS[operation] });
     return true;
   }
 
-  private blockUntil(time: number): void {
-    this.blockedUntilMs = Math.min(this.blockedUntilMs, time);
+  private blockUntil(timeMs: number): void {
+    this.blockedUntilMs = Math.min(this.blockedUntilMs, timeMs);
   }
 }
--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -1,5 +1,5 @@
-// A caller's job, completed with the defaults, in the form that the service takes; refused here if it cannot
-// be right.
+// Encodes a caller's job, completed with the defaults, as a submission for the service. Invalid requests are
+// rejected here, before anything is sent.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
 import { isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
@@ -8,8 +8,8 @@
 import type { JobId, TeamName, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { InvalidRequestError, type JobRequest } from './types.ts';
 
-/** Every field of a request; the type holds the list to `JobRequest`. */
-const FIELDS: Record<keyof JobRequest, true> = {
+/** All field names of a request. The type makes the compiler check that the list matches `JobRequest`. */
+const REQUEST_FIELDS: Record<keyof JobRequest, true> = {
   team: true,
   class: true,
   kind: true,
@@ -32,15 +32,15 @@
   awaits: true,
 };
 
-/** A new job id, unique over machines, processes and restarts: 122 random bits. */
+/** Returns a new job id with 122 random bits, unique across machines, processes and restarts. */
 export const newId = (): string => `run-${randomUUID()}`;
 
-/** The body of the submission. Throws InvalidRequestError naming the field. */
+/** Encodes the body of a submission. Throws InvalidRequestError that names the invalid field. */
 export function bodyOf(id: string, request: JobRequest): string {
   checkRequest(id, request);
   const body = encodeJob(specOf(id as JobId, request));
   try {
-    // What the service would refuse as malformed is refused before it is recorded.
+    // The parser of the service runs here too, so that a malformed request is rejected before it is recorded.
     parseJob(JSON.parse(body));
   } catch (error) {
     if (!(error instanceof InvalidMessageError)) throw error;
@@ -50,8 +50,8 @@
 }
 
 function checkRequest(id: string, request: JobRequest): void {
-  const unknown = Object.keys(request).find((field) => !Object.hasOwn(FIELDS, field));
-  if (unknown !== undefined) throw new InvalidRequestError(`${unknown}: there is no such field`);
+  const unknownField = Object.keys(request).find((field) => !Object.hasOwn(REQUEST_FIELDS, field));
+  if (unknownField !== undefined) throw new InvalidRequestError(`${unknownField}: there is no such field`);
   if (!isJobId(id)) throw new InvalidRequestError(`${id}: a job id looks like run-000412`);
   const { priority } = request;
   if (priority !== undefined && !Object.hasOwn(PRIORITIES, priority))
--- a/packages/client/src/retry-policy.ts
+++ b/packages/client/src/retry-policy.ts
@@ -1,87 +1,93 @@
-// When a request is sent again, and how many retries there may be. Without a `Retry-After`, the delay is a
-// random part of a bound that doubles (exponential backoff with full jitter). Retries spend from a budget
-// that successes fill, so that a client with a thousand jobs does not ask ten times as much of a service in
-// trouble as of a healthy one.
+// Delays of retries and status polls, and the retry budget. Without a `Retry-After` header, the delay before
+// a retry is a random fraction of a bound that doubles with each attempt (exponential backoff with full
+// jitter), plus a minimum. Retries take tokens from a budget that successful requests refill, so that a
+// client with a thousand jobs does not send ten times as many requests to an overloaded service as to a
+// healthy one.
 
-/** Bound of the first delay. */
-const FIRST_BACKOFF_MS = 1000;
+/** Upper bound of the random part of the first delay. */
+const BASE_BACKOFF_MS = 1000;
 const MAX_BACKOFF_MS = 30_000;
-/** No retry comes sooner; the service's own rule for its users. */
+/** Minimum delay of a retry, as the service requires of its users. */
 const MIN_DELAY_MS = 1000;
-/** `2 **` this many doublings is above every bound; more would overflow. */
+/** Limit on the exponent of the backoff: reaches MAX_BACKOFF_MS in any case, and does not overflow. */
 const MAX_DOUBLINGS = 20;
 /**
- * What `Retry-After` asks for is spread by up to this part, as the service gives the same to many clients.
+ * A delay from `Retry-After` is lengthened by up to this fraction, so that clients that were given the same
+ * value do not retry at the same time.
  */
 const RETRY_AFTER_JITTER = 0.1;
 
 const MIN_POLL_MS = 1000;
 const MAX_POLL_MS = 15_000;
-/** The status of a job is polled again after this part of its age. */
+/** The interval between status polls of a job is this fraction of its age. */
 const POLL_AGE_FRACTION = 0.05;
 
 /**
- * Delay in milliseconds before attempt `attempts + 1`. `retryAfterS`: what the service asked for, null for
- * nothing; `random`: numbers from 0 to below 1.
+ * Returns the delay in milliseconds before attempt `attempts + 1`. `retryAfterS`: the value of the
+ * `Retry-After` header, null without one; `random`: returns numbers from 0 to below 1.
  */
 export function backoffMs(attempts: number, retryAfterS: number | null, random: () => number): number {
   if (retryAfterS !== null)
     return Math.max(MIN_DELAY_MS, retryAfterS * 1000 * (1 + random() * RETRY_AFTER_JITTER));
   const doublings = Math.min(MAX_DOUBLINGS, Math.max(0, attempts - 1));
-  const bound = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** doublings);
-  return MIN_DELAY_MS + random() * bound;
+  const maxDelayMs = Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS * 2 ** doublings);
+  return MIN_DELAY_MS + random() * maxDelayMs;
 }
 
-/** Milliseconds until the status of a job of this age is asked for again, spread by a tenth to both sides. */
+/** Returns the milliseconds until the next status poll of a job of this age, randomized by ±10%. */
 export function pollIntervalMs(ageMs: number, random: () => number): number {
-  const interval = Math.min(MAX_POLL_MS, Math.max(MIN_POLL_MS, ageMs * POLL_AGE_FRACTION));
-  return interval * (0.9 + random() * 0.2);
+  const intervalMs = Math.min(MAX_POLL_MS, Math.max(MIN_POLL_MS, ageMs * POLL_AGE_FRACTION));
+  return intervalMs * (0.9 + random() * 0.2);
 }
 
 /**
- * Seconds of a `Retry-After` header; null if there is none that can be read. Dates are not in the protocol.
+ * Parses a `Retry-After` header in seconds; null if it is absent or malformed. Dates are not supported, as
+ * the protocol does not use them.
  */
-export function retryAfterS(value: string | undefined): number | null {
+export function parseRetryAfterS(value: string | undefined): number | null {
   if (value === undefined || !/^\d{1,6}$/.test(value.trim())) return null;
   return Number(value);
 }
 
-/** How a retry budget is filled. */
+/** Refill rates and capacity of a retry budget. */
 export interface RetryBudgetOptions {
-  /** Retries a second that are always allowed. */
+  /** Tokens added per second. */
   perSecond: number;
-  /** Retries more for each request that is answered for good. */
+  /** Tokens added for each successful request. */
   perSuccess: number;
-  /** Retries that can be saved up; the budget begins with as many. */
-  maxSaved: number;
+  /** Maximum number of tokens, and the initial number. */
+  capacity: number;
 }
 
-/** A token bucket for retries. */
+/** Token bucket that limits retries. */
 export class RetryBudget {
   private tokens: number;
-  private refilledAt: number | null = null;
+  private refilledAtMs: number | null = null;
 
-  /** `options`: how it is filled. */
+  /** `options`: refill rates and capacity. */
   constructor(private readonly options: RetryBudgetOptions) {
-    this.tokens = options.maxSaved;
+    this.tokens = options.capacity;
   }
 
-  /** The retry that was taken is not made. */
+  /** Returns the token of a retry that was not sent. */
   refund(): void {
     this.tokens++;
   }
 
-  /** A request was answered for good. */
+  /** Adds tokens for a successful request. */
   recordSuccess(): void {
-    this.tokens = Math.min(this.options.maxSaved, this.tokens + this.options.perSuccess);
+    this.tokens = Math.min(this.options.capacity, this.tokens + this.options.perSuccess);
   }
 
-  /** Takes one retry: 0 if it may be sent now, otherwise the milliseconds after which to ask again. */
-  take(now: number): number {
-    const { perSecond, maxSaved } = this.options;
-    if (this.refilledAt !== null)
-      this.tokens = Math.min(maxSaved, this.tokens + ((now - this.refilledAt) / 1000) * perSecond);
-    this.refilledAt = now;
+  /**
+   * Takes the token for one retry and returns 0, or returns the milliseconds until a token is available.
+   * `nowMs`: steady clock.
+   */
+  take(nowMs: number): number {
+    const { perSecond, capacity } = this.options;
+    if (this.refilledAtMs !== null)
+      this.tokens = Math.min(capacity, this.tokens + ((nowMs - this.refilledAtMs) / 1000) * perSecond);
+    this.refilledAtMs = nowMs;
     if (this.tokens < 1) return Math.ceil(((1 - this.tokens) / perSecond) * 1000);
     this.tokens--;
     return 0;
--- a/packages/client/src/schedule.ts
+++ b/packages/client/src/schedule.ts
@@ -1,61 +1,63 @@
-// Items by the time at which something is due for them. With 100,000 open jobs an input looks at those that
-// are due, not at all of them. An item whose time changes is added again; its outdated entries are skipped
-// when they come up.
+// Priority queue of items by due time. With 100,000 open jobs, a step of the session visits only the due jobs
+// instead of all of them. When the time of an item changes, a new timer is added; outdated timers stay in the
+// heap and are skipped when they reach its top.
 import TinyQueue from 'tinyqueue';
 
+/** The time at which an item is due. */
 interface Timer<T> {
-  readonly at: number;
-  /** Timers of the same time fire in the order in which they were set. */
-  readonly order: number;
+  readonly dueAt: number;
+  /** Number in the order of `set` calls; breaks ties between timers of the same time. */
+  readonly sequence: number;
   readonly item: T;
 }
 
-/** Below this many timers outdated ones are not worth removing. */
-const MIN_REBUILD = 64;
-/** Timers for each item, outdated ones included, from which on the outdated ones are removed. */
+/** Outdated timers are not removed from a heap of at most this many timers. */
+const MIN_TIMERS_TO_REBUILD = 64;
+/** Outdated timers are removed when the heap has more than this many timers per item. */
 const MAX_TIMERS_PER_ITEM = 3;
 
-const earlierFirst = (a: Timer<unknown>, b: Timer<unknown>): number => a.at - b.at || a.order - b.order;
+const byDueTime = (a: Timer<unknown>, b: Timer<unknown>): number =>
+  a.dueAt - b.dueAt || a.sequence - b.sequence;
 
-/** One timer for each item; times are in milliseconds. */
+/** Keeps one timer for each item. Times are in milliseconds. */
 export class Schedule<T> {
-  private heap = new TinyQueue<Timer<T>>([], earlierFirst);
-  private readonly current = new Map<T, Timer<T>>();
-  private nextOrder = 0;
-
-  /** Sets the time of an item, in place of an earlier one. */
-  set(item: T, at: number): void {
-    const timer = { at, order: this.nextOrder++, item };
-    this.current.set(item, timer);
+  private heap = new TinyQueue<Timer<T>>([], byDueTime);
+  private readonly currentTimers = new Map<T, Timer<T>>();
+  private nextSequence = 0;
+
+  /** Sets the due time of an item, replacing an earlier one. */
+  set(item: T, dueAt: number): void {
+    const timer = { dueAt, sequence: this.nextSequence++, item };
+    this.currentTimers.set(item, timer);
     this.heap.push(timer);
     const { length } = this.heap;
-    if (length > MIN_REBUILD && length > MAX_TIMERS_PER_ITEM * this.current.size)
-      this.heap = new TinyQueue([...this.current.values()], earlierFirst);
+    if (length > MIN_TIMERS_TO_REBUILD && length > MAX_TIMERS_PER_ITEM * this.currentTimers.size)
+      this.heap = new TinyQueue([...this.currentTimers.values()], byDueTime);
   }
 
-  /** Nothing is due for the item any more. */
+  /** Removes the timer of an item. */
   delete(item: T): void {
-    this.current.delete(item);
+    this.currentTimers.delete(item);
   }
 
-  /** The earliest time at which something is due; infinite if nothing is. */
-  get next(): number {
+  /** The earliest due time; infinite if there are no timers. */
+  get nextDueAt(): number {
     let top = this.heap.peek();
-    while (top !== undefined && this.current.get(top.item) !== top) {
+    while (top !== undefined && this.currentTimers.get(top.item) !== top) {
       this.heap.pop();
       top = this.heap.peek();
     }
-    return top?.at ?? Number.POSITIVE_INFINITY;
+    return top?.dueAt ?? Number.POSITIVE_INFINITY;
   }
 
   /**
-   * Takes out one item that is due; null if none is. Those of the same time come in the order in which they
-   * were set.
+   * Removes and returns the item that is due first; null if no item is due. Items with the same due time are
+   * returned in the order in which their times were set.
    */
   takeDue(now: number): T | null {
-    if (this.next > now) return null;
+    if (this.nextDueAt > now) return null;
     const { item } = this.heap.pop()!;
-    this.current.delete(item);
+    this.currentTimers.delete(item);
     return item;
   }
 }
--- a/packages/client/src/session-driver.ts
+++ b/packages/client/src/session-driver.ts
@@ -1,51 +1,51 @@
-// Drives a session: carries out its effects with sockets, the journal and a timer, and feeds back what comes
-// of them.
+// Drives a session: executes its effects with sockets, the journal and a timer, and passes the results back
+// to it as inputs.
 import { type ClientReply, HttpClient } from '../../../src/http/client.ts';
 import { openJournalFile } from './journal-file.ts';
 import { RequestJournal } from './request-journal.ts';
-import { retryAfterS } from './retry-policy.ts';
+import { parseRetryAfterS } from './retry-policy.ts';
 import { Session } from './session.ts';
 import type { Effect, Input, SendEffect, ServiceResponse } from './session-messages.ts';
 import type { JobState, JournalError, Outcome } from './types.ts';
 
-/** Whoever is told what becomes of the jobs of a session. */
+/** Receives the events of the jobs of a session. */
 export interface SessionListener {
-  /** The service has accepted a job. */
+  /** Called when the service has accepted a job. */
   onAccepted(id: string): void;
-  /** The service gave a new state of a job. */
+  /** Called when the service has reported a new state of a job. */
   onStateChanged(state: JobState): void;
-  /** A job has its outcome; called once for each job. */
+  /** Called once for each job, with its outcome. */
   onOutcome(outcome: Outcome): void;
-  /** The journal cannot be written: nothing more is sent. */
+  /** Called when the journal cannot be written; nothing is sent after that. */
   onFailure(error: JournalError): void;
 }
 
-/** How a session reaches the service. */
+/** Nodes and connections of a session. */
 export interface SessionDriverOptions {
-  /** Addresses, `host:port`. */
+  /** Addresses of the nodes, `host:port`. */
   nodes: readonly string[];
-  /** Connections to each node. */
+  /** Maximum number of connections to each node. */
   connections: number;
 }
 
 const MAX_RESPONSE_BYTES = 1 << 20;
-/** Longer timers would overflow; a wake too many does no harm. */
-const MAX_TIMER_MS = 1e9;
+/** Limit on the delay of a timer, as `setTimeout` overflows above 2^31 ms. Waking early has no effect. */
+const MAX_TIMER_DELAY_MS = 1e9;
 const NEVER = Number.POSITIVE_INFINITY;
 
-/** A session with its connections, journal and timer. */
+/** Runs a session with its connections, journal and timer. */
 export class SessionDriver {
   private readonly session: Session;
   private readonly connections = new Map<string, HttpClient>();
-  /** Outcomes that are published when the journal entry of this number is on disk. */
+  /** Outcomes to be published when a journal entry is on disk, by the number of that entry. */
   private readonly unpublished = new Map<number, Outcome>();
   private openedJournal: RequestJournal | null = null;
   private timer: NodeJS.Timeout | null = null;
-  private timerSetFor = NEVER;
+  private timerSetForMs = NEVER;
   private journalError: JournalError | null = null;
   private stopped = false;
 
-  /** `listener`: is told what becomes of the jobs. */
+  /** `listener`: receives the events of the jobs. */
   constructor(
     options: SessionDriverOptions,
     private readonly listener: SessionListener,
@@ -56,12 +56,12 @@
       this.connections.set(node, new HttpClient(node, connections, MAX_RESPONSE_BYTES));
   }
 
-  /** The journal; null without one. */
+  /** The journal; null if none was opened. */
   get journal(): RequestJournal | null {
     return this.openedJournal;
   }
 
-  /** Why nothing more is sent; null if all is well. */
+  /** The journal error because of which nothing more is sent; null if there was none. */
   get failure(): JournalError | null {
     return this.journalError;
   }
@@ -71,7 +71,7 @@
     return this.stopped;
   }
 
-  /** Opens the journal; throws JournalError. */
+  /** Opens the journal. Throws JournalError if the file cannot be locked or read. */
   async openJournal(fileName: string): Promise<RequestJournal> {
     const file = await openJournalFile(fileName);
     try {
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Gives an input to the session, and carries out what it asks for. */
+  /** Passes an input to the session and executes the resulting effects. */
   step(input: Input): void {
     if (this.stopped || this.journalError !== null) return;
     const effects = this.session.step(performance.now(), Date.now(), input);
@@ -91,13 +91,13 @@
     this.armTimer();
   }
 
-  /** From now on nothing is sent. */
+  /** Stops the session: later inputs are ignored and nothing more is sent. */
   stop(): void {
     this.stopped = true;
     if (this.timer !== null) clearTimeout(this.timer);
   }
 
-  /** Closes connections and journal. */
+  /** Closes the connections and the journal. */
   async close(): Promise<void> {
     for (const connection of this.connections.values()) connection.close();
     await this.openedJournal?.close();
@@ -110,13 +110,13 @@
 
   private armTimer(): void {
     const { nextWake } = this.session;
-    if (nextWake === this.timerSetFor && this.timer !== null) return;
+    if (nextWake === this.timerSetForMs && this.timer !== null) return;
     if (this.timer !== null) clearTimeout(this.timer);
-    this.timerSetFor = nextWake;
+    this.timerSetForMs = nextWake;
     this.timer = null;
     if (nextWake === NEVER) return;
     const delayMs = Math.max(0, Math.ceil(nextWake - performance.now()));
-    this.timer = setTimeout(() => this.wake(), Math.min(MAX_TIMER_MS, delayMs));
+    this.timer = setTimeout(() => this.wake(), Math.min(MAX_TIMER_DELAY_MS, delayMs));
   }
 
   private wake(): void {
@@ -137,7 +137,7 @@
       case 'state-changed':
         return this.listener.onStateChanged(effect.state);
       case 'outcome':
-        if (effect.after > 0) this.unpublished.set(effect.after, effect.outcome);
+        if (effect.afterSeq > 0) this.unpublished.set(effect.afterSeq, effect.outcome);
         else this.listener.onOutcome(effect.outcome);
     }
   }
@@ -166,5 +166,5 @@
 const serviceResponse = (reply: ClientReply): ServiceResponse => ({
   status: reply.status,
   body: reply.body.toString('utf8'),
-  retryAfterS: retryAfterS(reply.headers.get('retry-after')),
+  retryAfterS: parseRetryAfterS(reply.headers.get('retry-after')),
 });
--- a/packages/client/src/session-messages.ts
+++ b/packages/client/src/session-messages.ts
@@ -1,11 +1,10 @@
-// What goes in and out of a session: inputs, effects, and the entries of the journal that outlive the
-// process.
+// Inputs and effects of a session, and the entries of the journal, which persist beyond the process.
 import type { UserCall } from '../../../src/protocol/user.ts';
 import type { JobState, Outcome } from './types.ts';
 
 /**
  * One entry of the request journal, in the form in which it is stored. A job without an `over` entry is
- * resumed by whoever opens the journal next.
+ * resumed when the journal is opened again.
  */
 export type JournalEntry =
   | { op: 'submit'; id: string; key: string | null; body: string }
@@ -13,54 +12,57 @@
   | { op: 'cancel'; id: string }
   | { op: 'over'; id: string; outcome: Outcome };
 
-/** A job as the entries of the journal describe it. */
+/** State of a job, built from its journal entries. */
 export interface JournaledJob {
   id: string;
-  /** The caller's own name for it. */
+  /** The caller's own name for the job; null without one. */
   key: string | null;
-  /** Body of the submission; null once the job has ended, as it is not sent any more. */
+  /** Body of the submission; null after the job has ended, as it is not needed any more. */
   body: string | null;
   accepted: boolean;
   cancelRequested: boolean;
   outcome: Outcome | null;
 }
 
-/** What the service answered to one request. */
+/** Response of the service to one request. */
 export interface ServiceResponse {
-  /** HTTP status. */
+  /** HTTP status code. */
   status: number;
   body: string;
-  /** Seconds of the `Retry-After` header; null without one. */
+  /** Value of the `Retry-After` header in seconds; null without one. */
   retryAfterS: number | null;
 }
 
-/** What happens to a session. */
+/** Input of a session. */
 export type Input =
-  /** `acceptMs` and `endMs`: how long the caller waits for acceptance and for the end. */
+  /** Submits a job. `acceptMs` and `endMs`: how long the caller waits for its acceptance and its end. */
   | { kind: 'submit'; id: string; key: string | null; body: string; acceptMs: number; endMs: number }
-  /** A job of an earlier run, or one that others submitted (`body` null and nothing in the journal). */
+  /** Tracks a job of an earlier run, or one of another client (`body` is null and the journal lacks it). */
   | { kind: 'resume'; job: JournaledJob; acceptMs: number; endMs: number }
+  /** Requests the cancellation of a job. */
   | { kind: 'cancel'; id: string }
-  /** The entries of `persist` effects up to this number are on disk. */
+  /** The entries of all `persist` effects up to the number `upTo` are on disk. */
   | { kind: 'persisted'; upTo: number }
-  /** The answer to the `send` of this tag; null: none came. */
+  /** The request of the `send` effect with this tag has ended; `response` is null without a response. */
   | { kind: 'response'; tag: number; response: ServiceResponse | null }
-  /** Time has passed. */
+  /** The time given by `nextWake` has come. */
   | { kind: 'wake' };
 
-/** What a session asks of its driver. */
+/** Output of a session, to be executed by its driver. */
 export type Effect =
-  /** Append this entry to the journal, and answer with `persisted`. */
+  /** Append this entry to the journal, then pass `persisted` with its number to the session. */
   | { kind: 'persist'; seq: number; entry: JournalEntry }
-  /** Send this request to a node, and answer with `response`. */
+  /** Send this request to a node, then pass `response` with its tag to the session. */
   | { kind: 'send'; tag: number; node: string; call: UserCall; timeoutMs: number }
+  /** Publish that the service has accepted a job. */
   | { kind: 'accepted'; id: string }
+  /** Publish a new state of a job. */
   | { kind: 'state-changed'; state: JobState }
   /**
-   * To be published once entry `after` is on disk (0: at once), so that a later run cannot find another
-   * outcome.
+   * Publish an outcome when the journal entry with the number `afterSeq` is on disk (0: immediately), so that
+   * a later run cannot publish a different outcome.
    */
-  | { kind: 'outcome'; outcome: Outcome; after: number };
+  | { kind: 'outcome'; outcome: Outcome; afterSeq: number };
 
-/** A request to a node. */
+/** Effect that sends a request to a node. */
 export type SendEffect = Extract<Effect, { kind: 'send' }>;
--- a/packages/client/src/session.ts
+++ b/packages/client/src/session.ts
@@ -1,10 +1,10 @@
-// The library's state machine: takes what callers ask, what the service answers and the time, and returns
-// what to persist, to send and to publish. No I/O, clock or randomness of its own. What it promises
-// (docs/client.md):
-// - A job is sent only after its id and body are on disk, and always under the same id.
-// - It has one request under way at a time of which the answer counts, so none replaces a newer one.
-// - It ends with one outcome, which is what the service settled on, or the statement that the caller's time
-//   was over.
+// State machine of the library: takes the requests of callers, the responses of the service and the time, and
+// returns what to persist, send and publish. It has no I/O, clock or randomness of its own. Guarantees for
+// each job (docs/client.md):
+// - It is sent only after its id and body are on disk, and always under the same id.
+// - At most one of its requests in flight counts, so an older response never replaces a newer one.
+// - It gets exactly one outcome: the final status reported by the service, a refusal, or `gave-up` when the
+//   caller's time-out is over.
 import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
 import { decodeJobStatus, decodeReason, type JobStatusView } from '../../../src/protocol/user.ts';
 import { type DispatcherOptions, RequestDispatcher } from './request-dispatcher.ts';
@@ -24,29 +24,32 @@
 } from './tracked-job.ts';
 import type { Outcome } from './types.ts';
 
-/** The nodes that a session talks to. */
+/** The nodes of a session and the limits on requests. */
 export type SessionOptions = DispatcherOptions;
 
-/** All jobs of one process that have no outcome yet. */
+/** Tracks all jobs of one process that have no outcome yet. */
 export class Session {
   private readonly jobs = new Map<string, TrackedJob>();
   private readonly dispatcher: RequestDispatcher;
-  /** Jobs by the time at which they are looked at again. */
+  /** Jobs by the time at which `advance` must be called for them. */
   private readonly schedule = new Schedule<TrackedJob>();
-  /** Jobs whose journal entry is not on disk yet, in the order of their numbers. */
-  private readonly unpersisted: TrackedJob[] = [];
+  /** Jobs whose newest journal entry is not on disk yet, in the order of the entries' numbers. */
+  private readonly awaitingPersistence: TrackedJob[] = [];
   private lastSeq = 0;
   private persistedUpTo = 0;
   private effects: Effect[] = [];
   private now = 0;
   private wallTime = 0;
 
-  /** `options`: the nodes and how they may be used. */
+  /** `options`: the nodes and the limits on requests. */
   constructor(private readonly options: SessionOptions) {
     this.dispatcher = new RequestDispatcher(options);
   }
 
-  /** `now`: steady clock; `wallTime`: time of day, only shown to people. Both in milliseconds. */
+  /**
+   * Processes an input and returns the resulting effects. `now`: steady clock; `wallTime`: time of day, used
+   * only in outcomes. Both are in milliseconds.
+   */
   step(now: number, wallTime: number, input: Input): Effect[] {
     this.now = now;
     this.wallTime = wallTime;
@@ -61,9 +64,9 @@
     return this.effects;
   }
 
-  /** When a `wake` is wanted at the latest, in milliseconds of the steady clock. */
+  /** The time by which `wake` must be passed in, in milliseconds of the steady clock. */
   get nextWake(): number {
-    return Math.min(this.schedule.next, this.dispatcher.blockedUntil);
+    return Math.min(this.schedule.nextDueAt, this.dispatcher.blockedUntil);
   }
 
   /** Number of jobs without an outcome. */
@@ -100,17 +103,17 @@
     if (this.jobs.has(input.id)) return;
     const { id, key, body } = input;
     const job = this.track(id, body, input);
-    this.persistFirst(job, { op: 'submit', id, key, body });
+    this.persistBeforeSending(job, { op: 'submit', id, key, body });
   }
 
   private resume(input: Extract<Input, { kind: 'resume' }>): void {
     const { id, body, accepted, cancelRequested } = input.job;
     if (this.jobs.has(id)) return;
     const job = this.track(id, body, input);
-    job.foreign = body === null;
-    job.stage = accepted || job.foreign ? 'accepted' : 'submitting';
-    // The process before may have sent it and ended before the answer came.
-    job.maybeSent = true;
+    job.isExternal = body === null;
+    job.stage = accepted || job.isExternal ? 'accepted' : 'submitting';
+    // The previous process may have sent the submission and ended before the response arrived.
+    job.mayHaveBeenSent = true;
     job.cancelRequested = cancelRequested;
     this.advance(job);
   }
@@ -119,15 +122,15 @@
     const job = this.jobs.get(id);
     if (job === undefined || job.cancelRequested) return;
     job.cancelRequested = true;
-    // A status poll under way, or the pause before the next one, is not waited for.
+    // The cancellation does not wait for a status poll in flight or for the delay before the next one.
     if (job.stage === 'accepted') {
       job.nextAttemptAt = this.now;
       this.dispatcher.remove(job);
       this.dispatcher.supersede(job);
     }
-    // A foreign job has no entry in the journal that this one could belong to.
-    if (job.foreign) this.advance(job);
-    else this.persistFirst(job, { op: 'cancel', id });
+    // An external job has no submit entry in the journal, so its cancellation is not recorded either.
+    if (job.isExternal) this.advance(job);
+    else this.persistBeforeSending(job, { op: 'cancel', id });
   }
 
   // ---- the journal
@@ -138,44 +141,48 @@
   }
 
   /**
-   * Nothing of the job is sent before the entry is on disk: what the service knows, a later run of the script
-   * knows too.
+   * Appends an entry to the journal; no request of the job is sent until it is on disk. So a later run of the
+   * script finds every job that was sent to the service.
    */
-  private persistFirst(job: TrackedJob, entry: JournalEntry): void {
+  private persistBeforeSending(job: TrackedJob, entry: JournalEntry): void {
     job.journalSeq = this.persist(entry);
-    this.unpersisted.push(job);
+    this.awaitingPersistence.push(job);
     this.advance(job);
   }
 
   private recordPersisted(upTo: number): void {
     this.persistedUpTo = Math.max(this.persistedUpTo, upTo);
-    while (this.unpersisted.length > 0 && this.unpersisted[0]!.journalSeq <= this.persistedUpTo)
-      this.advance(this.unpersisted.shift()!);
+    while (
+      this.awaitingPersistence.length > 0 &&
+      this.awaitingPersistence[0]!.journalSeq <= this.persistedUpTo
+    )
+      this.advance(this.awaitingPersistence.shift()!);
   }
 
-  // ---- the next step of a job
+  // ---- next request of a job
 
+  /** Gives the job up if its deadline has passed, otherwise queues its next request when it is due. */
   private advance(job: TrackedJob): void {
     if (job.stage === 'ended') return;
     const deadline = deadlineOf(job);
     if (this.now >= deadline) return this.giveUp(job);
     this.schedule.set(job, deadline);
     if (job.requestTag !== null || job.journalSeq > this.persistedUpTo) return;
-    // The service cannot know a job that was never sent: it ends here.
-    if (job.cancelRequested && job.stage === 'submitting' && !job.maybeSent)
-      return this.settle(job, { kind: 'cancelled', id: job.id });
+    // The job was never sent to the service, so its cancellation needs no request.
+    if (job.cancelRequested && job.stage === 'submitting' && !job.mayHaveBeenSent)
+      return this.endWithOutcome(job, { kind: 'cancelled', id: job.id });
     if (this.now < job.nextAttemptAt) return this.schedule.set(job, Math.min(deadline, job.nextAttemptAt));
     this.dispatcher.enqueue(job, nextOperation(job));
   }
 
-  // ---- answers of the service
+  // ---- responses of the service
 
   private handleResponse(tag: number, response: ServiceResponse | null): void {
     const request = this.dispatcher.complete(tag, response !== null, this.now);
-    if (request === null || request.superseded) return;
+    if (request === null || request.isSuperseded) return;
     const { job, operation, node } = request;
     job.requestTag = null;
-    // Given up meanwhile: its outcome was published and stays.
+    // The job was given up while the request was in flight; the published outcome is final.
     if (job.stage === 'ended') return;
     if (response === null) this.retryLater(job, null, `${node} did not answer`);
     else this.applyResponse(job, operation, response);
@@ -186,9 +193,10 @@
     const { status, body } = response;
     if (status === 200 || status === 201) return this.applyStatusBody(job, operation, body);
     const reason = decodeReason(status, body);
-    const rejected = operation === 'submit' && (status === 400 || status === 422);
-    const unknown = status === 404 && job.foreign;
-    if (rejected || unknown) return this.settle(job, { kind: 'refused', id: job.id, status, reason });
+    const isInvalidSubmission = operation === 'submit' && (status === 400 || status === 422);
+    const isUnknownExternalJob = status === 404 && job.isExternal;
+    if (isInvalidSubmission || isUnknownExternalJob)
+      return this.endWithOutcome(job, { kind: 'refused', id: job.id, status, reason });
     this.retryLater(job, response.retryAfterS, reason);
   }
 
@@ -205,17 +213,18 @@
     this.dispatcher.recordSuccess();
     job.attempts = 0;
     if (job.stage === 'submitting') this.accept(job);
-    const before = job.lastStatus;
+    const previousStatus = job.lastStatus;
     job.lastStatus = jobStatus;
-    if (isNewState(before, jobStatus))
+    if (isNewState(previousStatus, jobStatus))
       this.effects.push({ kind: 'state-changed', state: jobStateOf(job.id, jobStatus) });
     const { status } = jobStatus;
-    if (status === 'done' || status === 'cancelled') return this.settle(job, { kind: status, id: job.id });
-    // Not ended yet though it is to be: asked again like a request that failed.
+    if (status === 'done' || status === 'cancelled')
+      return this.endWithOutcome(job, { kind: status, id: job.id });
+    // The service answered the cancellation, but the job has not ended: retried like a failed request.
     if (operation === 'cancel') return this.retryLater(job, null, 'the job is not cancelled yet');
     job.nextAttemptAt = job.cancelRequested
       ? this.now
-      : this.now + pollIntervalMs(this.now - job.trackedSince, this.options.random);
+      : this.now + pollIntervalMs(this.now - job.trackedSinceMs, this.options.random);
   }
 
   private accept(job: TrackedJob): void {
@@ -230,24 +239,27 @@
     job.nextAttemptAt = this.now + backoffMs(job.attempts, retryAfterS, this.options.random);
   }
 
-  // ---- the end of a job
+  // ---- outcomes
 
-  /** The job has ended at the service. */
-  private settle(job: TrackedJob, outcome: Outcome): void {
-    const after = job.foreign ? 0 : this.persist({ op: 'over', id: job.id, outcome });
-    this.close(job, outcome, after);
+  /**
+   * Ends a job with its final outcome. For a job in the journal, the outcome is persisted before it is
+   * published.
+   */
+  private endWithOutcome(job: TrackedJob, outcome: Outcome): void {
+    const afterSeq = job.isExternal ? 0 : this.persist({ op: 'over', id: job.id, outcome });
+    this.close(job, outcome, afterSeq);
   }
 
-  /** Not persisted: a later run resumes the job and gets to know its outcome. */
+  /** Gives a job up. The outcome is not persisted, so that a later run resumes the job and finds its end. */
   private giveUp(job: TrackedJob): void {
     this.close(job, gaveUpOutcome(job, this.wallTime), 0);
   }
 
-  private close(job: TrackedJob, outcome: Outcome, after: number): void {
+  private close(job: TrackedJob, outcome: Outcome, afterSeq: number): void {
     job.stage = 'ended';
     this.schedule.delete(job);
     this.dispatcher.remove(job);
     this.jobs.delete(job.id);
-    this.effects.push({ kind: 'outcome', outcome, after });
+    this.effects.push({ kind: 'outcome', outcome, afterSeq });
   }
 }
--- a/packages/client/src/submission-limiter.ts
+++ b/packages/client/src/submission-limiter.ts
@@ -1,32 +1,35 @@
-// Back-pressure: a semaphore over the submissions that are not accepted yet.
+// Back-pressure on submissions: a semaphore that limits how many are not accepted yet.
 
-/** Counts submissions under way, and makes callers wait while there are too many. */
+/** Counts pending submissions and makes callers wait while there are too many. */
 export class SubmissionLimiter {
   private pending = 0;
   private readonly waiters: (() => void)[] = [];
   private disabled = false;
 
-  /** `maxPending`: submissions under way from which on callers wait. */
+  /** `maxPending`: number of pending submissions from which on callers wait. */
   constructor(private readonly maxPending: number) {}
 
-  /** A submission is under way. */
+  /** Counts a submission that is now pending. */
   acquire(): void {
     this.pending++;
   }
 
-  /** A submission is no longer under way: the next caller may go on. */
+  /** Ends the count of a submission that is no longer pending, and wakes the next waiting caller. */
   release(): void {
     this.pending--;
     this.waiters.shift()?.();
   }
 
-  /** Nothing is submitted any more: nobody waits from now on. */
+  /** Wakes all waiting callers and lets later ones pass, as nothing is submitted any more. */
   disable(): void {
     this.disabled = true;
     for (const wake of this.waiters.splice(0)) wake();
   }
 
-  /** Resolves when few enough submissions are under way; rejects with the reason of the signal. */
+  /**
+   * Resolves when fewer than the maximum number of submissions are pending. Rejects with the reason of the
+   * signal if it is aborted.
+   */
   async waitForTurn(signal: AbortSignal | undefined): Promise<void> {
     while (this.pending >= this.maxPending && !this.disabled) {
       signal?.throwIfAborted();
@@ -39,7 +42,7 @@
     return new Promise((resolve) => {
       const wake = (): void => {
         signal?.removeEventListener('abort', wake);
-        // A turn given to a caller that has gone away would be lost to the next.
+        // An aborted caller must leave the queue, or a release would wake it in place of the next caller.
         const index = this.waiters.indexOf(wake);
         if (index >= 0) this.waiters.splice(index, 1);
         resolve();
--- a/packages/client/src/tracked-job.ts
+++ b/packages/client/src/tracked-job.ts
@@ -1,4 +1,4 @@
-// A job as the session tracks it, and what follows from its state alone.
+// State of a job in the session, and pure functions of that state.
 import {
   cancelCall,
   type JobStatusView,
@@ -9,44 +9,45 @@
 import type { JobId } from '../../../src/types/index.ts';
 import type { JobState, Outcome } from './types.ts';
 
-/** What can be asked of the service for a job. */
+/** Kind of request to the service about a job. */
 export type Operation = 'cancel' | 'submit' | 'status';
 
-/** A job without an outcome. Times are milliseconds of the session's steady clock. */
+/** A job that the session tracks. Times are in milliseconds of the session's steady clock. */
 export interface TrackedJob {
   readonly id: string;
   readonly body: string | null;
+  /** `ended`: the job has an outcome, and the session no longer tracks it. */
   stage: 'submitting' | 'accepted' | 'ended';
-  /** Nothing of this job may be sent before the journal entry of this number is on disk. */
+  /** No request of this job may be sent before the journal entry with this number is on disk. */
   journalSeq: number;
-  /** A submission may have reached the service, in this process or in an earlier one. */
-  maybeSent: boolean;
-  /** Submitted by others: an answer that it does not exist is believed. */
-  foreign: boolean;
+  /** Whether this process or an earlier one may have sent a submission of the job to the service. */
+  mayHaveBeenSent: boolean;
+  /** Whether another client submitted the job. If so, status 404 of the service is final. */
+  isExternal: boolean;
   cancelRequested: boolean;
   readonly acceptDeadline: number;
   readonly endDeadline: number;
-  /** When it was taken up; decides how often its status is polled. */
-  readonly trackedSince: number;
-  /** Attempts since the last successful answer. */
+  /** Time at which tracking began; the interval between status polls grows with the time since then. */
+  readonly trackedSinceMs: number;
+  /** Failed attempts since the last successful response. */
   attempts: number;
   nextAttemptAt: number;
   lastNode: string | null;
-  /** Why the last attempt failed, for people. */
+  /** Why the last attempt failed, as text for the outcome `gave-up`. */
   lastFailure: string;
-  /** Tag of the request whose answer counts; null if none is under way. */
+  /** Tag of the request in flight whose response counts; null if there is none. */
   requestTag: number | null;
-  /** The newest status that the service gave. */
+  /** The newest status that the service reported. */
   lastStatus: JobStatusView | null;
 }
 
-/** How long the caller waits for acceptance and for the end of a job, in milliseconds. */
+/** How long the caller waits for the acceptance and the end of a job, in milliseconds. */
 export interface CallerTimeouts {
   acceptMs: number;
   endMs: number;
 }
 
-/** A job that was not sent by this process yet. */
+/** Creates the state of a job that this process has not sent yet. */
 export function newTrackedJob(
   id: string,
   body: string | null,
@@ -58,12 +59,12 @@
     body,
     stage: 'submitting',
     journalSeq: 0,
-    maybeSent: false,
-    foreign: false,
+    mayHaveBeenSent: false,
+    isExternal: false,
     cancelRequested: false,
     acceptDeadline: now + Math.min(timeouts.acceptMs, timeouts.endMs),
     endDeadline: now + timeouts.endMs,
-    trackedSince: now,
+    trackedSinceMs: now,
     attempts: 0,
     nextAttemptAt: now,
     lastNode: null,
@@ -73,20 +74,21 @@
   };
 }
 
-/** When the caller stops waiting for what the job waits for now. */
+/** The time at which the job is given up: the accept deadline until it is accepted, then the end deadline. */
 export const deadlineOf = (job: TrackedJob): number =>
   job.stage === 'submitting' ? job.acceptDeadline : job.endDeadline;
 
 /**
- * What is asked for next. A job that may have been sent is submitted until that is settled, also if it is to
- * be cancelled: a cancellation that overtook a submission still under way would cancel nothing.
+ * The next request of a job. While a submission has no successful response, the job is submitted again even
+ * if its cancellation was requested: a cancellation that overtakes a submission still on its way would have
+ * no effect.
  */
 export function nextOperation(job: TrackedJob): Operation {
   if (job.stage === 'submitting') return 'submit';
   return job.cancelRequested ? 'cancel' : 'status';
 }
 
-/** The request for an operation, as the protocol has it. */
+/** The protocol request of an operation. */
 export function callFor(operation: Operation, job: TrackedJob): UserCall {
   const id = job.id as JobId;
   switch (operation) {
@@ -99,7 +101,7 @@
   }
 }
 
-/** A status of the service in the terms of the library's users. */
+/** Converts a status reported by the service to the state that the library's users see. */
 export const jobStateOf = (id: string, { status, done, running }: JobStatusView): JobState => ({
   id,
   phase: status,
@@ -107,14 +109,14 @@
   running,
 });
 
-/** Whether users would see another state than before. */
+/** Whether the state that users see differs between two statuses. */
 export function isNewState(before: JobStatusView | null, after: JobStatusView): boolean {
   return before?.status !== after.status || before.done !== after.done || before.running !== after.running;
 }
 
-/** The outcome of a job whose caller waits no longer; `wallTime` in milliseconds of the time of day. */
+/** The outcome of a job that is given up. `wallTime`: time of day in milliseconds. */
 export function gaveUpOutcome(job: TrackedJob, wallTime: number): Outcome {
-  const accepted = knownAccepted(job);
+  const accepted = acceptanceOf(job);
   const timedOutWhileHealthy = accepted === true && job.attempts === 0;
   return {
     kind: 'gave-up',
@@ -124,14 +126,14 @@
       ? `it is ${job.lastStatus?.status ?? 'accepted'} and has not ended in the time given`
       : job.lastFailure,
     accepted,
-    resume: job.foreign
+    resume: job.isExternal
       ? `ask for ${job.id} again`
       : `submit it again under the id ${job.id}: it is run once however often it is sent`,
   };
 }
 
-/** Whether the service has accepted the job; null if that is not known. */
-function knownAccepted(job: TrackedJob): boolean | null {
+/** Whether the service has accepted the job; null if unknown. */
+function acceptanceOf(job: TrackedJob): boolean | null {
   if (job.stage === 'accepted') return true;
-  return job.maybeSent ? null : false;
+  return job.mayHaveBeenSent ? null : false;
 }
--- a/packages/client/src/types.ts
+++ b/packages/client/src/types.ts
@@ -1,17 +1,20 @@
-// What users of the library see: jobs, their states, outcomes and errors. Durations are in seconds, times in
+// Public types of the library: job requests, states, outcomes and errors. Durations are in seconds, times in
 // milliseconds of the time of day.
 import { SwiftfordError, type SwiftfordErrorOptions } from '../../../src/types/errors.ts';
 
 /**
- * What every task of a job needs and how it runs. Amounts are decimal numbers; left out, a field has the
- * value named.
+ * A job to submit. Resource amounts apply to each task and are decimal numbers. The default of an optional
+ * field is named with it.
  */
 export interface JobRequest {
   /** Team whose quota applies. */
   team: string;
-  /** Job class that it belongs to, as the operators name them. */
+  /** Job class, one of those that the operators define. */
   class: string;
-  /** `array` (default): tasks run on their own. `gang`: all at once or none. `service`: until cancelled. */
+  /**
+   * `array` (default): tasks run independently. `gang`: all tasks run at the same time or none does.
+   * `service`: tasks run until the job is cancelled.
+   */
   kind?: 'array' | 'gang' | 'service';
   /** Default `normal`. */
   priority?: 'critical' | 'urgent' | 'normal' | 'idle';
@@ -33,27 +36,28 @@
   spread?: boolean;
   /** May run on spot (preemptible) machines; default false. */
   spot?: boolean;
-  /** Estimated run time of a task in seconds, without fetching the image. */
+  /** Estimated run time of a task in seconds, not counting the fetching of the image. */
   estimateS: number;
-  /** Seconds of progress after which a task writes a checkpoint by itself; 0 (default): never. */
+  /** Interval of a task's periodic checkpoints in seconds of progress; 0 (default): none. */
   checkpointS?: number;
-  /** Seconds that writing a checkpoint takes when a task is stopped; default 0. */
+  /** Seconds that a task takes to write a checkpoint when it is stopped; default 0. */
   saveS?: number;
-  /** Seconds from submission within which it should be done; null (default): no deadline. */
+  /** Seconds from submission within which the job should be done; null (default): no deadline. */
   deadlineS?: number | null;
-  /** Ids of jobs that must be done before this one starts. */
+  /** Ids of jobs that must be done before this job starts. */
   awaits?: string[];
 }
 
-/** Where a job is on its way. */
+/** Phase of a job. */
 export type JobPhase = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** The state of a job as the service last gave it. */
+/** The state of a job as the service last reported it. */
 export interface JobState {
   id: string;
   phase: JobPhase;
-  /** Tasks done and running, for display. */
+  /** Number of tasks done, for display. */
   done: number;
+  /** Number of tasks running, for display. */
   running: number;
 }
 
@@ -62,22 +66,22 @@
   | { kind: 'done'; id: string }
   | { kind: 'cancelled'; id: string }
   /**
-   * The service will never run it. `status` is that of the answer; null if it was not sent, as what it awaits
-   * failed.
+   * The service will never run the job. `status`: HTTP status of the response; null if the job was not sent
+   * because one of its dependencies failed.
    */
   | { kind: 'refused'; id: string; status: number | null; reason: string }
   /**
-   * The time that the caller gave was over at `at`. `accepted`: whether the service has accepted the job,
-   * null if that is not known. An accepted job goes on; `resume` says how to get to know its end.
+   * The time-out of the caller ended at `at`. `accepted`: whether the service has accepted the job; null if
+   * unknown. An accepted job goes on; `resume` explains how to find out its end.
    */
   | { kind: 'gave-up'; id: string; at: number; reason: string; accepted: boolean | null; resume: string };
 
-/** The journal (option `outbox`) cannot be read or written. Nothing was overwritten. */
+/** The journal (option `outbox`) cannot be read or written. Existing records were not overwritten. */
 export class JournalError extends SwiftfordError {
   override readonly name = 'OutboxError';
   readonly code = 'JOURNAL_FAILED';
 
-  /** `offset`: where in the file, in bytes. */
+  /** `offset`: position of the error in the file, in bytes. */
   constructor(
     readonly file: string,
     readonly offset: number,
@@ -88,7 +92,7 @@
   }
 }
 
-/** A request that the library refuses before anything is recorded or sent. */
+/** A request or option is invalid. The library throws this error before anything is recorded or sent. */
 export class InvalidRequestError extends SwiftfordError {
   override readonly name = 'BadRequest';
   readonly code = 'INVALID_REQUEST';
--- a/packages/client/test/support.ts
+++ b/packages/client/test/support.ts
@@ -1,5 +1,5 @@
-// A service as its users see it, a disk that loses what was not synced, and a script on them, on a clock of
-// the test's.
+// Test doubles for the client library: a service, a disk that loses unsynced bytes in a crash, and a script
+// that runs a session on them. The test controls the clock.
 import { parseJob } from '../../../src/protocol/job.ts';
 import { encodeUserResponse } from '../../../src/protocol/user-response.ts';
 import type { JobId } from '../../../src/types/index.ts';
@@ -20,16 +20,18 @@
   estimateS: 10,
 };
 
-/** Keeps what was synced over `crash`; of the rest as many bytes as the test says. */
+/**
+ * A journal file in memory. `crash` keeps the synced bytes and as many unsynced ones as the test requests.
+ */
 export class FakeDisk implements JournalFile {
   readonly name = 'outbox';
   bytes = Buffer.alloc(0);
-  /** Length that outlives a crash. */
-  synced = 0;
-  /** Bytes that still fit. */
+  /** Number of bytes that survive a crash. */
+  syncedLength = 0;
+  /** Bytes that can still be appended before the disk is full. */
   freeBytes = Number.POSITIVE_INFINITY;
-  /** Whether `sync` does what it says. */
-  honest = true;
+  /** Whether `sync` makes the bytes survive a crash. */
+  syncIsEffective = true;
 
   async read(): Promise<Buffer> {
     return Buffer.from(this.bytes);
@@ -43,47 +45,49 @@
   }
 
   async sync(): Promise<void> {
-    if (this.honest) this.synced = this.bytes.length;
+    if (this.syncIsEffective) this.syncedLength = this.bytes.length;
   }
 
   async truncate(length: number): Promise<void> {
     this.bytes = this.bytes.subarray(0, length);
-    this.synced = Math.min(this.synced, length);
+    this.syncedLength = Math.min(this.syncedLength, length);
   }
 
   async replace(bytes: Buffer): Promise<void> {
     this.bytes = Buffer.from(bytes);
-    this.synced = bytes.length;
+    this.syncedLength = bytes.length;
   }
 
-  check(): void {}
+  checkWritable(): void {}
 
   async close(): Promise<void> {}
 
-  /** The power fails: `unsyncedBytes` of what was not synced are there all the same. */
+  /** Simulates a power failure, which `unsyncedBytes` of the unsynced bytes survive. */
   crash(unsyncedBytes = 0): void {
-    this.bytes = this.bytes.subarray(0, Math.min(this.bytes.length, this.synced + unsyncedBytes));
+    this.bytes = this.bytes.subarray(0, Math.min(this.bytes.length, this.syncedLength + unsyncedBytes));
   }
 }
 
 type FinalStatus = 'done' | 'cancelled';
 
 interface ServiceJob {
-  /** When it is done, in milliseconds. */
-  end: number;
+  /** Time at which the job is done, in milliseconds. */
+  endsAtMs: number;
   final: FinalStatus | null;
   submissions: number;
 }
 
-/** The protocol's promises to users in a few lines: what is accepted runs once, and its end stays. */
+/**
+ * Minimal service with the guarantees of the protocol: an accepted job runs once, and its final status stays.
+ */
 export class Service {
   readonly jobs = new Map<string, ServiceJob>();
 
-  /** `runMs`: how long each job runs. */
+  /** `runMs`: run time of each job. */
   constructor(private readonly runMs: number) {}
 
   answer(now: number, call: { method: string; path: string; body: string | null }): ServiceResponse {
-    for (const job of this.jobs.values()) if (job.final === null && now >= job.end) job.final = 'done';
+    for (const job of this.jobs.values()) if (job.final === null && now >= job.endsAtMs) job.final = 'done';
     if (call.path === '/work') return this.submit(now, call.body!);
     const [, , id, abort] = call.path.split('/');
     const job = this.jobs.get(id!);
@@ -96,26 +100,26 @@
     const { id, team } = parseJob(JSON.parse(body));
     if (team === 'nobody')
       return { status: 422, body: '{"error":"there is no team nobody"}', retryAfterS: null };
-    const job = this.jobs.get(id) ?? { end: now + this.runMs, final: null, submissions: 0 };
+    const job = this.jobs.get(id) ?? { endsAtMs: now + this.runMs, final: null, submissions: 0 };
     job.submissions++;
     this.jobs.set(id, job);
     return this.status(id);
   }
 
   private status(id: string): ServiceResponse {
-    const final = this.jobs.get(id)!.final;
+    const finalStatus = this.jobs.get(id)!.final;
     const { status, body } = encodeUserResponse(
-      final === null
+      finalStatus === null
         ? { kind: 'status', id: id as JobId, status: 'running', done: 0, running: 1 }
-        : { kind: 'ended', id: id as JobId, status: final },
+        : { kind: 'ended', id: id as JobId, status: finalStatus },
     );
     return { status, body, retryAfterS: null };
   }
 }
 
 /**
- * What the network does with a request; `answer` asks the service, now or later, and `respond` delivers a
- * response.
+ * Simulated handling of a request by the network. `answer` delivers the request to the service and returns
+ * its response; `respond` delivers a response to the script. The network may call either later.
  */
 export type Network = (
   send: SendEffect,
@@ -123,8 +127,8 @@
   respond: (response: ServiceResponse | null) => void,
 ) => void;
 
-/** Longer than any test. */
-const FOREVER_MS = 1e9;
+/** A time-out longer than any test. */
+const NO_TIMEOUT_MS = 1e9;
 
 /** One process of a script: a session, its journal and its timers. */
 export class Script {
@@ -134,8 +138,8 @@
   readonly sends: SendEffect[] = [];
   readonly states: string[] = [];
   error: JournalError | null = null;
-  private dead = false;
-  /** Outcomes by the journal entry that must be on disk first. */
+  private isKilled = false;
+  /** Outcomes to be published when a journal entry is on disk, by the number of that entry. */
   private readonly unpublished = new Map<number, Outcome>();
 
   constructor(
@@ -150,13 +154,14 @@
       this.error = error;
     });
     for (const job of this.journal.all())
-      if (job.outcome === null) this.step({ kind: 'resume', job, acceptMs: FOREVER_MS, endMs: FOREVER_MS });
+      if (job.outcome === null)
+        this.step({ kind: 'resume', job, acceptMs: NO_TIMEOUT_MS, endMs: NO_TIMEOUT_MS });
     return this;
   }
 
-  /** Submits under a key once, in whatever process; returns the id. */
-  submit(key: string, request = REQUEST, acceptMs = FOREVER_MS, endMs = FOREVER_MS): string {
-    const journaled = this.journal.find(key);
+  /** Submits a job unless the journal has one under the key; returns its id. */
+  submit(key: string, request = REQUEST, acceptMs = NO_TIMEOUT_MS, endMs = NO_TIMEOUT_MS): string {
+    const journaled = this.journal.getByKey(key);
     if (journaled !== undefined) return journaled.id;
     const id = newId();
     this.step({ kind: 'submit', id, key, body: bodyOf(id, request), acceptMs, endMs });
@@ -164,7 +169,7 @@
   }
 
   step(input: Input): void {
-    if (this.dead) return;
+    if (this.isKilled) return;
     for (const effect of this.session.step(this.clock.now, this.clock.now, input)) this.execute(effect);
   }
 
@@ -173,7 +178,7 @@
   }
 
   kill(): void {
-    this.dead = true;
+    this.isKilled = true;
   }
 
   private execute(effect: Effect): void {
@@ -186,14 +191,14 @@
         this.states.push(effect.state.phase);
         return;
       case 'outcome':
-        if (effect.after > 0) this.unpublished.set(effect.after, effect.outcome);
+        if (effect.afterSeq > 0) this.unpublished.set(effect.afterSeq, effect.outcome);
         else this.publish(effect.outcome);
     }
   }
 
   private handlePersisted(seq: number): void {
     const outcome = this.unpublished.get(seq);
-    if (outcome !== undefined && !this.dead) this.publish(outcome);
+    if (outcome !== undefined && !this.isKilled) this.publish(outcome);
     this.step({ kind: 'persisted', upTo: seq });
   }
 
@@ -211,5 +216,5 @@
   }
 }
 
-/** Lets what waits for the fake disk go on. */
-export const settle = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
+/** Resolves after pending operations of the fake disk have completed. */
+export const waitForWrites = (): Promise<void> => new Promise((resolve) => setImmediate(resolve));
