--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -55,7 +55,7 @@
     const invalidAddress = options.nodes.find((node) => !NODE_ADDRESS.test(node));
     if (options.nodes.length === 0 || invalidAddress !== undefined)
       throw new InvalidRequestError(
-        `${invalidAddress ?? 'nodes'}: addresses of nodes look like 10.0.0.1:8080`,
+        `${invalidAddress ?? 'nodes'}: expected node addresses of the form host:port, such as 10.0.0.1:8080`,
       );
     const { outbox, ...rest } = options;
     const client = new Client({
--- a/packages/client/src/journal-file.ts
+++ b/packages/client/src/journal-file.ts
@@ -141,12 +141,12 @@
   }
 
   checkWritable(): void {
-    if (this.lock.isLost) throw new LockLostError('another process has taken it over');
+    if (this.lock.isLost) throw new LockLostError('another process has taken over the lock of the file');
     // A process that was suspended for longer than LOCK_STALE_MS may resume here before the renewal timer
     // runs. Another process may have taken over the lock and written records meanwhile, so the lock directory
     // itself is compared.
     if (this.lock.identity() !== this.acquiredLockIdentity)
-      throw new LockLostError('its lock was lost while this process did not run');
+      throw new LockLostError('another process took over the lock while this process was suspended');
   }
 
   async close(): Promise<void> {
--- a/packages/client/src/journal-frames.ts
+++ b/packages/client/src/journal-frames.ts
@@ -56,7 +56,11 @@
 export function readFrames(bytes: Buffer): DecodedFrames {
   if (bytes.length < HEADER.length && HEADER.subarray(0, bytes.length).equals(bytes))
     return { entries: [], validLength: 0 };
-  if (!bytes.subarray(0, HEADER.length).equals(HEADER)) throw new DamagedFrameError(0, 'this is no outbox');
+  if (!bytes.subarray(0, HEADER.length).equals(HEADER))
+    throw new DamagedFrameError(
+      0,
+      "not a journal: the file does not begin with the line 'swiftford outbox 1'",
+    );
   const entries: unknown[] = [];
   let end = HEADER.length;
   let frame = frameAt(bytes, end);
@@ -66,7 +70,7 @@
     frame = frameAt(bytes, end);
   }
   if (hasFrameAfter(bytes, end))
-    throw new DamagedFrameError(end, 'a record is damaged, and others follow it');
+    throw new DamagedFrameError(end, 'a record is damaged and intact records follow it');
   return { entries, validLength: end };
 }
 
@@ -103,7 +107,7 @@
 
 function parsePayload(payload: Buffer, offset: number): unknown[] {
   const invalidPayload = (cause?: unknown): DamagedFrameError =>
-    new DamagedFrameError(offset, 'a record cannot be read', cause);
+    new DamagedFrameError(offset, 'the payload of the record is not a JSON array', cause);
   let entries: unknown;
   try {
     entries = JSON.parse(payload.toString('utf8'));
--- a/packages/client/src/request-journal.ts
+++ b/packages/client/src/request-journal.ts
@@ -229,7 +229,7 @@
   /** Waits for the current write and closes the file. Entries appended later are ignored. */
   async close(): Promise<void> {
     await this.activeWrite;
-    this.failure ??= new JournalError(this.file.name, this.length, 'it is closed');
+    this.failure ??= new JournalError(this.file.name, this.length, 'the journal is closed');
     await this.file.close();
   }
 }
