--- a/packages/local-cluster/src/clock.ts
+++ b/packages/local-cluster/src/clock.ts
@@ -1,10 +1,10 @@
-// The clock that the stand-ins of outside systems run on. The tests' world has a simulated one and a network
-// in memory, the local cluster real timers and sockets; the stand-ins are the same.
+// The clock interface of the stand-ins for outside systems. The same stand-ins run on a simulated clock with
+// an in-memory network in tests, and on real timers and sockets in the local cluster.
 
-/** Time and timers. */
+/** A source of the current time and of timers. */
 export interface SimulationClock {
-  /** Milliseconds. */
+  /** The current time in milliseconds. */
   readonly now: number;
-  /** Calls `run` in so many milliseconds. */
+  /** Calls `run` after `ms` milliseconds. */
   after(ms: number, run: () => void): void;
 }
--- a/packages/local-cluster/src/fake-cloud.ts
+++ b/packages/local-cluster/src/fake-cloud.ts
@@ -1,62 +1,67 @@
-// A stand-in of the cloud: idempotent rentals by request name, capacity, boots, lists that lag.
+// A stand-in for the cloud: idempotent rentals by request name, limited capacity, boot times and stale
+// machine lists.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../../../src/core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
 
-/** A machine as the cloud knows it. */
+/** A rented machine. */
 export interface CloudMachine {
   readonly type: TypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  /** Its line in a list of machines. */
+  /** Its entry in the cloud's list of machines. */
   listed(now: number): ListedMachine;
-  /** It is up. */
+  /** Called when the machine has booted. */
   boot(): void;
-  /** It is no more. */
+  /** Called when the machine is terminated. */
   die(): void;
 }
 
-/** Where the cloud's machines are. */
+/** The environment of the cloud: a clock, and the machines. */
 export interface CloudEnvironment extends SimulationClock {
-  /** Machines that are rented, by id. */
+  /** Currently rented machines, by id. */
   readonly workers: Map<string, CloudMachine>;
-  /** Makes a machine, which is not up yet, and adds it to `workers`. */
+  /** Creates a machine that has not booted, and adds it to `workers`. */
   machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): CloudMachine;
 }
 
 type RentRequest = Extract<CloudRequest, { kind: 'rent' }>;
 
+/** The list of machines at a time, kept to answer requests with a stale list. */
 interface MachineList {
+  /** When it was taken, in milliseconds. */
   readonly at: number;
   readonly machines: ListedMachine[];
 }
 
-const ID_DIGITS = 6;
+const MACHINE_NUMBER_DIGITS = 6;
 
-/** The cloud. Public fields that are not read-only set its properties and turn faults on. */
+/** A simulated cloud. Its writable public fields configure it and inject faults. */
 export class FakeCloud {
-  /** During an outage every request is refused. */
+  /** During an outage; every request is refused. */
   down = false;
-  /** Machines that may be rented in all; see `room`. */
+  /** Maximum number of machines rented at a time; ignored if `room` is set. */
   capacity = 20;
-  /** Seconds until a machine is up; see `bootMs`. */
+  /** Boot time of a machine in seconds; the default of `bootMs`. */
   bootS = 5;
-  /** Set to rent without answering. */
+  /** Set to execute the next rental without answering it. */
   loseNextAnswer = false;
-  /** Machines that were rented, by the name of the request. */
+  /** The rented machines of each request, by request name. */
   readonly hires = new Map<string, MachineId[]>();
-  /** Machines that were returned. */
+  /** Machines that were released. */
   readonly released: string[] = [];
-  /** Machines that were ever rented: names are never used again. */
+  /** Number of machines ever created, used in their ids: ids are never reused. */
   made = 0;
-  /** Machines that may be rented of a type, zone and kind, in place of `capacity`. */
+  /**
+   * Maximum number of machines rented at a time of a type, zone and spot kind; replaces `capacity` if set.
+   */
   room: ((type: TypeName, zone: ZoneName, spot: boolean) => number) | null = null;
-  /** Milliseconds until a machine is up; negative: never. */
+  /** Boot time of a machine in milliseconds; negative if it never boots. */
   bootMs = (_type: TypeName): number => this.bootS * 1000;
-  /** How old a list is, in milliseconds. */
-  lagMs = 0;
+  /** Age of the machine lists that are returned, in milliseconds. */
+  listLagMs = 0;
   private readonly lists: MachineList[] = [];
-  /** Machine types that are offered. */
+  /** Machine types on offer. */
   types: MachineType[] = [
     {
       name: 'box' as TypeName,
@@ -84,26 +89,25 @@
     },
   ];
 
-  /** `environment`: where its machines are. */
   constructor(private readonly environment: CloudEnvironment) {}
 
-  /** Executes a request. */
-  serve(op: CloudRequest): CloudReply {
+  /** Executes a request, and returns the reply. */
+  serve(request: CloudRequest): CloudReply {
     if (this.down) return { kind: 'refused', busy: false };
-    switch (op.kind) {
+    switch (request.kind) {
       case 'types':
         return { kind: 'types', types: structuredClone(this.types) };
       case 'rent':
-        return this.rent(op);
+        return this.rent(request);
       case 'release':
-        for (const id of op.machines) this.release(id);
+        for (const id of request.machines) this.release(id);
         return { kind: 'released' };
       case 'list':
         return { kind: 'listed', more: false, machines: this.list() };
     }
   }
 
-  /** The same request again gets the same machines. */
+  /** A repeated request gets the machines of the first one. */
   private rent(request: RentRequest): CloudReply {
     const machines = this.hires.get(request.request) ?? this.createMachines(request);
     this.hires.set(request.request, machines);
@@ -131,7 +135,7 @@
   }
 
   private createMachine(type: TypeName, zone: ZoneName, spot: boolean): MachineId {
-    const id = `i-${String(++this.made).padStart(ID_DIGITS, '0')}` as MachineId;
+    const id = `i-${String(++this.made).padStart(MACHINE_NUMBER_DIGITS, '0')}` as MachineId;
     const machine = this.environment.machine(id, type, zone, spot);
     const bootMs = this.bootMs(type);
     if (bootMs >= 0) this.environment.after(bootMs, () => machine.boot());
@@ -148,10 +152,10 @@
   private list(): ListedMachine[] {
     const { now, workers } = this.environment;
     const machines = [...workers.values()].map((machine) => machine.listed(now));
-    if (this.lagMs === 0) return machines;
+    if (this.listLagMs === 0) return machines;
     this.lists.push({ at: now, machines });
-    // The newest list that is old enough; before there is one, nothing is listed yet.
-    const newestAt = now - this.lagMs;
+    // Returns the newest list that is at least `listLagMs` old, or an empty one before there is such a list.
+    const newestAt = now - this.listLagMs;
     while (this.lists.length > 1 && this.lists[1]!.at <= newestAt) this.lists.shift();
     const lagging = this.lists[0]!;
     return lagging.at <= newestAt ? lagging.machines : [];
--- a/packages/local-cluster/src/fake-store.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -1,23 +1,26 @@
-// A stand-in of the key-value store: revisions, compare-and-swap, leases, watches, and faults that tests turn
-// on.
+// A stand-in for the key-value store: revisions, compare-and-swap, leases, watches, and faults that tests
+// inject.
 import type { StoreItem, StoreReply, StoreRequest } from '../../../src/core/base/model.ts';
 import type { Revision, StoreLeaseId } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
 import { StoreWatches, type Watch, type WatchedStore, type WatchRequest } from './store-watches.ts';
 
-/** A value of the store, in the form in which the local cluster keeps it on disk. */
+/** A value in the store; the local cluster also stores it on disk in this form. */
 export interface StoredEntry {
   value: unknown;
-  /** Of the change that wrote it. */
+  /** Revision of the change that wrote it. */
   revision: number;
-  /** The lease that it ends with; null without one. */
+  /** Id of the lease at whose end it is deleted; null without one. */
   hold: number | null;
 }
 
-/** A change of an entry (`kept` null: it was deleted) or of the lease `hold` (`ttlMs` null: it has ended). */
+/**
+ * A change of the entry of a key (`kept` is null if it was deleted), or of the lease with id `lease` (`ttlMs`
+ * is null if it has ended).
+ */
 export type StoreChange =
   | { key: string; kept: StoredEntry | null; revision: number }
-  | { hold: number; ttlMs: number | null };
+  | { lease: number; ttlMs: number | null };
 
 type CompareAndSwap = Extract<StoreRequest, { kind: 'compare-and-swap' }>;
 type Respond = (reply: StoreReply) => void;
@@ -27,75 +30,74 @@
   readonly ttlMs: number;
 }
 
-/** How long after its expiry a lease is looked at. */
+/** Delay from the expiry of a lease to the check that ends it. */
 const EXPIRY_CHECK_MS = 50;
-/** How often a late transaction looks whether the outage is over. */
+/** Interval at which a delayed transaction checks whether an outage is over. */
 const OUTAGE_POLL_MS = 1000;
 const REFUSED: StoreReply = { kind: 'refused', busy: false };
 const BUSY: StoreReply = { kind: 'refused', busy: true };
 
-/** The key-value store. Public fields that are not read-only turn faults on. */
+/** A simulated key-value store. Its writable public fields inject faults. */
 export class FakeStore implements WatchedStore {
-  /** All entries. */
+  /** All entries, by key. */
   readonly keys = new Map<string, StoredEntry>();
-  /** Of the newest change. */
+  /** Revision of the newest change. */
   revision = 0;
-  /** During an outage every request is refused. */
+  /** During an outage; every request is refused. */
   down = false;
-  /** Nodes that alone are refused. */
+  /** Nodes whose requests are refused while the store serves the others. */
   readonly refused = new Set<string>();
-  /** Requests that were executed. */
+  /** All requests that were executed, in order. */
   readonly served: StoreRequest[] = [];
-  /** A prefix whose lists are refused. */
+  /** List requests for exactly this prefix are refused. */
   unreadable: string | null = null;
-  /** Keys whose reads are refused, by their beginning. */
+  /** Reads of single keys that begin with this prefix are refused. */
   unread: string | null = null;
-  /** Limits in force; null for none. */
+  /** Limits of a transaction; null for none. */
   limits: { valueBytes: number; txnOps: number } | null = null;
-  /** Every second request but those for leases and watches is refused as one too many. */
+  /** Refuses every second request as over the rate limit; requests for leases and watches are exempt. */
   halfRefused = false;
-  /** Requests that were counted for `halfRefused`. */
+  /** Number of requests of which `halfRefused` refused every second one. */
   refusals = 0;
-  /** Set to lose the answer to the next transaction that is executed. */
+  /** Set to lose the reply to the next transaction that writes a value. */
   loseNextAnswer = false;
   /**
-   * Which transactions get no answer and are executed late, after newer ones: milliseconds from now, or null
-   * for one that is executed at once.
+   * Returns the delay in milliseconds after which a transaction of the node is executed, possibly after newer
+   * ones and without a reply; null to execute it at once.
    */
   lateMs: ((node: string) => number | null) | null = null;
-  /** How long changes take to those that watch, in milliseconds. */
+  /** Delay of replies to watches, in milliseconds. */
   watchLagMs = 0;
-  /** Which transactions and renewals are executed at once while their answer is lost. */
-  losesAnswer: ((node: string, op: StoreRequest) => boolean) | null = null;
-  /** How many answers were lost. */
+  /** Returns whether the reply to an executed transaction or lease renewal is lost. */
+  losesAnswer: ((node: string, request: StoreRequest) => boolean) | null = null;
+  /** Number of replies that were lost. */
   answersLost = 0;
-  /** Transactions executed after newer ones of the same node. */
+  /** Number of delayed transactions that were executed after a newer one of the same node. */
   lateAfterNewer = 0;
-  /** Called with every change, in order, before it is answered. */
+  /** Called with every change, in order, before the reply to its request. */
   onChange: ((change: StoreChange) => void) | null = null;
-  /** Number of the newest transaction of each node that was executed at once. */
+  /** Sequence number of the newest undelayed transaction, by node. */
   private readonly newestByNode = new Map<string, number>();
-  private transactions = 0;
+  private transactionCount = 0;
   private readonly leases = new Map<number, Lease>();
   private nextLeaseId = 1;
   private readonly watches = new StoreWatches(this);
 
-  /** `clock`: the time that leases and watches go by. */
   constructor(private readonly clock: SimulationClock) {}
 
-  /** Takes the store down for so many seconds. */
+  /** Refuses all requests for `seconds`. */
   outage(seconds: number): void {
     this.down = true;
     this.clock.after(seconds * 1000, () => {
       this.down = false;
-      // Once an outage is over, every lease has its full time again.
+      // After an outage every lease gets its full time to live again.
       for (const lease of this.leases.values()) lease.expiresAt = this.clock.now + lease.ttlMs;
     });
   }
 
   /**
-   * Begins with what an earlier store had, as after an outage: leases have their full time, older watches
-   * read again.
+   * Restores the contents of an earlier store, as after an outage: leases get their full time to live, and
+   * watches from older revisions get the reply `too-old`.
    */
   restore(
     revision: number,
@@ -112,53 +114,53 @@
     }
   }
 
-  /** Executes a request of a node; `respond` is called once, or never if a fault loses the answer. */
-  serve(node: string, op: StoreRequest, respond: Respond): void {
+  /** Executes a request of a node; `respond` is called once, or never if a fault loses the reply. */
+  serve(node: string, request: StoreRequest, respond: Respond): void {
     if (this.down || this.refused.has(node)) return respond(REFUSED);
-    if (this.isUnreadable(op)) return respond(BUSY);
-    if (op.kind === 'compare-and-swap' && this.isDelayed(node, op)) return;
+    if (this.isUnreadable(request)) return respond(BUSY);
+    if (request.kind === 'compare-and-swap' && this.scheduleIfDelayed(node, request)) return;
     this.expireLeases();
-    if (this.isOneTooMany(op)) return respond(BUSY);
-    this.served.push(op);
-    if (op.kind === 'watch') return this.watch(node, op, respond);
-    const reply = this.execute(op);
-    if (this.isAnswerLost(node, op, reply)) this.answersLost++;
+    if (this.isEverySecondRequest(request)) return respond(BUSY);
+    this.served.push(request);
+    if (request.kind === 'watch') return this.watch(node, request, respond);
+    const reply = this.execute(request);
+    if (this.isAnswerLost(node, request, reply)) this.answersLost++;
     else respond(reply);
     this.watches.notify();
   }
 
   // ---- faults
 
-  private isUnreadable(op: StoreRequest): boolean {
-    if (op.kind === 'list') return op.prefix === this.unreadable;
-    return op.kind === 'get' && this.unread !== null && op.key.startsWith(this.unread);
+  private isUnreadable(request: StoreRequest): boolean {
+    if (request.kind === 'list') return request.prefix === this.unreadable;
+    return request.kind === 'get' && this.unread !== null && request.key.startsWith(this.unread);
   }
 
-  /** Whether a transaction is executed late; it is scheduled then. */
-  private isDelayed(node: string, op: CompareAndSwap): boolean {
-    const number = ++this.transactions;
+  /** Schedules a transaction that `lateMs` delays; returns whether it was delayed. */
+  private scheduleIfDelayed(node: string, request: CompareAndSwap): boolean {
+    const number = ++this.transactionCount;
     const delayMs = this.lateMs?.(node) ?? null;
     if (delayMs === null) {
       this.newestByNode.set(node, number);
       return false;
     }
-    this.clock.after(delayMs, () => this.executeLate(node, number, op));
+    this.clock.after(delayMs, () => this.executeLate(node, number, request));
     return true;
   }
 
-  /** During an outage it waits on: nothing is executed before the end. */
-  private executeLate(node: string, number: number, op: CompareAndSwap): void {
-    if (this.down) return this.clock.after(OUTAGE_POLL_MS, () => this.executeLate(node, number, op));
+  /** Executes a delayed transaction; during an outage it is delayed further, until the outage is over. */
+  private executeLate(node: string, number: number, request: CompareAndSwap): void {
+    if (this.down) return this.clock.after(OUTAGE_POLL_MS, () => this.executeLate(node, number, request));
     this.expireLeases();
-    const reply = this.execute(op);
+    const reply = this.execute(request);
     const isOvertaken = (this.newestByNode.get(node) ?? 0) > number;
     if (reply.kind === 'committed' && isOvertaken) this.lateAfterNewer++;
     this.watches.notify();
   }
 
-  private isOneTooMany(op: StoreRequest): boolean {
+  private isEverySecondRequest(request: StoreRequest): boolean {
     if (!this.halfRefused) return false;
-    switch (op.kind) {
+    switch (request.kind) {
       case 'grant-lease':
       case 'renew-lease':
       case 'revoke-lease':
@@ -169,32 +171,35 @@
     }
   }
 
-  private isAnswerLost(node: string, op: StoreRequest, reply: StoreReply): boolean {
-    const changed = op.kind === 'compare-and-swap' && reply.kind === 'committed' && op.puts.length > 0;
+  private isAnswerLost(node: string, request: StoreRequest, reply: StoreReply): boolean {
+    const changed =
+      request.kind === 'compare-and-swap' && reply.kind === 'committed' && request.puts.length > 0;
     if (changed && this.loseNextAnswer) {
       this.loseNextAnswer = false;
       return true;
     }
-    return (changed || op.kind === 'renew-lease') && this.losesAnswer?.(node, op) === true;
+    return (changed || request.kind === 'renew-lease') && this.losesAnswer?.(node, request) === true;
   }
 
   // ---- requests
 
-  private execute(op: Exclude<StoreRequest, { kind: 'watch' }>): StoreReply {
-    switch (op.kind) {
+  private execute(request: Exclude<StoreRequest, { kind: 'watch' }>): StoreReply {
+    switch (request.kind) {
       case 'get':
-        return this.keys.has(op.key) ? { kind: 'item', item: this.item(op.key) } : { kind: 'missing' };
+        return this.keys.has(request.key)
+          ? { kind: 'item', item: this.item(request.key) }
+          : { kind: 'missing' };
       case 'list':
-        return this.list(op.prefix, op.after);
+        return this.list(request.prefix, request.after);
       case 'grant-lease':
-        return this.grantLease(op.ttlMs);
+        return this.grantLease(request.ttlMs);
       case 'renew-lease':
-        return this.renewLease(op.lease);
+        return this.renewLease(request.lease);
       case 'revoke-lease':
-        this.endLease(op.lease);
+        this.endLease(request.lease);
         return { kind: 'ok' };
       case 'compare-and-swap':
-        return this.compareAndSwap(op);
+        return this.compareAndSwap(request);
     }
   }
 
@@ -215,16 +220,16 @@
     };
   }
 
-  private compareAndSwap(op: CompareAndSwap): StoreReply {
-    const violation = this.limitViolation(op);
+  private compareAndSwap(request: CompareAndSwap): StoreReply {
+    const violation = this.limitViolation(request);
     if (violation !== null) return { kind: 'rejected', reason: violation };
-    const failed = op.conditions
+    const failed = request.conditions
       .filter(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) !== revision)
       .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
-    if (op.puts.some(({ lease }) => lease !== undefined && !this.leases.has(lease)))
+    if (request.puts.some(({ lease }) => lease !== undefined && !this.leases.has(lease)))
       return { kind: 'rejected', reason: 'no such lease' };
-    this.apply(op);
+    this.apply(request);
     return { kind: 'committed', revision: this.revision as Revision };
   }
 
@@ -256,7 +261,7 @@
   private grantLease(ttlMs: number): StoreReply {
     const id = this.nextLeaseId++;
     this.leases.set(id, { ttlMs, expiresAt: this.clock.now + ttlMs });
-    this.onChange?.({ hold: id, ttlMs });
+    this.onChange?.({ lease: id, ttlMs });
     this.checkExpiryAfter(ttlMs);
     return { kind: 'lease-granted', lease: id as StoreLeaseId };
   }
@@ -270,7 +275,7 @@
   }
 
   private endLease(id: number): void {
-    if (this.leases.delete(id)) this.onChange?.({ hold: id, ttlMs: null });
+    if (this.leases.delete(id)) this.onChange?.({ lease: id, ttlMs: null });
     for (const [key, { hold }] of this.keys) {
       if (hold !== id) continue;
       this.keys.delete(key);
@@ -303,7 +308,9 @@
     return this.clock.now;
   }
 
-  /** A node that is refused alone waits as in an outage. */
+  /**
+   * Whether watches of the node can be answered: they wait during an outage and while the node is refused.
+   */
   canAnswer(node: string): boolean {
     return !this.down && !this.refused.has(node);
   }
--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -1,5 +1,5 @@
-// A worker's side of the protocol: heartbeats, fencing tokens, its lease, agent epochs and commands. What
-// runs its tasks, and what checks it, is up to its environment.
+// The worker's side of the worker protocol: heartbeats, fencing tokens, the lease, agent epochs and commands.
+// The environment runs its tasks and may check their placement.
 import type {
   Command,
   Heartbeat,
@@ -13,77 +13,80 @@
 
 export type { RunningTask, TaskProgress } from './worker-environment.ts';
 
-/** The world of a worker. */
+/** The environment of a {@link FakeWorker}. */
 export type WorkerEnvironment = EnvironmentOf<FakeWorker>;
 
 /** How long a worker waits for the response to a heartbeat. */
 const RESPONSE_TIMEOUT_MS = 4000;
-/** The response to a machine with work comes at once, if nothing delays it. */
+/**
+ * Commands in a response that took longer are counted as late: without a fault a machine with tasks gets its
+ * response at once.
+ */
 const LATE_RESPONSE_MS = 1000;
-/** Pause before it tries the next node. */
+/** Delay before a worker tries the next node. */
 const NEXT_NODE_DELAY_MS = 1000;
-/** A change is reported no sooner after the last heartbeat. */
-const CHANGE_REPORT_MS = 500;
+/** Minimum time from the last heartbeat to one that reports a change. */
+const MIN_CHANGE_REPORT_INTERVAL_MS = 500;
 
-/** A heartbeat whose response is awaited. */
+/** A heartbeat that was sent and has no response yet. */
 interface SentHeartbeat {
   readonly number: number;
   readonly agentEpoch: number;
   readonly sentAt: number;
 }
 
-/** What a {@link FakeWorker} begins with. */
+/** Constructor arguments of {@link FakeWorker}. */
 export interface FakeWorkerInit {
   environment: WorkerEnvironment;
   id: MachineId;
   type: TypeName;
   zone: ZoneName;
   spot: boolean;
-  /** Index of the node that it sends its heartbeats to first. */
+  /** Index in `nodeNames` of the node that gets its first heartbeat. */
   target: number;
 }
 
-/** The agent on one machine. Times are in milliseconds. */
+/** A simulated machine and the agent on it. Times are in milliseconds. */
 export class FakeWorker implements TaskOwner {
   addr: string;
   /** The agent epoch. */
   session = 1;
-  /** Of the last heartbeat, within the epoch. */
+  /** Sequence number of the last heartbeat. */
   seq = 0;
-  /** The newest fencing token that it has seen. */
+  /** The newest fencing token that it has received. */
   token = 0;
   /** Whether the machine has booted. */
   up = false;
-  /** When it came up. */
+  /** When it booted. */
   upSince = Number.NEGATIVE_INFINITY;
-  /** Whether the machine is no more. */
+  /** Whether the machine was terminated. */
   dead = false;
-  /** Seconds of its preemption notice; null without one. */
+  /** Remaining seconds reported as its preemption notice; null without one. */
   noticeS: number | null = null;
-  /** Tasks that it ended because its lease expired. */
+  /** Number of tasks that it killed because its lease had expired. */
   lostByLease = 0;
-  /** How often it went to another node, redirected or not. */
+  /** How often it switched to another node, by a redirect or after a missing response. */
   moves = 0;
-  /** Commands carried out long after the heartbeat that they answer. */
+  /** Number of commands executed more than `LATE_RESPONSE_MS` after the heartbeat that they respond to. */
   lateCommands = 0;
   private readonly createdAt: number;
   private readonly workerTasks: WorkerTasks<FakeWorker>;
-  private awaitsResponse = false;
-  /** When the heartbeat was sent whose response last renewed its lease. */
+  private isAwaitingResponse = false;
+  /** Send time of the heartbeat whose response last renewed the lease. */
   private leaseRenewedAt = 0;
-  private heartbeats = 0;
-  private hasChanges = false;
+  private heartbeatNumber = 0;
+  private hasUnreportedChanges = false;
   private lastHeartbeatAt = 0;
-  private timerSetFor = Number.POSITIVE_INFINITY;
-  private hanging = false;
-  /** Responses that came while it hung; it reads them as it goes on. */
+  private timerDueAt = Number.POSITIVE_INFINITY;
+  private isHanging = false;
+  /** Responses received while the agent hung; they are handled when it resumes. */
   private readonly unreadResponses: (() => void)[] = [];
   private readonly environment: WorkerEnvironment;
   readonly id: MachineId;
   readonly type: TypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
-  private target: number;
+  private nodeIndex: number;
 
   constructor(init: FakeWorkerInit) {
     this.environment = init.environment;
@@ -91,36 +94,36 @@
     this.type = init.type;
     this.zone = init.zone;
     this.spot = init.spot;
-    this.target = init.target;
+    this.nodeIndex = init.target;
     const { environment, id } = init;
     this.addr = `10.1.0.1:${id}`;
     this.createdAt = environment.now;
     this.workerTasks = new WorkerTasks<FakeWorker>(environment, this);
   }
 
-  // ---- what others see of it
+  // ---- state
 
-  /** Its tasks, by task and attempt. */
+  /** Its tasks, by `TASK@ATTEMPT`. */
   get tasks(): Map<string, WorkerTask> {
     return this.workerTasks.tasks;
   }
 
   /** Tasks that it has completed. */
   get results(): Set<string> {
-    return this.workerTasks.results;
+    return this.workerTasks.completedTasks;
   }
 
-  /** How many tasks were started. */
+  /** Number of tasks that were started. */
   get starts(): number {
     return this.workerTasks.starts;
   }
 
-  /** Stop commands for tasks that ran. */
+  /** Stop commands received for tasks that had not ended. */
   get stops(): StopCommand[] {
-    return this.workerTasks.stops;
+    return this.workerTasks.stopCommands;
   }
 
-  /** Every task started here fails at once. */
+  /** Whether every task that is started here fails at once. */
   get faulty(): boolean {
     return this.workerTasks.faulty;
   }
@@ -131,10 +134,10 @@
 
   /** Tasks that have not ended. */
   live(): WorkerTask[] {
-    return this.workerTasks.live();
+    return this.workerTasks.activeTasks();
   }
 
-  /** Its line in the cloud's list of machines. */
+  /** Its entry in the cloud's list of machines. */
   listed(now: number): ListedMachine {
     return {
       id: this.id,
@@ -147,33 +150,35 @@
     };
   }
 
-  /** The node that it reports to. */
+  /** Name of the node that it sends heartbeats to. */
   get node(): string {
-    return this.environment.nodeNames[this.target]!;
+    return this.environment.nodeNames[this.nodeIndex]!;
   }
 
-  /** Nothing of it is left: the machine is no more, or its lease has expired, hanging or not. */
+  /**
+   * Whether its tasks count as ended: it was terminated, or its lease has expired, even if the agent hangs.
+   */
   get over(): boolean {
     return this.dead || this.isLeaseExpired();
   }
 
-  /** When its lease expires if nobody answers it from now on. */
+  /** When its lease expires unless a further response renews it. */
   get leaseEndsAt(): number {
     return this.leaseRenewedAt + this.environment.leaseMs;
   }
 
   // ---- the machine
 
-  /** The machine is up. */
+  /** Starts the agent: the machine has booted. */
   boot(): void {
     if (this.dead) return;
     this.up = true;
     this.upSince = this.environment.now;
     this.leaseRenewedAt = this.environment.now;
-    this.act();
+    this.runDueActions();
   }
 
-  /** The machine is no more. */
+  /** Terminates the machine with all its tasks. */
   die(): void {
     if (this.dead) return;
     this.dead = true;
@@ -181,56 +186,62 @@
     this.environment.gone(this);
   }
 
-  /** The agent does nothing for a while, and then goes on as if no time had passed. */
+  /** Suspends the agent for `ms`; it then resumes as if no time had passed. */
   hang(ms: number): void {
-    this.hanging = true;
+    this.isHanging = true;
     this.environment.after(ms, () => {
-      this.hanging = false;
+      this.isHanging = false;
       for (const readResponse of this.unreadResponses.splice(0)) readResponse();
-      this.act();
+      this.runDueActions();
     });
   }
 
-  /** The machine was restarted within a moment: nothing is left on it, and it counts from the beginning. */
+  /**
+   * Restarts the machine without downtime: its tasks are lost, and epoch, sequence number and token start
+   * over.
+   */
   restart(): void {
     this.workerTasks.clear();
     this.results.clear();
     this.session = 1;
     this.seq = 0;
     this.token = 0;
-    this.heartbeats++;
-    this.awaitsResponse = false;
+    this.heartbeatNumber++;
+    this.isAwaitingResponse = false;
     this.leaseRenewedAt = this.environment.now;
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
     this.armTimer();
   }
 
-  // ---- time
+  // ---- timer
 
-  /** When it has something to do next: nothing is polled, as a fleet of ten thousand would do little else. */
+  /**
+   * When its next action is due. Workers set a timer for it instead of polling: polling by a fleet of ten
+   * thousand workers would take most of the simulation's time.
+   */
   private dueAt(): number {
-    const expiry = this.leaseEndsAt + 1;
-    if (this.awaitsResponse) return expiry;
-    const intervalMs = this.hasChanges ? CHANGE_REPORT_MS : this.environment.reportMs;
-    return Math.min(expiry, this.lastHeartbeatAt + intervalMs);
+    const leaseExpiry = this.leaseEndsAt + 1;
+    if (this.isAwaitingResponse) return leaseExpiry;
+    const intervalMs = this.hasUnreportedChanges ? MIN_CHANGE_REPORT_INTERVAL_MS : this.environment.reportMs;
+    return Math.min(leaseExpiry, this.lastHeartbeatAt + intervalMs);
   }
 
   private armTimer(): void {
     if (this.dead || !this.up) return;
-    const at = Math.max(this.environment.now, this.dueAt());
-    if (at >= this.timerSetFor) return;
-    this.timerSetFor = at;
-    this.environment.after(at - this.environment.now, () => {
-      if (this.timerSetFor !== at) return;
-      this.timerSetFor = Number.POSITIVE_INFINITY;
-      this.act();
+    const timerAt = Math.max(this.environment.now, this.dueAt());
+    if (timerAt >= this.timerDueAt) return;
+    this.timerDueAt = timerAt;
+    this.environment.after(timerAt - this.environment.now, () => {
+      if (this.timerDueAt !== timerAt) return;
+      this.timerDueAt = Number.POSITIVE_INFINITY;
+      this.runDueActions();
     });
   }
 
-  private act(): void {
-    if (this.dead || this.hanging) return;
+  private runDueActions(): void {
+    if (this.dead || this.isHanging) return;
     if (this.isLeaseExpired()) this.beginEpoch();
-    if (!this.awaitsResponse && this.environment.now >= this.dueAt()) this.sendHeartbeat();
+    if (!this.isAwaitingResponse && this.environment.now >= this.dueAt()) this.sendHeartbeat();
     this.armTimer();
   }
 
@@ -238,18 +249,20 @@
     return this.environment.now - this.leaseRenewedAt > this.environment.leaseMs;
   }
 
-  /** Its lease has expired: its tasks may run elsewhere by now. */
+  /**
+   * Kills all tasks after the lease has expired, as they may already run elsewhere, and begins a new epoch.
+   */
   private beginEpoch(): void {
     this.session++;
     this.lostByLease += this.live().length;
     this.workerTasks.clear();
     this.leaseRenewedAt = this.environment.now;
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
   }
 
   // ---- heartbeats
 
-  /** The next heartbeat. */
+  /** Returns the next heartbeat, and increments the sequence number. */
   report(): Heartbeat {
     this.seq++;
     return {
@@ -268,12 +281,12 @@
 
   private sendHeartbeat(): void {
     const sent = {
-      number: ++this.heartbeats,
+      number: ++this.heartbeatNumber,
       agentEpoch: this.session,
       sentAt: this.environment.now,
     };
-    this.awaitsResponse = true;
-    this.hasChanges = false;
+    this.isAwaitingResponse = true;
+    this.hasUnreportedChanges = false;
     this.lastHeartbeatAt = sent.sentAt;
     const heartbeat = this.report();
     this.environment.sendReport(this, this.node, heartbeat, RESPONSE_TIMEOUT_MS, (response) =>
@@ -282,16 +295,16 @@
   }
 
   private handleResponse(sent: SentHeartbeat, response: HeartbeatResponse | null): void {
-    if (sent.number !== this.heartbeats || this.dead) return;
-    if (this.hanging) {
+    if (sent.number !== this.heartbeatNumber || this.dead) return;
+    if (this.isHanging) {
       this.unreadResponses.push(() => {
-        // Read late, it still counts, but not after the time for which a worker waits.
-        const inTime = this.environment.now - sent.sentAt <= RESPONSE_TIMEOUT_MS;
-        this.handleResponse(sent, inTime ? response : null);
+        // A response handled late counts as missing only if the time-out has passed.
+        const isInTime = this.environment.now - sent.sentAt <= RESPONSE_TIMEOUT_MS;
+        this.handleResponse(sent, isInTime ? response : null);
       });
       return;
     }
-    this.awaitsResponse = false;
+    this.isAwaitingResponse = false;
     if (response === null) this.tryNextNode();
     else if (response.kind === 'redirect') this.followRedirect(response.node);
     else if (sent.agentEpoch === this.session && response.fencingToken >= this.token)
@@ -300,7 +313,7 @@
   }
 
   private applyResponse({ sentAt }: SentHeartbeat, fencingToken: number, commands: readonly Command[]): void {
-    this.adoptToken(fencingToken);
+    this.adoptFencingToken(fencingToken);
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sentAt);
     if (this.environment.now - sentAt > LATE_RESPONSE_MS) this.lateCommands += commands.length;
     this.executeAll(commands);
@@ -308,31 +321,34 @@
 
   private tryNextNode(): void {
     this.moves++;
-    this.target = (this.target + 1) % this.environment.nodeNames.length;
+    this.nodeIndex = (this.nodeIndex + 1) % this.environment.nodeNames.length;
     this.lastHeartbeatAt = this.environment.now - this.environment.reportMs + NEXT_NODE_DELAY_MS;
   }
 
   private followRedirect(node: string | null): void {
     const index = this.environment.nodeNames.indexOf(node ?? '');
-    if (index < 0 || index === this.target) return this.tryNextNode();
+    if (index < 0 || index === this.nodeIndex) return this.tryNextNode();
     this.moves++;
-    this.target = index;
-    this.hasChanges = true;
+    this.nodeIndex = index;
+    this.hasUnreportedChanges = true;
   }
 
-  private adoptToken(token: number): void {
-    if (token > this.token) this.hasChanges = true;
+  private adoptFencingToken(token: number): void {
+    if (token > this.token) this.hasUnreportedChanges = true;
     this.token = token;
   }
 
   // ---- commands
 
-  /** Commands that a controller sends by itself; they are executed only under a current token and epoch. */
+  /**
+   * Handles commands that a controller sends other than in a heartbeat response. They are executed only if
+   * token and epoch are current.
+   */
   orders(token: number, session: number, commands: Command[], respond: (reply: WorkerReply) => void): void {
-    if (this.dead || !this.up || this.hanging) return;
+    if (this.dead || !this.up || this.isHanging) return;
     const executed = token >= this.token && session === this.session;
     if (executed) {
-      this.adoptToken(token);
+      this.adoptFencingToken(token);
       this.executeAll(commands);
     }
     this.armTimer();
@@ -340,14 +356,14 @@
   }
 
   taskChanged(): void {
-    this.hasChanges = true;
+    this.hasUnreportedChanges = true;
     this.armTimer();
   }
 
   private executeAll(commands: readonly Command[]): void {
     for (const command of commands) {
       this.workerTasks.execute(command);
-      this.hasChanges = true;
+      this.hasUnreportedChanges = true;
     }
   }
 }
--- a/packages/local-cluster/src/gang-coordinator.ts
+++ b/packages/local-cluster/src/gang-coordinator.ts
@@ -1,32 +1,35 @@
-// Gangs on the local cluster's machines: their tasks begin together, complete together, and notice a loss.
+// Coordinates gangs on the local cluster's machines: the tasks of a gang start together and complete
+// together, and after one is lost the others end.
 import type { ExitReason } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
 
-/** A task of a gang that is under way. */
+/** A running attempt of a gang's task. */
 export interface GangMember {
   readonly task: TaskId;
   readonly attempt: number;
-  /** Its command has ended with success. */
+  /** Whether its command has exited with code 0. */
   readonly commandSucceeded: boolean;
+  /** Starts the command. */
   begin(): void;
+  /** Ends the attempt with this reason. */
   finish(reason: ExitReason): void;
 }
 
-/** Times of gangs, in seconds. */
+/** Time limits of gangs, in seconds. */
 export interface GangTimes {
-  /** How long a task waits for the others of its gang. */
+  /** How long a task waits for the other tasks of its gang before it exits with `alone`. */
   gangWaitS: number;
-  /** After half of it the others notice that a task is gone. */
+  /** Limit for the others to exit with `peers` after a task is lost; the stand-in takes half of it. */
   gangPeerS: number;
 }
 
 interface Gang {
   readonly members: Map<TaskId, GangMember>;
-  started: boolean;
+  hasStarted: boolean;
 }
 
-/** All gangs with tasks under way. */
+/** All gangs with running tasks. */
 export class GangCoordinator {
   private readonly gangs = new Map<string, Gang>();
 
@@ -35,33 +38,33 @@
     private readonly times: GangTimes,
   ) {}
 
-  /** A task is ready to begin; `size`: tasks of its gang. */
+  /** Adds a task that is ready to start; with the last of the gang's `size` tasks all start. */
   join(member: GangMember, size: number): void {
-    const gang = this.gangOf(member) ?? { members: new Map<TaskId, GangMember>(), started: false };
+    const gang = this.gangOf(member) ?? { members: new Map<TaskId, GangMember>(), hasStarted: false };
     this.gangs.set(gangKey(member), gang);
     gang.members.set(member.task, member);
     if (gang.members.size >= size) {
-      gang.started = true;
-      for (const each of [...gang.members.values()]) each.begin();
+      gang.hasStarted = true;
+      for (const other of [...gang.members.values()]) other.begin();
       return;
     }
     this.clock.after(this.times.gangWaitS * 1000, () => {
-      if (!gang.started) member.finish('alone');
+      if (!gang.hasStarted) member.finish('alone');
     });
   }
 
-  /** Whether the commands of all tasks have succeeded; a gang is complete only then. */
+  /** Whether the commands of all the gang's tasks have succeeded; only then is the gang complete. */
   hasSucceeded(member: GangMember): boolean {
     const gang = this.gangOf(member);
-    return gang === undefined || [...gang.members.values()].every((each) => each.commandSucceeded);
+    return gang === undefined || [...gang.members.values()].every((other) => other.commandSucceeded);
   }
 
-  /** A task has ended: the others complete with it, or notice its loss. */
+  /** Removes a task that has ended: the others complete with it, or exit with `peers` after a delay. */
   leave(member: GangMember, reason: ExitReason): void {
     const gang = this.gangOf(member);
     if (gang === undefined || gang.members.get(member.task) !== member) return;
     gang.members.delete(member.task);
-    if (!gang.started) return;
+    if (!gang.hasStarted) return;
     const others = [...gang.members.values()];
     if (reason === 'done') for (const other of others) other.finish('done');
     else
@@ -70,7 +73,7 @@
       });
   }
 
-  /** The tasks of a gang, in the order of their indexes. */
+  /** The tasks of the member's gang, ordered by index. */
   tasksOf(member: Pick<GangMember, 'task' | 'attempt'>): TaskId[] {
     const tasks = [...this.gangOf(member)!.members.keys()];
     return tasks.sort((a, b) => parseTaskId(a).index - parseTaskId(b).index);
@@ -81,6 +84,6 @@
   }
 }
 
-/** Tasks of a gang find one another by their attempt. */
+/** All tasks of a gang have the same attempt number, so job and attempt identify a gang. */
 const gangKey = ({ task, attempt }: Pick<GangMember, 'task' | 'attempt'>): string =>
   `${parseTaskId(task).job}@${attempt}`;
--- a/packages/local-cluster/src/image-cache.ts
+++ b/packages/local-cluster/src/image-cache.ts
@@ -1,18 +1,18 @@
-// Which images the machines have: fetched once, and kept while the cache has space, least recently used first
-// out.
+// Simulated image caches of the machines: images are fetched once, and evicted least recently used first when
+// a cache is full.
 import type { SimulationClock } from './clock.ts';
 
-/** The machine that fetches. */
+/** The properties of a machine that its image cache depends on. */
 export interface ImageCacheMachine {
   id: string;
   fetchGbPerS: number;
   cacheGb: number;
 }
 
-/** An image and its size. */
+/** A container image. */
 export interface Image {
   name: string;
-  gb: number;
+  sizeGb: number;
 }
 
 interface MachineCache {
@@ -25,28 +25,29 @@
 export class ImageCaches {
   private readonly caches = new Map<string, MachineCache>();
 
-  /** `speed`: fetches are so many times as fast. */
+  /** `speed`: factor by which fetches are faster than nominal. */
   constructor(
     private readonly clock: SimulationClock,
     private readonly speed: number,
   ) {}
 
   /**
-   * Calls `onReady` when the machine has the image: at once, or after `onFetching` and the time of the fetch.
+   * Calls `onReady` when the machine has the image: at once if it is cached or empty, else `onFetching` at
+   * once and `onReady` after the fetch time.
    */
   fetch(machine: ImageCacheMachine, image: Image, onFetching: () => void, onReady: () => void): void {
     const cache = this.cacheOf(machine.id);
     const isCached = cache.sizes.has(image.name);
-    if (isCached || image.gb === 0) {
-      // Added again it is the most recently used.
+    if (isCached || image.sizeGb === 0) {
+      // Deleting and adding it again makes it the most recently used.
       if (isCached) cache.sizes.delete(image.name);
-      cache.sizes.set(image.name, image.gb);
+      cache.sizes.set(image.name, image.sizeGb);
       return onReady();
     }
     onFetching();
-    const fetchMs = ((image.gb / machine.fetchGbPerS) * 1000) / this.speed;
+    const fetchMs = ((image.sizeGb / machine.fetchGbPerS) * 1000) / this.speed;
     this.clock.after(fetchMs, () => {
-      add(cache, image, machine.cacheGb);
+      addImage(cache, image, machine.cacheGb);
       onReady();
     });
   }
@@ -58,9 +59,10 @@
   }
 }
 
-function add(cache: MachineCache, image: Image, capacityGb: number): void {
-  cache.sizes.set(image.name, image.gb);
-  cache.totalGb += image.gb;
+/** Adds an image, and evicts others, least recently used first, while the cache is over its capacity. */
+function addImage(cache: MachineCache, image: Image, capacityGb: number): void {
+  cache.sizes.set(image.name, image.sizeGb);
+  cache.totalGb += image.sizeGb;
   for (const [name, gb] of cache.sizes) {
     if (cache.totalGb <= capacityGb || name === image.name) break;
     cache.sizes.delete(name);
--- a/packages/local-cluster/src/store-watches.ts
+++ b/packages/local-cluster/src/store-watches.ts
@@ -1,14 +1,14 @@
-// The log of the store's changes, and the watches that wait for new ones.
+// The store's change log, and the watches that wait for new changes.
 import type { StoreItem, StoreReply, StoreRequest } from '../../../src/core/base/model.ts';
 import type { Revision } from '../../../src/types/index.ts';
 
 /** A request to watch changes. */
 export type WatchRequest = Extract<StoreRequest, { kind: 'watch' }>;
 
-/** A change as watches read it. */
+/** An entry of the change log. */
 export interface LoggedChange {
   readonly key: string;
-  /** Null: it was deleted. */
+  /** Null if the key was deleted. */
   readonly item: StoreItem | null;
   readonly revision: number;
 }
@@ -17,36 +17,35 @@
 export interface Watch {
   readonly node: string;
   readonly request: WatchRequest;
-  /** When it is answered without a change, in milliseconds. */
+  /** Time at which it is answered even without a change, in milliseconds. */
   readonly expiresAt: number;
   readonly respond: (reply: StoreReply) => void;
 }
 
-/** What watches need of the store. */
+/** The operations of the store that watches depend on. */
 export interface WatchedStore {
-  /** Milliseconds. */
+  /** The current time in milliseconds. */
   readonly now: number;
   readonly revision: number;
   /** Whether a node can be answered now. */
   canAnswer(node: string): boolean;
-  /** Answers a watch, now or later. */
+  /** Answers a watch, at once or after a delay. */
   answerWatch(watch: Watch, reply: StoreReply): void;
 }
 
-/** From twice as many logged changes on, the oldest are dropped down to this number. */
-const LOGGED_CHANGES = 10_000;
+/** Number of newest changes that compaction keeps; the log is compacted when it exceeds twice this number. */
+const LOGGED_CHANGES_AFTER_COMPACTION = 10_000;
 
-/** The log and the watches of one store. */
+/** The change log and the watches of one store. */
 export class StoreWatches {
   private readonly log: LoggedChange[] = [];
-  private waiting: Watch[] = [];
-  /** Changes up to this revision are no longer in the log. */
+  private pendingWatches: Watch[] = [];
+  /** Changes up to this revision are not in the log. */
   private compactedRevision = 0;
 
-  /** `store`: whose changes are watched. */
   constructor(private readonly store: WatchedStore) {}
 
-  /** Changes up to this revision were made before the log begins. */
+  /** Marks changes up to this revision as not in the log, when the store is restored. */
   beginAfter(revision: number): void {
     this.compactedRevision = revision;
   }
@@ -61,19 +60,20 @@
     return revision < this.compactedRevision;
   }
 
-  /** Answers a watch, or lets it wait. */
+  /** Answers a watch if changes are available, else adds it to the pending ones. */
   add(watch: Watch): void {
-    if (!this.tryAnswer(watch)) this.waiting.push(watch);
+    if (!this.tryAnswer(watch)) this.pendingWatches.push(watch);
   }
 
-  /** Answers the watches that have something to read or whose time is over. */
+  /** Answers the pending watches that have changes or have expired, and compacts the log. */
   notify(): void {
-    const excess = this.log.length - LOGGED_CHANGES;
-    if (excess > LOGGED_CHANGES) this.compactedRevision = this.log.splice(0, excess).at(-1)!.revision;
-    this.waiting = this.waiting.filter((watch) => !this.tryAnswer(watch));
+    const excess = this.log.length - LOGGED_CHANGES_AFTER_COMPACTION;
+    if (excess > LOGGED_CHANGES_AFTER_COMPACTION)
+      this.compactedRevision = this.log.splice(0, excess).at(-1)!.revision;
+    this.pendingWatches = this.pendingWatches.filter((watch) => !this.tryAnswer(watch));
   }
 
-  /** False if it waits on. */
+  /** Answers a watch if it has changes or has expired; returns whether it was answered. */
   private tryAnswer(watch: Watch): boolean {
     const { node, request, expiresAt } = watch;
     if (!this.store.canAnswer(node)) return false;
@@ -84,7 +84,7 @@
   }
 
   private changesSince(revision: number): LoggedChange[] {
-    // The newest are last, and most watches are up to date.
+    // Searches from the end, as most watches are nearly up to date.
     let first = this.log.length;
     while (first > 0 && this.log[first - 1]!.revision > revision) first--;
     return this.log.slice(first);
--- a/packages/local-cluster/src/task-attempt.ts
+++ b/packages/local-cluster/src/task-attempt.ts
@@ -1,4 +1,4 @@
-// One attempt of a task on a machine of the local cluster, from its launch to its end.
+// One attempt of a task on a machine of the local cluster, from launch to exit.
 import type { ChildProcess } from 'node:child_process';
 import type { ExitReason } from '../../../src/core/base/model.ts';
 import type { TaskId } from '../../../src/types/index.ts';
@@ -8,45 +8,47 @@
 import type { JobDescription, Run } from './task-run.ts';
 import type { RunningTask, TaskProgress } from './worker-environment.ts';
 
-/** What attempts need of the runner. */
+/** The operations of the task runner that attempts depend on. */
 export interface AttemptRunner {
   readonly clock: SimulationClock;
   readonly gangs: GangCoordinator;
-  /** Whether the task was done before. */
+  /** Whether the task was completed by an earlier attempt. */
   isDone(task: TaskId): boolean;
-  /** The task is done. */
+  /** Records that the task is complete. */
   markDone(task: TaskId): void;
-  /** Starts the command of the attempt; `onExit` gets its exit code. */
+  /**
+   * Starts the command of the attempt; `onExit` gets its exit code, or null if it failed to start or was
+   * killed.
+   */
   startCommand(attempt: TaskAttempt, onExit: (code: number | null) => void): ChildProcess;
-  /** Whether the command has written its progress since it began. */
+  /** Whether the command has written its checkpoint since the run began. */
   hasSavedProgress(run: Run): boolean;
 }
 
-/** What is launched. */
+/** A run to launch. */
 export interface Launch {
   readonly run: Run;
   readonly description: JobDescription;
-  /** How long it runs without a command, in milliseconds. */
+  /** Run time of a task without a command, in milliseconds. */
   readonly simulatedRunMs: number;
 }
 
-/** Whoever launched the task. */
+/** Receives the events of an attempt. */
 export interface AttemptListener {
-  /** It has ended by itself. */
+  /** The attempt has ended other than by `stop` or `kill`. */
   onExit(reason: ExitReason): void;
-  /** Its state has changed before. */
+  /** Its state has changed before its end. */
   onProgress(progress: TaskProgress): void;
 }
 
-/** An attempt that is under way. */
+/** A running attempt of a task. */
 export class TaskAttempt implements RunningTask, GangMember {
   commandSucceeded = false;
-  private over = false;
+  private hasEnded = false;
   private child: ChildProcess | null = null;
-  /** Set while a stopped command may end by itself. */
-  private onStopped: ((saved: boolean) => void) | null = null;
+  /** Callback of `stop`, set while the command may exit within its grace time. */
+  private onStopFinished: ((saved: boolean) => void) | null = null;
 
-  /** `listener`: is told of its end, and of what it does before. */
   constructor(
     private readonly runner: AttemptRunner,
     private readonly launch: Launch,
@@ -73,17 +75,17 @@
     return this.description.kind === 'gang';
   }
 
-  /** Its image is on the machine. */
+  /** Called when the image is on the machine: starts the task, or has it wait for its gang. */
   imageReady(): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     if (!this.isGang) return this.begin();
     this.listener.onProgress('waiting');
     this.runner.gangs.join(this, this.description.tasks);
   }
 
-  /** Runs the command, or lets the simulated time pass. */
+  /** Starts the command, or a timer for the simulated run time. */
   begin(): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     this.listener.onProgress('running');
     if (this.runner.isDone(this.task)) return this.finish('done');
     const { command, kind } = this.description;
@@ -93,16 +95,16 @@
   }
 
   private handleExit(code: number | null): void {
-    if (this.onStopped !== null) return this.endStopped(this.onStopped, false);
+    if (this.onStopFinished !== null) return this.endStopped(this.onStopFinished, false);
     if (code !== 0) return this.finish('error');
     this.commandSucceeded = true;
-    // A gang is complete when the commands of all its tasks are: one that is sooner waits for the others.
+    // A gang is complete when the commands of all its tasks have succeeded; until then this task waits.
     if (!this.isGang || this.runner.gangs.hasSucceeded(this)) this.finish('done');
   }
 
-  /** It has ended by itself. */
+  /** Ends the attempt, and notifies the listener and the gang. */
   finish(reason: ExitReason): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     this.close(reason);
     if (reason === 'done') this.runner.markDone(this.task);
     this.killChild();
@@ -111,23 +113,23 @@
   }
 
   kill(): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     this.close('killed');
     this.killChild();
     this.leaveGang('stopped');
   }
 
   stop(graceS: number, ended: (saved: boolean) => void): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     const pid = this.child?.pid;
     if (pid === undefined || graceS <= 0) return this.endStopped(ended, true);
-    this.onStopped = ended;
+    this.onStopFinished = ended;
     endGroup(pid, 'SIGTERM');
     this.runner.clock.after(graceS * 1000, () => this.endStopped(ended, true));
   }
 
   private endStopped(ended: (saved: boolean) => void, kill: boolean): void {
-    if (this.over) return;
+    if (this.hasEnded) return;
     const saved = this.runner.hasSavedProgress(this.run);
     if (kill) this.kill();
     else this.close('stopped');
@@ -135,7 +137,7 @@
   }
 
   private close(reason: Run['why']): void {
-    this.over = true;
+    this.hasEnded = true;
     this.run.to = this.runner.clock.now;
     this.run.why = reason;
   }
--- a/packages/local-cluster/src/task-command.ts
+++ b/packages/local-cluster/src/task-command.ts
@@ -1,24 +1,24 @@
-// Runs the command of a task as a child process. Nothing is isolated: it runs as the user who started the
-// local cluster, in a directory of its own.
+// Runs the command of a task as a child process. It is not isolated: it runs as the user who started the
+// local cluster, in its own working directory.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, mkdirSync, openSync } from 'node:fs';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
 import type { ProcessGuard } from './process-guard.ts';
 import type { TaskFiles } from './task-files.ts';
 
-/** A command and the task that it is of. */
+/** The command of a task attempt. */
 export interface TaskCommand {
   readonly task: TaskId;
   readonly attempt: number;
   /** Program and arguments. */
   readonly command: readonly string[];
-  /** Tasks of the job. */
-  readonly tasks: number;
-  /** Tasks of its gang, in their order; null if it is not of a gang. */
-  readonly gang: readonly TaskId[] | null;
+  /** Number of tasks of the job. */
+  readonly taskCount: number;
+  /** Tasks of its gang, ordered by index; null if the job is not a gang. */
+  readonly gangTasks: readonly TaskId[] | null;
 }
 
-/** Starts the command. `onExit` gets its exit code; null if it could not be started or was killed. */
+/** Starts the command. `onExit` gets its exit code, or null if it failed to start or was killed. */
 export function startCommand(
   taskCommand: TaskCommand,
   files: TaskFiles,
@@ -45,7 +45,10 @@
   return child;
 }
 
-function environmentOf({ task, attempt, tasks, gang }: TaskCommand, files: TaskFiles): NodeJS.ProcessEnv {
+function environmentOf(
+  { task, attempt, taskCount, gangTasks }: TaskCommand,
+  files: TaskFiles,
+): NodeJS.ProcessEnv {
   const { job, index } = parseTaskId(task);
   const environment: NodeJS.ProcessEnv = {
     PATH: process.env.PATH,
@@ -53,11 +56,12 @@
     LANG: process.env.LANG,
     SWIFTFORD_JOB: job,
     SWIFTFORD_TASK: String(index),
-    SWIFTFORD_TASKS: String(tasks),
+    SWIFTFORD_TASKS: String(taskCount),
     SWIFTFORD_ATTEMPT: String(attempt),
     SWIFTFORD_CHECKPOINT: files.checkpoint(task),
   };
-  // The directories of a gang's tasks are all on this disk.
-  if (gang !== null) environment.SWIFTFORD_PEERS = gang.map((peer) => files.workDir(peer, attempt)).join(':');
+  // The working directories of all the gang's tasks are on this machine's disk.
+  if (gangTasks !== null)
+    environment.SWIFTFORD_PEERS = gangTasks.map((peer) => files.workDir(peer, attempt)).join(':');
   return environment;
 }
--- a/packages/local-cluster/src/task-files.ts
+++ b/packages/local-cluster/src/task-files.ts
@@ -1,12 +1,12 @@
-// Where the files of tasks are: a directory for each attempt, and a checkpoint for each job.
+// Paths of task files: a directory for each attempt, and a checkpoint file for each job.
 import { statSync } from 'node:fs';
 import { join } from 'node:path';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
 
-/** A stream of a command that is recorded. */
+/** An output stream of a command. */
 export type OutputStream = 'stdout' | 'stderr';
 
-/** Paths below one directory. */
+/** Paths of the task files below one directory. */
 export class TaskFiles {
   /** `root`: the directory of all jobs. */
   constructor(private readonly root: string) {}
@@ -16,12 +16,12 @@
     return join(this.attemptDir(task, attempt), 'work');
   }
 
-  /** The recorded output of the command. */
+  /** The file that records an output stream of the command. */
   output(task: TaskId, attempt: number, stream: OutputStream): string {
     return join(this.attemptDir(task, attempt), stream);
   }
 
-  /** The file to which tasks of a job write their progress. */
+  /** The checkpoint file, which all tasks of a job share. */
   checkpoint(task: TaskId): string {
     return join(this.root, parseTaskId(task).job, 'checkpoint');
   }
--- a/packages/local-cluster/src/task-run.ts
+++ b/packages/local-cluster/src/task-run.ts
@@ -1,28 +1,28 @@
-// What is known of jobs on the local cluster's machines, and of the starts of their tasks.
+// Job descriptions and records of task attempts on the local cluster's machines.
 import type { ExitReason } from '../../../src/core/base/model.ts';
 import type { TaskId } from '../../../src/types/index.ts';
 
-/** What users tell the machines of a job; stored and sent in this form. */
+/** The description of a job for the machines that run its tasks; stored and sent in this form. */
 export interface JobDescription {
   kind: 'array' | 'gang' | 'service';
   tasks: number;
   image: string;
   imageGb: number;
-  /** How long a task runs if there is no command, in seconds. */
+  /** Simulated run time of a task without a command, in seconds. */
   runS: number;
-  /** Program and arguments; null: nothing but time passes. */
+  /** Program and arguments; null to simulate the run time only. */
   command: string[] | null;
 }
 
-/** A start of a task, and how it ended; what the checks of experiments read. */
+/** A record of one task attempt; experiments audit these records. */
 export interface Run {
   task: TaskId;
   attempt: number;
   machine: string;
   /** When it began, in milliseconds. */
   from: number;
-  /** When it ended; null before. */
+  /** When it ended, in milliseconds; null while it runs. */
   to: number | null;
-  /** How it ended; null before. */
+  /** Why it ended; null while it runs. */
   why: ExitReason | 'killed' | null;
 }
--- a/packages/local-cluster/src/task-runner.ts
+++ b/packages/local-cluster/src/task-runner.ts
@@ -1,4 +1,4 @@
-// What runs on the local cluster's machines: commands of jobs as child processes, or simulated run times.
+// Runs tasks on the local cluster's machines, as child processes or with simulated run times.
 import type { ChildProcess } from 'node:child_process';
 import type { ExitReason } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
@@ -14,19 +14,19 @@
 
 /** The machine that a task is launched on. */
 export interface TaskMachine extends ImageCacheMachine {
-  /** Its tasks take so many times as long; 1 if it is not given. */
+  /** Factor by which the simulated run time of its tasks is longer; 1 by default. */
   slow?: number;
 }
 
-/** How tasks run. */
+/** Settings of {@link TaskRunner}. */
 export interface TaskRunnerSettings extends GangTimes {
-  /** Fetches and simulated run times are so many times as fast. */
+  /** Factor by which image fetches and simulated run times are faster than nominal. */
   speed: number;
 }
 
-/** So many starts are remembered. */
+/** Maximum number of run records kept; above it the older half is dropped. */
 const MAX_RUNS = 200_000;
-/** A job that no user has described. */
+/** Used for jobs without a description. */
 const UNKNOWN_JOB: JobDescription = {
   kind: 'array',
   tasks: 1,
@@ -36,18 +36,18 @@
   command: null,
 };
 
-/** Runs tasks of all jobs on all machines. */
+/** Runs the tasks of all jobs on all machines. */
 export class TaskRunner implements AttemptRunner {
   readonly runs: Run[] = [];
   readonly gangs: GangCoordinator;
-  /** Called with every task that is done, before its worker reports it. */
+  /** Called with every task that completes, before its worker reports it. */
   onDone: (task: TaskId) => void = () => {};
   private readonly descriptions = new Map<string, JobDescription>();
-  private readonly done = new Set<TaskId>();
+  private readonly doneTasks = new Set<TaskId>();
   private readonly images: ImageCaches;
   private readonly files: TaskFiles;
 
-  /** `dir`: where files of jobs are put. */
+  /** `dir`: directory for the files of all jobs. */
   constructor(
     readonly clock: SimulationClock,
     dir: string,
@@ -59,17 +59,19 @@
     this.gangs = new GangCoordinator(clock, settings);
   }
 
-  /** Makes a job known to the machines. */
+  /** Registers the description of a job. */
   describe(job: string, description: JobDescription): void {
     this.descriptions.set(job, description);
   }
 
-  /** A task that was done in an earlier run of the cluster: it is not run again. */
-  remember(task: TaskId): void {
-    this.done.add(task);
+  /** Marks a task as completed in an earlier run of the cluster, so that it is not run again. */
+  restoreDoneTask(task: TaskId): void {
+    this.doneTasks.add(task);
   }
 
-  /** The recorded output of a task's newest attempt, or of `attempt`; null if it was not started here. */
+  /**
+   * Path of the recorded output of a task's newest attempt, or of `attempt`; null if there is no such run.
+   */
   logFile(task: TaskId, stream: OutputStream, attempt?: number): string | null {
     const run = this.lastRun(task, attempt);
     return run === null ? null : this.files.output(run.task, run.attempt, stream);
@@ -83,23 +85,23 @@
     return null;
   }
 
-  /** Launches a task. `end` is called when it ends by itself, `is` when its state changes before. */
+  /** Launches a task. `onExit` is called when it ends other than by `stop` or `kill`. */
   launch(
     machine: TaskMachine,
     task: TaskId,
     attempt: number,
-    end: (why: ExitReason) => void,
-    is: (state: TaskProgress) => void,
+    onExit: (reason: ExitReason) => void,
+    onProgress: (progress: TaskProgress) => void,
   ): RunningTask {
     const description = this.descriptions.get(parseTaskId(task).job) ?? UNKNOWN_JOB;
     const run = this.recordRun(task, attempt, machine.id);
     const simulatedRunMs = (description.runS * 1000 * (machine.slow ?? 1)) / this.settings.speed;
-    const listener = { onExit: end, onProgress: is };
+    const listener = { onExit, onProgress };
     const taskAttempt = new TaskAttempt(this, { run, description, simulatedRunMs }, listener);
     this.images.fetch(
       machine,
-      { name: description.image, gb: description.imageGb },
-      () => is('fetching'),
+      { name: description.image, sizeGb: description.imageGb },
+      () => onProgress('fetching'),
       () => taskAttempt.imageReady(),
     );
     return taskAttempt;
@@ -112,14 +114,14 @@
     return run;
   }
 
-  // ---- for attempts
+  // ---- operations for attempts
 
   isDone(task: TaskId): boolean {
-    return this.done.has(task);
+    return this.doneTasks.has(task);
   }
 
   markDone(task: TaskId): void {
-    this.done.add(task);
+    this.doneTasks.add(task);
     this.onDone(task);
   }
 
@@ -127,8 +129,8 @@
     { task, attempt, description }: TaskAttempt,
     onExit: (code: number | null) => void,
   ): ChildProcess {
-    const gang = description.kind === 'gang' ? this.gangs.tasksOf({ task, attempt }) : null;
-    const command = { task, attempt, command: description.command!, tasks: description.tasks, gang };
+    const gangTasks = description.kind === 'gang' ? this.gangs.tasksOf({ task, attempt }) : null;
+    const command = { task, attempt, command: description.command!, taskCount: description.tasks, gangTasks };
     return startCommand(command, this.files, this.guard, onExit);
   }
 
--- a/packages/local-cluster/src/worker-environment.ts
+++ b/packages/local-cluster/src/worker-environment.ts
@@ -1,48 +1,52 @@
-// What a worker needs around it: controllers to report to, and something that runs its tasks.
+// The environment of a worker: it delivers heartbeats to controllers and runs tasks.
 import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
 import type { TaskId } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
 
-/** A task under way on a machine. */
+/** A running task on a machine. */
 export interface RunningTask {
-  /** Asks it to end, with so many seconds for a checkpoint; `ended` says whether its progress was saved. */
+  /**
+   * Requests its end, with `graceS` seconds for a checkpoint; `ended` gets whether its progress was saved.
+   */
   stop(graceS: number, ended: (saved: boolean) => void): void;
-  /** Ends it at once and for good, as when its machine is gone. */
+  /** Kills it at once, as when its machine is terminated. */
   kill(): void;
 }
 
-/** What a task does before it ends. */
+/** The state of a task before its end. */
 export type TaskProgress = 'fetching' | 'waiting' | 'running';
 
-/** The world of workers of type `Worker`. */
+/** The environment of workers of type `Worker`. */
 export interface EnvironmentOf<Worker> extends SimulationClock {
-  /** Milliseconds between heartbeats when nothing changes. */
+  /** Interval between heartbeats without changes, in milliseconds. */
   readonly reportMs: number;
-  /** Milliseconds for which a worker goes on unanswered. */
+  /** Time for which a worker runs tasks without a response from a controller, in milliseconds. */
   readonly leaseMs: number;
-  /** Controllers, in the order in which workers try them. */
+  /** Names of the controllers, in the order in which workers try them. */
   readonly nodeNames: readonly string[];
-  /** Sends a heartbeat. `done` gets null for no answer within the time, or nobody there. */
+  /**
+   * Sends a heartbeat. `onResponse` gets null if there is no response within `timeoutMs` or no connection.
+   */
   sendReport(
     worker: Worker,
     node: string,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
     timeoutMs: number,
-    done: (response: HeartbeatResponse | null) => void,
+    onResponse: (response: HeartbeatResponse | null) => void,
   ): void;
-  /** A task was put on a machine; the environment may check whether it is allowed there. */
+  /** Called when a task is started on a machine; the environment may check whether it is allowed there. */
   placed(worker: Worker, task: TaskId): void;
   /**
-   * Runs a task; `end` is called when it ends by itself, `is` when its state changes before (it begins as
-   * running).
+   * Runs a task, whose first state is `running`. `onExit` is called when it ends other than by `stop` or
+   * `kill`, `onProgress` when its state changes before.
    */
   launch(
     worker: Worker,
     task: TaskId,
     attempt: number,
-    end: (why: ExitReason) => void,
-    is: (state: TaskProgress) => void,
+    onExit: (reason: ExitReason) => void,
+    onProgress: (progress: TaskProgress) => void,
   ): RunningTask;
-  /** The machine and all that is on it are no more. */
+  /** Called when the machine is terminated with all its tasks. */
   gone(worker: Worker): void;
 }
--- a/packages/local-cluster/src/worker-tasks.ts
+++ b/packages/local-cluster/src/worker-tasks.ts
@@ -1,4 +1,4 @@
-// The tasks on one machine: commands of the leader start, stop and forget them.
+// The tasks on one machine, and the execution of the leader's start, stop and forget commands.
 import type { Command, ExitReason, TaskStatus } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
 import type { EnvironmentOf, RunningTask, TaskProgress } from './worker-environment.ts';
@@ -9,72 +9,71 @@
   job: string;
   attempt: number;
   state: TaskStatus['state'];
-  /** Why it ended; null before. */
+  /** Why it ended; null while it runs. */
   why: TaskStatus['exitReason'];
   /** Whether its progress was saved when it was stopped. */
-  saved: boolean;
-  /** What runs it; null before it is launched. */
-  work: RunningTask | null;
+  isProgressSaved: boolean;
+  /** The running task in the environment; null before its launch. */
+  runningTask: RunningTask | null;
 }
 
 /** The worker that the tasks are on. */
 export interface TaskOwner {
-  /** Whether its machine is no more. */
+  /** Whether its machine was terminated. */
   readonly dead: boolean;
-  /** The state of a task has changed: the next heartbeat is due. */
+  /** Called when the state of a task has changed, to send the next heartbeat soon. */
   taskChanged(): void;
 }
 
-/** A stop command for a task that ran. */
+/** A stop command received for a task that had not ended. */
 export interface StopCommand {
   task: TaskId;
   graceS: number;
-  /** Milliseconds. */
+  /** When it was received, in milliseconds. */
   at: number;
 }
 
-/** The tasks of one worker, and what it has done with tasks so far. */
+/** The tasks of one worker, and counts and results of earlier ones. */
 export class WorkerTasks<Worker extends TaskOwner> {
-  /** By task and attempt. */
+  /** By `TASK@ATTEMPT`. */
   readonly tasks = new Map<string, WorkerTask>();
-  /** Tasks that this machine has completed: they are not run again. */
-  readonly results = new Set<string>();
-  /** Stop commands for tasks that ran. */
-  readonly stops: StopCommand[] = [];
-  /** How many tasks were started. */
+  /** Tasks that this machine has completed; when started again they exit as done at once. */
+  readonly completedTasks = new Set<string>();
+  /** Stop commands received for tasks that had not ended. */
+  readonly stopCommands: StopCommand[] = [];
+  /** Number of tasks that were started. */
   starts = 0;
-  /** Every task started here fails at once. */
+  /** Whether every task that is started here fails at once. */
   faulty = false;
 
-  /** `environment`: what runs the tasks. */
   constructor(
     private readonly environment: EnvironmentOf<Worker>,
     private readonly worker: Worker,
   ) {}
 
   /** Tasks that have not ended. */
-  live(): WorkerTask[] {
+  activeTasks(): WorkerTask[] {
     return [...this.tasks.values()].filter((task) => task.state !== 'exited');
   }
 
-  /** Kills and forgets all tasks. */
+  /** Kills and removes all tasks. */
   clear(): void {
-    for (const task of this.tasks.values()) if (task.state !== 'exited') task.work?.kill();
+    for (const task of this.tasks.values()) if (task.state !== 'exited') task.runningTask?.kill();
     this.tasks.clear();
   }
 
-  /** Their states, as a heartbeat lists them. */
+  /** The states of all tasks, for a heartbeat. */
   statuses(): TaskStatus[] {
     return [...this.tasks.values()].map((task) => ({
       task: task.task,
       attempt: task.attempt as never,
       state: task.state,
       exitReason: task.why,
-      checkpointed: task.saved,
+      checkpointed: task.isProgressSaved,
     }));
   }
 
-  /** Carries out a command of the leader. */
+  /** Executes a command of the leader. */
   execute(command: Command): void {
     const key = `${command.task}@${command.attempt}`;
     const task = this.tasks.get(key);
@@ -91,13 +90,13 @@
   }
 
   private stop(task: WorkerTask, graceS: number): void {
-    this.stops.push({ task: task.task, graceS, at: this.environment.now });
-    // A second stop while it saves ends it only if it leaves no time.
+    this.stopCommands.push({ task: task.task, graceS, at: this.environment.now });
+    // While a task saves its checkpoint, only a stop command without grace time ends it.
     if (task.state === 'saving' && graceS > 0) return;
     task.state = 'saving';
-    task.work?.stop(graceS, (saved) => {
+    task.runningTask?.stop(graceS, (saved) => {
       if (task.state === 'exited') return;
-      task.saved = saved;
+      task.isProgressSaved = saved;
       this.exit(task, 'stopped');
     });
   }
@@ -109,30 +108,31 @@
       attempt,
       state: 'running',
       why: null,
-      saved: false,
-      work: null,
+      isProgressSaved: false,
+      runningTask: null,
     };
     this.environment.placed(this.worker, id);
     this.starts++;
     this.tasks.set(key, task);
     if (this.faulty) return this.exit(task, 'error');
-    if (this.results.has(id)) return this.exit(task, 'done');
+    if (this.completedTasks.has(id)) return this.exit(task, 'done');
     this.launch(key, task);
   }
 
   private launch(key: string, task: WorkerTask): void {
-    const isOver = (): boolean => this.worker.dead || this.tasks.get(key) !== task || task.state === 'exited';
+    const isEnded = (): boolean =>
+      this.worker.dead || this.tasks.get(key) !== task || task.state === 'exited';
     const onExit = (reason: ExitReason): void => {
-      if (isOver()) return;
-      if (reason === 'done') this.results.add(task.task);
+      if (isEnded()) return;
+      if (reason === 'done') this.completedTasks.add(task.task);
       this.exit(task, reason);
     };
     const onProgress = (progress: TaskProgress): void => {
-      if (isOver() || task.state === 'saving') return;
+      if (isEnded() || task.state === 'saving') return;
       task.state = progress;
       this.worker.taskChanged();
     };
-    task.work = this.environment.launch(this.worker, task.task, task.attempt, onExit, onProgress);
+    task.runningTask = this.environment.launch(this.worker, task.task, task.attempt, onExit, onProgress);
   }
 
   private exit(task: WorkerTask, reason: ExitReason): void {
