--- a/packages/local-cluster/src/cluster-storage.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -1,36 +1,36 @@
 // The local cluster's records on disk: the contents of the key-value store, the descriptions of jobs and the
-// tasks that are done. A change is answered only when it is on disk, so that a cluster that is killed comes back
-// with all that its controllers know.
+// completed tasks. A request is answered only once its changes are on disk, so that after a kill the
+// restarted cluster has every change that its controllers had confirmed.
 import { ClassicLevel } from 'classic-level';
 import type { FakeStore, StoreChange, StoredEntry } from './fake-store.ts';
 import type { JobDescription } from './task-run.ts';
 
 type BatchOperation = { type: 'put'; key: string; value: unknown } | { type: 'del'; key: string };
 
-/** Prefixes of the database's keys. */
+// Key prefixes in the database.
 const STORE_KEY_PREFIX = 'k/';
-const LEASE_PREFIX = 'h/';
-const JOB_PREFIX = 'j/';
-const DONE_TASK_PREFIX = 'd/';
-/** Single records. */
-const STORE_REVISION = 'm/revision';
-const MACHINES_RESERVED = 'm/made';
-/** Machine names are reserved so many at a time. */
-const RESERVED_AT_ONCE = 1000;
-
-/** What machines know of jobs and tasks from earlier runs of the cluster. */
+const LEASE_KEY_PREFIX = 'h/';
+const JOB_KEY_PREFIX = 'j/';
+const DONE_TASK_KEY_PREFIX = 'd/';
+// Keys of single records.
+const STORE_REVISION_KEY = 'm/revision';
+/** Last machine number that is reserved. */
+const RESERVED_MACHINE_NUMBERS_KEY = 'm/made';
+const MACHINE_NUMBERS_PER_RESERVATION = 1000;
+
+/** Jobs and completed tasks recorded by earlier runs of the cluster. */
 export interface RecordedWork {
-  /** Jobs by id, as their users described them. */
+  /** Job ids with the descriptions that their users sent. */
   jobs: [string, JobDescription][];
-  /** Tasks that are done. */
+  /** Completed tasks. */
   doneTasks: string[];
 }
 
-/** An embedded database with write-behind: changes are collected and written in synced batches. */
+/** An embedded database with write-behind: changes are buffered and written in batches with fsync. */
 export class ClusterStorage {
-  private operations: BatchOperation[] = [];
+  private unwrittenOperations: BatchOperation[] = [];
   private writing: Promise<void> | null = null;
-  private waiters: (() => void)[] = [];
+  private flushCallbacks: (() => void)[] = [];
   private failure: Error | null = null;
 
   private constructor(
@@ -38,32 +38,36 @@
     private readonly onError: (error: Error) => void,
   ) {}
 
-  /** `onError` is called with the first error of writing; nothing is answered after it. */
+  /**
+   * `onError` is called with the first write error; after it `flush` never resolves, so no request is
+   * answered.
+   */
   static async open(dir: string, onError: (error: Error) => void): Promise<ClusterStorage> {
     const database = new ClassicLevel<string, unknown>(dir, { valueEncoding: 'json' });
     await database.open();
     return new ClusterStorage(database, onError);
   }
 
-  /** Fills the store with what is on disk, and records its changes from now on. */
+  /** Loads the store from disk, and records all later changes of it. */
   async attach(store: FakeStore): Promise<void> {
     const entries: [string, StoredEntry][] = [];
     const leases: [number, number][] = [];
     for await (const [key, value] of this.records(STORE_KEY_PREFIX))
       entries.push([key, value as StoredEntry]);
-    for await (const [id, ttlMs] of this.records(LEASE_PREFIX)) leases.push([Number(id), ttlMs as number]);
-    const revision = await this.readNumber(STORE_REVISION);
+    for await (const [id, ttlMs] of this.records(LEASE_KEY_PREFIX))
+      leases.push([Number(id), ttlMs as number]);
+    const revision = await this.readNumber(STORE_REVISION_KEY);
     store.restore(revision, entries, leases);
     store.onChange = (change) => this.recordChange(change);
   }
 
-  /** Jobs as their users described them, and tasks that are done. */
-  async recordedWork(): Promise<RecordedWork> {
+  /** Reads the job descriptions and completed tasks of earlier runs. */
+  async readWork(): Promise<RecordedWork> {
     const jobs: [string, JobDescription][] = [];
     const doneTasks: string[] = [];
-    for await (const [job, description] of this.records(JOB_PREFIX))
+    for await (const [job, description] of this.records(JOB_KEY_PREFIX))
       jobs.push([job, description as JobDescription]);
-    for await (const [task] of this.records(DONE_TASK_PREFIX)) doneTasks.push(task);
+    for await (const [task] of this.records(DONE_TASK_KEY_PREFIX)) doneTasks.push(task);
     return { jobs, doneTasks };
   }
 
@@ -77,70 +81,74 @@
   }
 
   private recordChange(change: StoreChange): void {
-    if ('hold' in change) return this.put(LEASE_PREFIX + change.hold, change.ttlMs);
+    if ('lease' in change) return this.put(LEASE_KEY_PREFIX + change.lease, change.ttlMs);
     this.put(STORE_KEY_PREFIX + change.key, change.kept === null ? null : { ...change.kept });
-    this.put(STORE_REVISION, change.revision);
+    this.put(STORE_REVISION_KEY, change.revision);
   }
 
   /** Records the description of a job. */
   recordJob(job: string, description: JobDescription): void {
-    this.put(JOB_PREFIX + job, description);
+    this.put(JOB_KEY_PREFIX + job, description);
   }
 
-  /** Records that a task is done. */
+  /** Records that a task is complete. */
   recordDone(task: string): void {
-    this.put(DONE_TASK_PREFIX + task, 1);
+    this.put(DONE_TASK_KEY_PREFIX + task, 1);
   }
 
-  /** The number after which machines of this run are named; no number of an earlier run is used again. */
+  /**
+   * Reserves machine numbers for this run and returns the number before the first; numbers of earlier runs
+   * are never reused.
+   */
   async reserveMachineNumbers(): Promise<number> {
-    const reserved = await this.readNumber(MACHINES_RESERVED);
-    this.put(MACHINES_RESERVED, reserved + RESERVED_AT_ONCE);
-    await this.flushed();
+    const reserved = await this.readNumber(RESERVED_MACHINE_NUMBERS_KEY);
+    this.put(RESERVED_MACHINE_NUMBERS_KEY, reserved + MACHINE_NUMBERS_PER_RESERVATION);
+    await this.flush();
     return reserved;
   }
 
-  /** A machine got this number: further numbers are reserved before those at hand run out. */
-  machineNumberUsed(used: number): void {
-    if (used % RESERVED_AT_ONCE === RESERVED_AT_ONCE - 1)
-      this.put(MACHINES_RESERVED, used + 1 + RESERVED_AT_ONCE);
+  /** Reserves the next range of numbers when a machine got the last but one number of the current range. */
+  onMachineNumberUsed(used: number): void {
+    if (used % MACHINE_NUMBERS_PER_RESERVATION === MACHINE_NUMBERS_PER_RESERVATION - 1)
+      this.put(RESERVED_MACHINE_NUMBERS_KEY, used + 1 + MACHINE_NUMBERS_PER_RESERVATION);
   }
 
-  /** Null deletes the record. */
+  /** Buffers a write; a null value deletes the record. */
   private put(key: string, value: unknown): void {
-    this.operations.push(value === null ? { type: 'del', key } : { type: 'put', key, value });
+    this.unwrittenOperations.push(value === null ? { type: 'del', key } : { type: 'put', key, value });
   }
 
-  /** Resolves when all that has changed so far is on disk; never after an error. */
-  flushed(): Promise<void> {
-    if (this.operations.length === 0 && this.writing === null) return Promise.resolve();
+  /** Resolves when all changes made so far are on disk; never resolves after a write error. */
+  flush(): Promise<void> {
+    if (this.unwrittenOperations.length === 0 && this.writing === null) return Promise.resolve();
     return new Promise((resolve) => {
-      this.waiters.push(resolve);
+      this.flushCallbacks.push(resolve);
       this.writing ??= this.write();
     });
   }
 
   private async write(): Promise<void> {
-    while (this.waiters.length > 0 && this.failure === null) {
-      const { operations, waiters } = this;
-      this.operations = [];
-      this.waiters = [];
+    while (this.flushCallbacks.length > 0 && this.failure === null) {
+      const { unwrittenOperations, flushCallbacks } = this;
+      this.unwrittenOperations = [];
+      this.flushCallbacks = [];
       try {
-        // What belongs to one transaction is in one batch, as it was changed in one turn of the event loop.
-        if (operations.length > 0) await this.database.batch(operations, { sync: true });
+        // The changes of one transaction are made in one turn of the event loop, so they are in the same
+        // batch.
+        if (unwrittenOperations.length > 0) await this.database.batch(unwrittenOperations, { sync: true });
       } catch (error) {
         this.failure = error as Error;
         this.onError(this.failure);
         break;
       }
-      for (const resolve of waiters) resolve();
+      for (const resolve of flushCallbacks) resolve();
     }
     this.writing = null;
   }
 
-  /** Writes what is left, and closes the database. */
+  /** Writes the buffered changes, and closes the database. */
   async close(): Promise<void> {
-    if (this.failure === null) await this.flushed();
+    if (this.failure === null) await this.flush();
     await this.database.close();
   }
 }
--- a/packages/local-cluster/src/control-api.ts
+++ b/packages/local-cluster/src/control-api.ts
@@ -1,4 +1,4 @@
-// The local cluster's own HTTP interface: its state, descriptions of jobs, output of tasks, and faults.
+// The local cluster's own HTTP API: cluster state, job descriptions, task output and fault injection.
 import { readFileSync } from 'node:fs';
 import { isJobId } from '../../../src/protocol/job.ts';
 import type { TaskId } from '../../../src/types/index.ts';
@@ -7,37 +7,36 @@
 import type { OutputStream } from './task-files.ts';
 import type { JobDescription } from './task-run.ts';
 
-/** A controller as the interface shows it. */
+/** The state of a controller in API responses. */
 export interface ControllerView {
   name: string;
   addr: string;
   up: boolean;
 }
 
-/** What the interface shows of the cluster. */
+/** The state of the cluster in API responses. */
 export interface ClusterView {
   controllers: ControllerView[];
   /** Number of machines. */
   machines: number;
-  /** Directory of the cluster. */
+  /** Directory of the cluster's settings, logs and task files. */
   dir: string;
 }
 
-/** The cluster behind the interface. */
+/** The operations of the cluster that the API exposes. */
 export interface ControllableCluster {
-  /** Its state. */
+  /** Returns the state of the cluster. */
   view(): ClusterView;
-  /** Makes a job known to the machines; calls back when that is durable. */
+  /** Registers the description of a job; `onDurable` is called when it is on disk. */
   describeJob(job: string, description: JobDescription, onDurable: () => void): void;
-  /** The recorded output of a task; null if it was not started here. */
+  /** Path of a task's recorded output; null if the task was not started in this cluster. */
   logFile(task: TaskId, stream: OutputStream): string | null;
-  /** Injects a fault, and says what was done; throws if it cannot be injected. */
+  /** Injects a fault, and returns a sentence that describes the effect; throws if it cannot be injected. */
   fault(fault: Fault): string;
 }
 
-/** Requests to the local cluster. */
+/** Request handler of the local cluster's HTTP API. */
 export class ControlApi {
-  /** `cluster`: what the interface shows and controls. */
   constructor(private readonly cluster: ControllableCluster) {}
 
   /** Handles a request; paths are `/lab`, `/jobs/ID`, `/logs/ID/INDEX[?stderr]` and `/faults`. */
@@ -74,7 +73,7 @@
 const respondJson = (respond: Respond, value: unknown): void =>
   respond({ status: 200, body: JSON.stringify(value) });
 
-/** A task without output yet has no file. */
+/** Reads a file; returns an empty text if it is missing, as for a task that has written no output yet. */
 function readOrEmpty(file: string): string {
   try {
     return readFileSync(file, 'utf8');
--- a/packages/local-cluster/src/controller-group.ts
+++ b/packages/local-cluster/src/controller-group.ts
@@ -1,4 +1,4 @@
-// The controllers of a local cluster: real processes, started again when they end.
+// The controllers of a local cluster: real processes, restarted when they exit.
 import type { ChildProcess } from 'node:child_process';
 import type { Random } from '../../../src/core/base/io.ts';
 import { type ClientCall, type ClientDone, HttpClient } from '../../../src/http/client.ts';
@@ -11,24 +11,24 @@
 /** A controller and its process. */
 export interface Controller {
   name: string;
-  /** Where users and workers reach it. */
+  /** Address for users and workers. */
   addr: string;
-  /** Null between its end and its next start. */
+  /** Null between the exit of the process and its restart. */
   process: ChildProcess | null;
-  /** How often it was started again. */
+  /** Number of restarts. */
   restarts: number;
 }
 
-/** What the controllers need around them. */
+/** Dependencies of {@link ControllerGroup}. */
 export interface ControllerGroupDependencies {
   readonly clock: RealClock;
   readonly random: Random;
   readonly guard: ProcessGuard;
-  /** How many there are. */
+  /** Number of controllers. */
   readonly count: number;
-  /** The daemon: program and arguments before `serve`. */
+  /** Command line of the daemon before the `serve` argument. */
   readonly program: readonly string[];
-  /** Where their settings and logs are. */
+  /** Directory of their settings files and logs. */
   readonly dir: string;
   readonly log: (line: string) => void;
 }
@@ -36,12 +36,12 @@
 const RESTART_DELAY_MS = 1500;
 const READY_POLL_MS = 100;
 const READY_TIMEOUT_MS = 1000;
-const CONNECTIONS = 64;
+const CONNECTIONS_PER_CONTROLLER = 64;
 const MAX_RESPONSE_BYTES = 4 << 20;
 
-/** All controllers, with connections to them. */
+/** All controllers of the cluster, and an HTTP client for each. */
 export class ControllerGroup {
-  /** The names of all controllers, also before they are started. */
+  /** The names of all controllers, including those that are not started yet. */
   readonly names: readonly string[];
   readonly controllers: Controller[] = [];
   private readonly connections = new Map<string, HttpClient>();
@@ -50,11 +50,11 @@
     this.names = Array.from({ length: dependencies.count }, (_, index) => controllerName(index));
   }
 
-  /** Starts a controller whose settings file is written. */
+  /** Starts a controller; its settings file must exist. */
   start(name: string, addr: string): void {
     const controller: Controller = { name, addr, process: null, restarts: 0 };
     this.controllers.push(controller);
-    this.connections.set(name, new HttpClient(addr, CONNECTIONS, MAX_RESPONSE_BYTES));
+    this.connections.set(name, new HttpClient(addr, CONNECTIONS_PER_CONTROLLER, MAX_RESPONSE_BYTES));
     this.spawn(controller);
   }
 
@@ -67,7 +67,7 @@
     child.once('exit', (code, signal) => {
       controller.process = null;
       if (clock.isStopped) return;
-      log(`${controller.name} has ended (${signal ?? code}) and is started again`);
+      log(`${controller.name} exited (${signal ?? code}); restarting it in ${RESTART_DELAY_MS} ms`);
       controller.restarts++;
       clock.after(RESTART_DELAY_MS, () => this.spawn(controller));
     });
@@ -78,7 +78,7 @@
     this.connections.get(name)!.call(call, done);
   }
 
-  /** Whether a controller is ready for users within so many milliseconds. */
+  /** Waits up to `withinMs` for any controller to be ready for users; returns whether one is. */
   async waitUntilReady(withinMs: number): Promise<boolean> {
     const { clock } = this.dependencies;
     const deadline = clock.now + withinMs;
@@ -94,7 +94,10 @@
     return new Promise((resolve) => this.call(name, call, (reply) => resolve(reply?.status === 200)));
   }
 
-  /** A controller that is up: the one of this name, or any. Throws FaultTargetError if there is none. */
+  /**
+   * Returns the running controller of this name, or a random running one without a name. Throws
+   * FaultTargetError if there is none.
+   */
   pickRunning(name: string | undefined): Controller {
     const running = this.controllers.filter(
       (controller) => controller.process !== null && (name === undefined || controller.name === name),
@@ -103,7 +106,7 @@
     return running[this.dependencies.random.below(running.length)]!;
   }
 
-  /** Kills all controllers, and resolves when they have ended. */
+  /** Kills all controllers, and resolves when their processes have exited. */
   async stop(): Promise<void> {
     const running = this.controllers.flatMap(({ process: child }) => (child === null ? [] : [child]));
     const ended = running.map((child) => new Promise((resolve) => child.once('exit', resolve)));
@@ -111,7 +114,7 @@
     await Promise.all(ended);
   }
 
-  /** Closes the connections. */
+  /** Closes the connections to the controllers. */
   close(): void {
     for (const connection of this.connections.values()) connection.close();
   }
--- a/packages/local-cluster/src/controller-process.ts
+++ b/packages/local-cluster/src/controller-process.ts
@@ -1,4 +1,4 @@
-// Controllers as processes of their own, on loopback: their addresses, and how one is started.
+// Allocates loopback addresses for controllers, and starts a controller as a separate process.
 import { type ChildProcess, spawn } from 'node:child_process';
 import { closeSync, openSync } from 'node:fs';
 import { join } from 'node:path';
@@ -9,7 +9,7 @@
 /** The name of the controller with this index. */
 export const controllerName = (index: number): string => `node-${index}`;
 
-/** Free addresses for so many controllers, spread over the zones. */
+/** Allocates free addresses for `count` controllers, and assigns the controllers to the zones in turn. */
 export async function nodeAddresses(count: number, zones: readonly string[]): Promise<NodeAddress[]> {
   const addresses: NodeAddress[] = [];
   for (let index = 0; index < count; index++)
@@ -23,8 +23,9 @@
 }
 
 /**
- * Starts a controller with the settings file `NAME.json` of the directory; it logs to `NAME.log` there.
- * `program`: the daemon and its arguments before `serve`. The controller ends with the guard.
+ * Starts a controller with the settings file `NAME.json` in `dir`; its output is appended to `NAME.log`
+ * there. `program`: command line of the daemon before the `serve` argument. `guard` kills the controller when
+ * it is closed or this process exits.
  */
 export function spawnController(
   name: string,
--- a/packages/local-cluster/src/deprecated.ts
+++ b/packages/local-cluster/src/deprecated.ts
@@ -1,4 +1,4 @@
-// Earlier names of exports that are still in use in this repository.
+// Deprecated names of exports that this repository still uses.
 import type { CloudEnvironment } from './fake-cloud.ts';
 import { FakeStore } from './fake-store.ts';
 import { errorResponse } from './json-server.ts';
--- a/packages/local-cluster/src/errors.ts
+++ b/packages/local-cluster/src/errors.ts
@@ -6,7 +6,9 @@
   readonly code = 'LOCAL_CLUSTER_NOT_READY';
 }
 
-/** A fault cannot be injected: what it names is not there. */
+/**
+ * A fault cannot be injected because the controller or zone that it names does not exist or is not running.
+ */
 export class FaultTargetError extends SwiftfordError {
   readonly code = 'FAULT_TARGET_MISSING';
 }
--- a/packages/local-cluster/src/fault-injector.ts
+++ b/packages/local-cluster/src/fault-injector.ts
@@ -1,4 +1,4 @@
-// Faults of a local cluster: what goes wrong on an operator's command or by plan.
+// Fault injection in a local cluster, on an operator's command or as scheduled in the options file.
 import type { ControllerGroup } from './controller-group.ts';
 import { FaultTargetError } from './errors.ts';
 import type { LocalMachines } from './local-machines.ts';
@@ -7,7 +7,7 @@
 import { endGroup } from './process-guard.ts';
 import type { RealClock } from './real-clock.ts';
 
-/** What faults happen to. */
+/** Components that faults are injected into. */
 export interface FaultTargets {
   readonly clock: RealClock;
   readonly zones: readonly string[];
@@ -16,14 +16,13 @@
   readonly services: OutsideServices;
 }
 
-/** Injects faults, each of which ends by itself. */
+/** Injects faults; those with a duration end by themselves. */
 export class FaultInjector {
-  /** `targets`: what faults happen to. */
   constructor(private readonly targets: FaultTargets) {}
 
   /**
-   * Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not
-   * there.
+   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the
+   * controller or zone that it names does not exist or is not running.
    */
   inject(fault: Fault): string {
     const { services, clock } = this.targets;
@@ -81,20 +80,20 @@
 
   private machineDeath({ count }: Fault): string {
     const { machines } = this.targets;
-    const running = machines.running().sort((a, b) => (a.id < b.id ? -1 : 1));
-    const dying = running.slice(0, count);
-    for (const worker of dying) machines.remove(worker);
-    return `${dying.length} machines are gone`;
+    const running = machines.runningWorkers().sort((a, b) => (a.id < b.id ? -1 : 1));
+    const terminated = running.slice(0, count);
+    for (const worker of terminated) machines.terminate(worker);
+    return `${terminated.length} machines are gone`;
   }
 
   private spotWave(fault: Fault): string {
     const { machines, clock } = this.targets;
-    const spot = machines.running().filter((worker) => worker.spot);
-    for (const worker of spot) {
+    const spotWorkers = machines.runningWorkers().filter((worker) => worker.spot);
+    for (const worker of spotWorkers) {
       worker.noticeS = fault.seconds;
-      clock.after(durationMs(fault), () => machines.remove(worker));
+      clock.after(durationMs(fault), () => machines.terminate(worker));
     }
-    return `${spot.length} spot machines are taken back in ${fault.seconds} s`;
+    return `${spotWorkers.length} spot machines are taken back in ${fault.seconds} s`;
   }
 
   private partitionZone(fault: Fault): string {
--- a/packages/local-cluster/src/index.ts
+++ b/packages/local-cluster/src/index.ts
@@ -1,4 +1,4 @@
-// The package's public entry.
+// Public exports of the package.
 export type { SimulationClock } from './clock.ts';
 export type { Controller } from './controller-group.ts';
 export { nodeAddresses, spawnController } from './controller-process.ts';
--- a/packages/local-cluster/src/json-server.ts
+++ b/packages/local-cluster/src/json-server.ts
@@ -1,40 +1,40 @@
-// HTTP for the stand-ins: JSON in and out, on loopback; malformed requests are answered with 400.
+// HTTP server for the stand-ins, with JSON requests and responses on loopback. Malformed requests get status
+// 400.
 import { serveHttp } from '../../../src/http/server.ts';
 import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
 
-/** A response with a JSON body. */
+/** An HTTP response with a JSON body. */
 export interface JsonResponse {
-  /** HTTP status. */
   status: number;
   body: string;
 }
 
-/** Answers a request; null: no answer at all. */
+/** Responds to a request; null sends no response. */
 export type Respond = (response: JsonResponse | null) => void;
 
 /**
- * Handles a request with its parsed body (`{}` for none). Throws InvalidMessageError for one that is
- * malformed.
+ * Handles a request with its parsed body (`{}` for an empty one). Throws InvalidMessageError if the request
+ * is malformed.
  */
 export type RequestHandler = (method: string, path: string, body: unknown, respond: Respond) => void;
 
-/** A server that listens. */
+/** A listening server. */
 export interface Listening {
   /** `127.0.0.1:port`. */
   addr: string;
-  /** Stops it, and destroys its connections. */
+  /** Stops the server, and destroys its connections. */
   close(): void;
 }
 
 const LIMITS = { maxConnections: 10_000, maxBody: 4 << 20, requestMs: 10_000, idleMs: 120_000 };
 
-/** A response that says what went wrong. */
+/** A response with an error message. */
 export const errorResponse = (status: number, message: string): JsonResponse => ({
   status,
   body: JSON.stringify({ error: message }),
 });
 
-/** Listens on a port of loopback; 0 takes a free one. Rejects if the port is taken. */
+/** Listens on a loopback port; port 0 selects a free one. Rejects if the port is in use. */
 export function listen(port: number, handler: RequestHandler): Promise<Listening> {
   return new Promise((resolve, reject) => {
     const sockets = new Set<{ destroy(): void }>();
@@ -80,7 +80,7 @@
   }
 }
 
-/** A port of this machine that nobody listens on just now. */
+/** Returns a loopback port that is currently free; another process may take it before it is used. */
 export async function freePort(): Promise<number> {
   const listening = await listen(0, () => {});
   listening.close();
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -1,4 +1,4 @@
-// A cluster on one machine: stand-ins of the key-value store, the cloud and workers on loopback, and
+// A cluster on one machine: stand-ins for the key-value store, the cloud and workers on loopback, and
 // controllers as real processes.
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -22,25 +22,25 @@
 import type { OutputStream } from './task-files.ts';
 import type { JobDescription, Run } from './task-run.ts';
 
-/** Where and with what a local cluster runs. */
+/** Program, directories and log of a local cluster. */
 export interface LocalClusterSetup {
-  /** The daemon: program and arguments before `serve`. */
+  /** Command line of the daemon before the `serve` argument. */
   program: string[];
-  /** Where settings, logs and what tasks write are put. */
+  /** Directory for settings, logs and task files. */
   dir: string;
-  /** Directory in which the store's records are kept over restarts of the cluster. */
+  /** Directory for records that survive a restart of the cluster; without it nothing is recorded. */
   data?: string;
-  /** Called with each event, for people. */
+  /** Called with a line of text for each event. */
   log: (line: string) => void;
 }
 
-const READY_WITHIN_MS = 30_000;
+const READY_TIMEOUT_MS = 30_000;
 
-/** A running cluster; `stop` ends all that it started. */
+/** A running cluster; `stop` ends all processes and servers that it started. */
 export class LocalCluster implements ControllableCluster {
   readonly state: FakeStore;
   readonly cloud: FakeCloud;
-  /** Address of the cluster's own HTTP interface. */
+  /** Address of the cluster's own HTTP API. */
   addr = '';
   private readonly clock = new RealClock();
   private readonly guard = new ProcessGuard();
@@ -78,11 +78,11 @@
     this.cloud = services.cloud;
   }
 
-  /** Starts a cluster; what was started is ended again if that fails. */
+  /** Starts a cluster; if that fails, stops the components already started and rethrows the error. */
   static async start(options: LocalClusterOptions, setup: LocalClusterSetup): Promise<LocalCluster> {
     const cluster = new LocalCluster(options, setup);
     try {
-      await cluster.begin();
+      await cluster.startComponents();
     } catch (error) {
       await cluster.stop();
       throw error;
@@ -90,7 +90,7 @@
     return cluster;
   }
 
-  private async begin(): Promise<void> {
+  private async startComponents(): Promise<void> {
     const { dir, data } = this.setup;
     mkdirSync(dir, { recursive: true });
     if (data !== undefined) await this.openStorage(data);
@@ -104,16 +104,18 @@
   private async openStorage(dir: string): Promise<void> {
     mkdirSync(dir, { recursive: true });
     const storage = await ClusterStorage.open(dir, (error) =>
-      this.setup.log(`records cannot be kept: ${error.message}`),
+      this.setup.log(
+        `cannot write the records in ${dir}: ${error.message}; the store and the cloud stop answering`,
+      ),
     );
     this.storage = storage;
     await storage.attach(this.state);
-    const { jobs, doneTasks } = await storage.recordedWork();
+    const { jobs, doneTasks } = await storage.readWork();
     const { tasks } = this.machines;
     for (const [job, description] of jobs) tasks.describe(job, description);
-    for (const task of doneTasks) tasks.remember(task as TaskId);
+    for (const task of doneTasks) tasks.restoreDoneTask(task as TaskId);
     tasks.onDone = (task) => storage.recordDone(task);
-    this.machines.onMachineCreated = () => storage.machineNumberUsed(this.cloud.made);
+    this.machines.onMachineCreated = () => storage.onMachineNumberUsed(this.cloud.made);
     this.cloud.made = await storage.reserveMachineNumbers();
   }
 
@@ -133,19 +135,24 @@
     }
   }
 
-  /** Calls back when all changes so far are on disk. */
+  /** Calls `callback` when all changes made so far are on disk; never after `stop`. */
   private async whenDurable(callback: () => void): Promise<void> {
-    if (this.storage !== null) await this.storage.flushed();
+    if (this.storage !== null) await this.storage.flush();
     if (!this.clock.isStopped) callback();
   }
 
-  /** Resolves when a controller is ready for users; throws NotReadyError if none is in time. */
-  async ready(withinMs = READY_WITHIN_MS): Promise<void> {
+  /**
+   * Resolves when a controller is ready for users, and schedules the faults of the options. Throws
+   * NotReadyError if none is ready within `withinMs`.
+   */
+  async ready(withinMs = READY_TIMEOUT_MS): Promise<void> {
     if (await this.controllerGroup.waitUntilReady(withinMs)) return this.scheduleFaults();
-    throw new NotReadyError(`no controller is ready; see the logs in ${this.setup.dir}`);
+    throw new NotReadyError(
+      `no controller became ready within ${withinMs} ms; see the logs in ${this.setup.dir}`,
+    );
   }
 
-  /** Faults of the options, from the first time that the cluster is ready. */
+  /** Schedules the faults of the options, once: their times count from when the cluster is first ready. */
   private scheduleFaults(): void {
     for (const { atS, fault } of this.options.faults.splice(0))
       this.clock.after(atS * 1000, () => {
@@ -162,17 +169,17 @@
     return this.controllerGroup.controllers;
   }
 
-  /** The starts of tasks so far. */
+  /** The task attempts launched so far. */
   get runs(): readonly Run[] {
     return this.machines.tasks.runs;
   }
 
-  /** What the store has under a key. */
+  /** The value of a key in the store; undefined if there is none. */
   recorded(key: string): unknown {
     return this.state.keys.get(key)?.value;
   }
 
-  // ---- for the HTTP interface
+  // ---- operations of the HTTP API
 
   view(): ClusterView {
     return {
@@ -197,18 +204,18 @@
   }
 
   /**
-   * Injects a fault, and says what was done in a sentence. Throws FaultTargetError if what it names is not
-   * there.
+   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the
+   * controller or zone that it names does not exist or is not running.
    */
   fault(fault: Fault): string {
-    const done = this.faults.inject(fault);
-    this.setup.log(done);
-    return done;
+    const effect = this.faults.inject(fault);
+    this.setup.log(effect);
+    return effect;
   }
 
-  // ---- the end
+  // ---- stop
 
-  /** Ends everything that was started. */
+  /** Ends all processes and servers that were started, and closes the records. */
   async stop(): Promise<void> {
     this.clock.stop();
     this.machines.stop();
--- a/packages/local-cluster/src/local-machines.ts
+++ b/packages/local-cluster/src/local-machines.ts
@@ -1,5 +1,5 @@
-// The machines of a local cluster: workers with sockets of their own, whose zones can be cut off from the
-// controllers.
+// The machines of a local cluster: workers with one server socket each, and network partitions between zones
+// and the controllers.
 import { join } from 'node:path';
 import type { Random } from '../../../src/core/base/io.ts';
 import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
@@ -19,22 +19,22 @@
 import type { RealClock } from './real-clock.ts';
 import { TaskRunner } from './task-runner.ts';
 
-/** What the machines need around them. */
+/** Dependencies of {@link LocalMachines}. */
 export interface LocalMachinesDependencies {
   readonly options: LocalClusterOptions;
   readonly clock: RealClock;
   readonly random: Random;
   readonly controllers: ControllerGroup;
   readonly guard: ProcessGuard;
-  /** Directory of the cluster. */
+  /** Directory of the cluster's settings, logs and task files. */
   readonly dir: string;
 }
 
-/** A zone that is cut off. */
+/** A network partition between a zone and the controllers. */
 interface NetworkPartition {
-  /** Milliseconds. */
+  /** When it ends, in milliseconds. */
   readonly until: number;
-  /** Messages are delivered at the end instead of being dropped. */
+  /** Whether messages are delivered when it ends, instead of being dropped. */
   readonly delaysMessages: boolean;
 }
 
@@ -45,7 +45,7 @@
   readonly leaseMs: number;
   readonly nodeNames: readonly string[];
   readonly tasks: TaskRunner;
-  /** Called when a machine was made. */
+  /** Called after a machine is created. */
   onMachineCreated: () => void = () => {};
   private readonly listeners = new Map<FakeWorker, Listening>();
   private readonly partitions = new Map<string, NetworkPartition>();
@@ -71,28 +71,28 @@
     this.dependencies.clock.after(ms, run);
   }
 
-  /** Workers that are up. */
-  running(): FakeWorker[] {
+  /** Workers whose machine has booted and was not terminated. */
+  runningWorkers(): FakeWorker[] {
     return [...this.workers.values()].filter((worker) => worker.up && !worker.dead);
   }
 
-  /** The machine is gone, without notice. */
-  remove(worker: FakeWorker): void {
+  /** Terminates a machine without notice. */
+  terminate(worker: FakeWorker): void {
     worker.die();
     this.workers.delete(worker.id);
   }
 
-  /** Cuts a zone off from the controllers for so many milliseconds. */
+  /** Cuts a zone off from the controllers for `ms`. */
   partition(zone: string, ms: number, delaysMessages: boolean): void {
     this.partitions.set(zone, { until: this.now + ms, delaysMessages });
   }
 
-  /** All machines are gone. */
+  /** Terminates all machines. */
   stop(): void {
     for (const worker of [...this.workers.values()]) worker.die();
   }
 
-  // ---- for the cloud
+  // ---- cloud environment
 
   machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const { random, clock } = this.dependencies;
@@ -110,7 +110,7 @@
     return worker;
   }
 
-  // ---- for controllers
+  // ---- requests of controllers
 
   private serve(
     worker: FakeWorker,
@@ -139,26 +139,26 @@
     });
   }
 
-  // ---- for workers
+  // ---- worker environment
 
   sendReport(
     worker: FakeWorker,
     node: string,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
     timeoutMs: number,
-    done: (response: HeartbeatResponse | null) => void,
+    onResponse: (response: HeartbeatResponse | null) => void,
   ): void {
     const { controllers, clock } = this.dependencies;
-    const call = { method: 'POST', path: '/checkin', body: encodeHeartbeat(report), timeoutMs };
+    const call = { method: 'POST', path: '/checkin', body: encodeHeartbeat(heartbeat), timeoutMs };
     const partition = this.partitionOf(worker);
     if (partition !== null) {
       if (partition.delaysMessages)
         this.after(partition.until - this.now, () => controllers.call(node, call, () => {}));
-      return this.after(timeoutMs, () => done(null));
+      return this.after(timeoutMs, () => onResponse(null));
     }
     controllers.call(node, call, (reply) => {
       const response = heartbeatResponse(reply);
-      if (!clock.isStopped) done(response);
+      if (!clock.isStopped) onResponse(response);
     });
   }
 
@@ -173,12 +173,12 @@
     worker: FakeWorker,
     task: TaskId,
     attempt: number,
-    end: (why: ExitReason) => void,
-    is: (state: TaskProgress) => void,
+    onExit: (reason: ExitReason) => void,
+    onProgress: (progress: TaskProgress) => void,
   ): RunningTask {
     const type = this.dependencies.options.types[worker.type]!;
     const machine = { id: worker.id, fetchGbPerS: type.fetch_gb_per_s, cacheGb: type.cache_gb };
-    return this.tasks.launch(machine, task, attempt, end, is);
+    return this.tasks.launch(machine, task, attempt, onExit, onProgress);
   }
 
   gone(worker: FakeWorker): void {
@@ -187,7 +187,7 @@
   }
 }
 
-/** Null: no answer, or none that can be read. */
+/** Decodes the response to a heartbeat; null if there is none or it is malformed. */
 function heartbeatResponse(reply: ClientReply | null): HeartbeatResponse | null {
   if (reply === null) return null;
   try {
--- a/packages/local-cluster/src/options.ts
+++ b/packages/local-cluster/src/options.ts
@@ -1,23 +1,23 @@
-// What a local cluster is like: zones, teams, machine types, times and limits. Every key of the options file,
-// its default and its bounds stand here once.
+// Options of a local cluster: zones, teams, machine types, times, limits and faults. The schema defines every
+// key of the options file with its default and bounds.
 import * as v from 'valibot';
 import { InvalidSettingsError } from '../../../src/protocol/settings.ts';
 
-// ---- the parts of the schema
+// ---- schema
 
-const boundedNumber = (least: number, most: number, value: number) =>
-  v.optional(v.pipe(v.number(), v.minValue(least), v.maxValue(most)), value);
-const amount = v.pipe(v.number(), v.minValue(0));
-const names = v.pipe(v.array(v.pipe(v.string(), v.minLength(1))), v.minLength(1));
+const boundedNumber = (min: number, max: number, defaultValue: number) =>
+  v.optional(v.pipe(v.number(), v.minValue(min), v.maxValue(max)), defaultValue);
+const nonNegativeNumber = v.pipe(v.number(), v.minValue(0));
+const nonEmptyNames = v.pipe(v.array(v.pipe(v.string(), v.minLength(1))), v.minLength(1));
 
 const labSchema = v.strictObject({
   seed: boundedNumber(0, 2 ** 31, 1),
-  /** Address of the cluster's own interface: 127.0.0.1 and this port; 0 takes a free one. */
+  /** Port of the cluster's own HTTP API on 127.0.0.1; 0 selects a free one. */
   port: boundedNumber(0, 65_535, 7070),
   controllers: boundedNumber(1, 15, 3),
-  /** Boots, fetches and simulated run times are so many times as fast. */
+  /** Factor by which boots, image fetches and simulated run times are faster than nominal. */
   speed: boundedNumber(0.1, 1000, 1),
-  zones: v.optional(names, ['a', 'b']),
+  zones: v.optional(nonEmptyNames, ['a', 'b']),
 });
 const workersSchema = v.strictObject({
   report_s: boundedNumber(0.5, 60, 1),
@@ -39,26 +39,26 @@
   latency_ms: boundedNumber(0, 10_000, 20),
 });
 const teamSchema = v.strictObject({
-  cpus: v.optional(amount, 0),
-  cpus_max: v.optional(amount, 0),
-  gpus: v.optional(amount, 0),
-  gpus_max: v.optional(amount, 0),
+  cpus: v.optional(nonNegativeNumber, 0),
+  cpus_max: v.optional(nonNegativeNumber, 0),
+  gpus: v.optional(nonNegativeNumber, 0),
+  gpus_max: v.optional(nonNegativeNumber, 0),
 });
 const typeSchema = v.strictObject({
-  cpus: amount,
-  gpus: v.optional(amount, 0),
-  memory_gb: amount,
+  cpus: nonNegativeNumber,
+  gpus: v.optional(nonNegativeNumber, 0),
+  memory_gb: nonNegativeNumber,
   cache_gb: boundedNumber(0, 1e5, 50),
   fetch_gb_per_s: boundedNumber(0.001, 1000, 1),
   price: boundedNumber(0, 1e6, 1),
   spot_price: boundedNumber(0, 1e6, 0.3),
   boot_s: boundedNumber(0, 3600, 3),
-  /** Machines of it in each zone, ordinary and spot. */
+  /** Maximum number of ordinary (`count`) and spot machines of the type in each zone. */
   count: boundedNumber(0, 1000, 8),
   spot: boundedNumber(0, 1000, 4),
 });
 
-/** The kinds of faults, as users name them. */
+/** The kinds of faults, by the names used in commands and the options file. */
 export const FAULTS = [
   'kill-controller',
   'freeze-controller',
@@ -72,22 +72,22 @@
   'zone-hold',
 ] as const;
 
-/** Something that goes wrong, now or `at_s` seconds after the cluster is ready. */
+/** A fault, injected at once or `at_s` seconds after the cluster is ready. */
 const faultSchema = v.strictObject({
-  at_s: v.optional(amount, 0),
-  /** How long; for a spot wave, how much notice. */
+  at_s: v.optional(nonNegativeNumber, 0),
+  /** Duration; for spot-wave, the length of the preemption notice. */
   seconds: boundedNumber(0.1, 86_400, 10),
-  /** Machines, for machine-death. */
+  /** Number of machines, for machine-death. */
   count: boundedNumber(1, 10_000, 1),
-  /** A controller; by default any that is up. */
+  /** Name of the controller; by default any that is running. */
   name: v.optional(v.string()),
   zone: v.optional(v.string()),
 });
 
-/** A block that stands once at most; HCL gives it as a list. */
+/** A block that may occur at most once; the HCL parser returns it as a list. */
 const singleBlock = <S extends v.GenericSchema>(schema: S) =>
   v.optional(v.pipe(v.array(schema), v.length(1)), [{}] as never);
-/** Blocks with a label each. */
+/** Labelled blocks; each label may occur at most once. */
 const labelledBlocks = <S extends v.GenericSchema>(schema: S) =>
   v.optional(v.record(v.string(), v.pipe(v.array(schema), v.length(1))), {} as never);
 
@@ -101,18 +101,18 @@
   fault: v.optional(v.record(v.picklist(FAULTS), v.array(faultSchema)), {}),
 });
 
-// ---- what is read
+// ---- parsing
 
-/** A fault that is to be injected. */
+/** A fault to inject. */
 export type Fault = Omit<v.InferOutput<typeof faultSchema>, 'at_s'> & { kind: (typeof FAULTS)[number] };
 
-/** A fault of the options file; `atS` in seconds after the cluster is ready. */
+/** A fault of the options file, to inject `atS` seconds after the cluster is ready. */
 export interface ScheduledFault {
   atS: number;
   fault: Fault;
 }
 
-/** What a local cluster is like; fields and units are those of the options file. */
+/** Options of a local cluster; fields and units are those of the options file. */
 export interface LocalClusterOptions {
   lab: v.InferOutput<typeof labSchema>;
   workers: v.InferOutput<typeof workersSchema>;
@@ -123,21 +123,22 @@
   faults: ScheduledFault[];
 }
 
-/** Reads a fault as it comes from a command. Throws InvalidSettingsError; `file` names it in the text. */
-export function readFault(file: string, given: unknown): Fault {
-  const { kind, ...rest } = given as { kind?: unknown };
-  const known = FAULTS.find((fault) => fault === kind);
-  if (known === undefined)
-    throw new InvalidSettingsError(`${file}: there is no such fault: ${kind}; ${FAULTS.join(', ')}`);
+/** Validates a fault sent by a command. Throws InvalidSettingsError, whose text begins with `source`. */
+export function readFault(source: string, input: unknown): Fault {
+  const { kind, ...rest } = input as { kind?: unknown };
+  const knownKind = FAULTS.find((fault) => fault === kind);
+  if (knownKind === undefined)
+    throw new InvalidSettingsError(`${source}: there is no such fault: ${kind}; ${FAULTS.join(', ')}`);
   const checked = v.safeParse(faultSchema, rest);
-  if (!checked.success) throw new InvalidSettingsError(`${file}: ${known}: ${checked.issues[0].message}`);
+  if (!checked.success)
+    throw new InvalidSettingsError(`${source}: ${knownKind}: ${checked.issues[0].message}`);
   const { at_s: _, ...fault } = checked.output;
-  return { kind: known, ...fault };
+  return { kind: knownKind, ...fault };
 }
 
 /**
- * Reads the parsed form of an HCL file; `deploy/lab.hcl` shows all of it. Throws InvalidSettingsError naming
- * file and key.
+ * Validates a parsed HCL options file; `deploy/lab.hcl` is an example with every key. Throws
+ * InvalidSettingsError naming file and key.
  */
 export function readLocalClusterOptions(file: string, parsed: unknown): LocalClusterOptions {
   const checked = v.safeParse(fileSchema, parsed);
@@ -157,10 +158,10 @@
 }
 
 function issueText(file: string, issue: v.BaseIssue<unknown>): string {
-  // The list of a single block is not shown.
+  // The index 0 is left out: it comes from the list that the HCL parser makes of a single block.
   const path = issue.path?.map(({ key }) => String(key)).filter((key) => key !== '0');
-  const what = issue.expected === 'never' ? 'unknown name' : issue.message;
-  return `${file}: ${path?.join('.') ?? '(whole file)'}: ${what}`;
+  const problem = issue.expected === 'never' ? 'unknown name' : issue.message;
+  return `${file}: ${path?.join('.') ?? '(whole file)'}: ${problem}`;
 }
 
 const firstOfEach = <T>(blocks: Record<string, T[]>): Record<string, T> =>
@@ -175,5 +176,5 @@
   );
 }
 
-/** A cluster without an options file. */
+/** The options of a cluster that is started without an options file. */
 export const defaults = (): LocalClusterOptions => readLocalClusterOptions('(defaults)', {});
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -1,5 +1,5 @@
-// The key-value store and the cloud behind sockets: rate limits, latencies and lost answers around the
-// stand-ins.
+// HTTP request handlers of the key-value store and the cloud: they add rate limits, latencies and lost
+// replies to the stand-ins.
 import type { Random } from '../../../src/core/base/io.ts';
 import type { MachineType } from '../../../src/core/base/model.ts';
 import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
@@ -11,12 +11,12 @@
 import { errorResponse, type RequestHandler, type Respond } from './json-server.ts';
 import type { LocalClusterOptions } from './options.ts';
 
-/** What the services were asked for since they began. */
+/** Numbers of requests to the services since they were started. */
 export interface ServiceCounts {
   stateRequests: number;
-  /** Puts and deletes. */
+  /** Puts and deletes in transactions within the rate limits. */
   stateChanges: number;
-  /** Requests to the store that were over one of its limits. */
+  /** Requests to the store that were refused as over a rate limit. */
   stateRefused: number;
   cloudCalls: number;
   cloudRefused: number;
@@ -24,13 +24,14 @@
 
 type StoreCall = NonNullable<ReturnType<typeof decodeStoreRequest>>;
 
-/** Seconds of its rate that the cloud's bucket holds. */
+/** Size of the cloud's token bucket, in seconds of its request rate. */
 const CLOUD_BURST_S = 2;
-/** Boots take this part of their nominal time at least, and up to so many percentage points more. */
+/** Minimum boot time, as a fraction of the nominal one. */
 const MIN_BOOT_FRACTION = 0.6;
+/** Random addition to the boot time, in percentage points of the nominal one. */
 const BOOT_SPREAD_PERCENT = 90;
 
-/** Handlers for the store and the cloud. */
+/** The key-value store and the cloud with their request handlers. */
 export class OutsideServices {
   readonly state: FakeStore;
   readonly cloud: FakeCloud;
@@ -41,20 +42,20 @@
     cloudCalls: 0,
     cloudRefused: 0,
   };
-  /** Until when half of the store's answers are lost, in milliseconds. */
+  /** Time until which half of the store's replies are lost, in milliseconds. */
   storeSilentUntil = 0;
-  /** Until when the store executes late and does not answer, in milliseconds. */
+  /** Time at which the store executes the requests received before it, without replies, in milliseconds. */
   storeLateUntil = 0;
   private readonly storeRequestLimit: TokenBucket;
   private readonly storeWriteLimit: TokenBucket;
   private readonly cloudLimit: TokenBucket;
 
-  /** `whenDurable` calls back when what was changed so far may be answered. */
+  /** `whenDurable` calls `callback` when all changes made so far are on disk and may be confirmed. */
   constructor(
     private readonly environment: CloudEnvironment,
     private readonly options: LocalClusterOptions,
     private readonly random: Random,
-    private readonly whenDurable: (answer: () => void) => void,
+    private readonly whenDurable: (callback: () => void) => void,
   ) {
     const { state, cloud } = options;
     this.storeRequestLimit = new TokenBucket(state.rps, state.rps);
@@ -68,7 +69,7 @@
 
   private configureCloud(): void {
     const { lab, cloud, types } = this.options;
-    this.cloud.lagMs = cloud.list_lag_s * 1000;
+    this.cloud.listLagMs = cloud.list_lag_s * 1000;
     this.cloud.types = Object.entries(types).map(([name, type]) => machineType(name, type, lab.zones));
     this.cloud.room = (type, _zone, spot) => types[type]?.[spot ? 'spot' : 'count'] ?? 0;
     this.cloud.bootMs = (type) =>
@@ -76,7 +77,7 @@
       (MIN_BOOT_FRACTION + this.random.below(BOOT_SPREAD_PERCENT) / 100);
   }
 
-  /** Requests to the key-value store. */
+  /** Handles requests to the key-value store. */
   readonly serveState: RequestHandler = (method, path, body, respond) => {
     const call = decodeStoreRequest(method, path, body);
     if (call === null) return respond(errorResponse(404, 'no such path'));
@@ -88,9 +89,9 @@
       return respond(errorResponse(429, 'too many requests'));
     }
     this.counts.stateChanges += changes;
-    const lateMs = this.storeLateUntil - this.environment.now;
-    if (lateMs > 0 && op.kind !== 'watch')
-      return this.environment.after(lateMs, () => this.state.serve('', op, () => {}));
+    const remainingDelayMs = this.storeLateUntil - this.environment.now;
+    if (remainingDelayMs > 0 && op.kind !== 'watch')
+      return this.environment.after(remainingDelayMs, () => this.state.serve('', op, () => {}));
     this.executeStoreCall(call, respond);
   };
 
@@ -101,16 +102,16 @@
   }
 
   private executeStoreCall({ op, page }: StoreCall, respond: Respond): void {
-    const isSilent = this.environment.now < this.storeSilentUntil && this.random.below(2) === 0;
+    const isReplyLost = this.environment.now < this.storeSilentUntil && this.random.below(2) === 0;
     this.state.serve('', op, (reply) => {
-      if (isSilent) return;
+      if (isReplyLost) return;
       const response = encodeStoreReply(op, reply, page, this.state.revision);
       this.respondAfter(this.options.state.latency_ms, () => respond(response));
     });
     this.state.served.length = 0;
   }
 
-  /** Requests to the cloud. */
+  /** Handles requests to the cloud. */
   readonly serveCloud: RequestHandler = (method, path, body, respond) => {
     const call = decodeCloudRequest(method, path, body);
     if (call === null) return respond(errorResponse(404, 'no such path'));
--- a/packages/local-cluster/src/process-guard.ts
+++ b/packages/local-cluster/src/process-guard.ts
@@ -1,8 +1,9 @@
-// Ends the processes that were started when their parent is gone, however it ended: a small process of its
-// own reads the process groups to end from a pipe, and kills those that are left when the pipe is closed.
+// Kills child processes when this process exits, also after a crash or SIGKILL: a small watcher process reads
+// the ids of the process groups from a pipe, and kills the remaining groups when the pipe is closed.
 import { type ChildProcess, spawn } from 'node:child_process';
 
-const WATCHER_PROGRAM = `
+/** Source of the watcher process: `+PID` adds a process group, `-PID` removes one. */
+const WATCHER_SOURCE = `
 const groups = new Set();
 let text = '';
 process.stdin.on('data', (data) => {
@@ -21,12 +22,12 @@
 for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP']) process.on(signal, () => {});
 `;
 
-/** Kills the process groups that were added when this process ends or `close` is called. */
+/** Kills the process groups that were added, when this process exits or `close` is called. */
 export class ProcessGuard {
   private readonly watcher: ChildProcess;
 
   constructor() {
-    this.watcher = spawn(process.execPath, ['-e', WATCHER_PROGRAM], {
+    this.watcher = spawn(process.execPath, ['-e', WATCHER_SOURCE], {
       detached: true,
       stdio: ['pipe', 'ignore', 'ignore'],
     });
@@ -35,29 +36,29 @@
     (this.watcher.stdin as unknown as { unref(): void }).unref();
   }
 
-  /** `child` leads a process group of its own (`detached`); it is guarded until it ends. */
+  /** Guards a child until it exits; it must lead its own process group (`detached`). */
   add(child: ChildProcess): void {
     const { pid } = child;
     if (pid === undefined) return;
     this.watcher.stdin!.write(`+${pid}\n`);
     child.once('exit', () => {
-      // What the child itself has started goes with it.
+      // Kills the remaining processes of the group, which the child has started.
       endGroup(pid);
       this.watcher.stdin!.write(`-${pid}\n`);
     });
   }
 
-  /** Ends what is left, and the guard itself. */
+  /** Kills the remaining process groups, and ends the watcher process. */
   close(): void {
     this.watcher.stdin!.end();
   }
 }
 
-/** Sends a signal to a process group, by the id of its leader; nothing happens if it has ended. */
+/** Sends a signal to the process group led by `pid`; does nothing if the group no longer exists. */
 export function endGroup(pid: number, signal: NodeJS.Signals = 'SIGKILL'): void {
   try {
     process.kill(-pid, signal);
   } catch {
-    // It has ended by itself.
+    // The group no longer exists.
   }
 }
--- a/packages/local-cluster/src/real-clock.ts
+++ b/packages/local-cluster/src/real-clock.ts
@@ -1,4 +1,4 @@
-// Real time, with timers that can all be stopped at once.
+// A clock on real time, with timers that can be cancelled together.
 import type { SimulationClock } from './clock.ts';
 
 /** The clock of a local cluster: milliseconds since the epoch, monotonic. */
@@ -23,7 +23,7 @@
     this.timers.add(timer);
   }
 
-  /** Cancels all timers; none runs any more. */
+  /** Cancels all timers; timers set later do not run either. */
   stop(): void {
     this.stopped = true;
     for (const timer of this.timers) clearTimeout(timer);
--- a/packages/local-cluster/src/settings-file.ts
+++ b/packages/local-cluster/src/settings-file.ts
@@ -1,25 +1,25 @@
-// The settings file of one controller of a local cluster, as the platform would write it.
+// Generates the settings file of a controller in a local cluster, in the form that the platform writes.
 import type { LocalClusterOptions } from './options.ts';
 
-/** Where a controller is reached. */
+/** Name, zone and addresses of a controller. */
 export interface NodeAddress {
   name: string;
   /** Its zone. */
   location: string;
-  /** Where users and workers reach it. */
+  /** Address for users and workers. */
   addr: string;
-  /** Where the other controllers reach it. */
+  /** Address for the other controllers. */
   peer: string;
 }
 
-/** Where the outside systems are reached. */
+/** Addresses of the outside systems. */
 export interface OutsideAddresses {
   /** The key-value store. */
   state: string;
   cloud: string;
 }
 
-/** The text of the settings file of `node`. `sockets`: how many connections it may open. */
+/** Returns the text of the settings file of `node`. `sockets`: maximum number of connections it may open. */
 export function settingsFile(
   options: LocalClusterOptions,
   node: NodeAddress,
