--- a/test/local-cluster.test.ts
+++ b/test/local-cluster.test.ts
@@ -1,4 +1,4 @@
-// A cluster on one machine: real controllers, stand-ins on sockets, commands as child processes.
+// Tests of the local cluster: real controllers, stand-ins on sockets, commands as child processes.
 import assert from 'node:assert/strict';
 import { type ChildProcess, spawn } from 'node:child_process';
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -32,11 +32,11 @@
   assert.ok(condition());
 }
 
-/** A program that was started, with what it has written to its standard output. */
+/** A started program and its standard output so far. */
 interface RunningProgram {
   readonly child: ChildProcess;
   readonly output: () => string;
-  /** Resolves with the exit code when the output is complete. */
+  /** Resolves with the exit code when all output was read. */
   readonly closed: Promise<number | null>;
 }
 
@@ -50,7 +50,7 @@
   return { child, output: () => output, closed };
 }
 
-/** A request for the `demo` team, which every cluster has by default. */
+/** A job request of the `demo` team, which a cluster has by default. */
 const demoRequest = (imageGb: number): JobRequest => ({
   team: 'demo',
   class: 'x',
@@ -61,7 +61,7 @@
   estimateS: 1,
 });
 
-/** A clock that tests move. */
+/** A clock that tests advance. */
 class ManualClock {
   now = 0;
   private readonly timers: { at: number; run: () => void }[] = [];
@@ -83,7 +83,7 @@
 }
 
 describe('A local cluster', () => {
-  it('runs commands through the end of a controller, once, keeps their output, and leaves no process behind', async () => {
+  it('runs each command once though a controller is killed, records output, and leaves no process behind', async () => {
     const cluster = await LocalCluster.start(
       readLocalClusterOptions('t', {
         lab: [{ port: 0, speed: 20 }],
@@ -142,7 +142,7 @@
     for (const pid of pids) assert.ok(!exists(pid), `${pid} is left`);
   });
 
-  /** `swiftford lab` with records that outlive it, and the addresses of its controllers. */
+  /** Starts `swiftford lab` with records on disk; returns its process and its controllers' addresses. */
   async function startCluster(t: TestContext, port: number, name: string) {
     const program = startProgram([
       'lab',
@@ -159,16 +159,16 @@
     return { child: program.child, nodes };
   }
 
-  /** Runs `swiftford submit` or `run` with one job, and returns its id. */
-  async function submitWith(verb: 'submit' | 'run', job: object, port: number): Promise<string> {
+  /** Runs `swiftford submit` or `run` with one job, and returns the id of the job. */
+  async function submitWith(command: 'submit' | 'run', job: object, port: number): Promise<string> {
     const file = join(dir, 'kept.json');
     writeFileSync(file, JSON.stringify({ ...demoRequest(0), ...job }));
-    const program = startProgram([verb, file, '--lab', `127.0.0.1:${port}`, '--json']);
+    const program = startProgram([command, file, '--lab', `127.0.0.1:${port}`, '--json']);
     await program.closed;
     return JSON.parse(program.output()).id;
   }
 
-  it('that is killed leaves no process behind, and goes on from its records without repeating what was done', async (t) => {
+  it('leaves no process behind when killed, and after a restart does not repeat completed tasks', async (t) => {
     const port = 20_000 + (process.pid % 20_000);
     const first = await startCluster(t, port, 'one');
     const pidsFile = join(dir, 'pids');
@@ -208,7 +208,7 @@
 });
 
 describe('TaskRunner', () => {
-  it('begins and completes gangs together, notices a loss, fetches images once, and tells whether a stopped task has saved', () => {
+  it('starts and completes gangs together, ends them after a loss, fetches images once, reports saved progress', () => {
     const clock = new ManualClock();
     const runner = new TaskRunner(clock, dir, null as never, { speed: 1, gangWaitS: 20, gangPeerS: 4 });
     const simulated = { image: 'i', imageGb: 4, runS: 10, command: null };
@@ -231,24 +231,24 @@
     clock.advance(11_000);
     assert.deepEqual(log.splice(0).sort(), ['run-g/0 done', 'run-g/1 done']);
     runner.describe('run-h', { kind: 'gang', tasks: 2, ...simulated });
-    const lost = launch('run-h/0', 1, 'm1');
+    const lostTask = launch('run-h/0', 1, 'm1');
     launch('run-h/1', 1, 'm1');
-    lost.kill();
+    lostTask.kill();
     clock.advance(4000);
     assert.deepEqual(log.splice(0).at(-1), 'run-h/1 peers');
     launch('run-h/0', 2, 'm1');
     clock.advance(21_000);
     assert.deepEqual(log.splice(0), ['run-h/0 waiting', 'run-h/0 alone']);
     const saved: boolean[] = [];
-    const stopped = launch('run-a/0', 1, 'm1');
-    stopped.stop(5, (hasSaved) => saved.push(hasSaved));
+    const stoppedTask = launch('run-a/0', 1, 'm1');
+    stoppedTask.stop(5, (hasSaved) => saved.push(hasSaved));
     clock.advance(15_000);
     assert.deepEqual([saved, log.splice(0)], [[false], ['run-a/0 running']]);
   });
 });
 
 describe('The options of a local cluster', () => {
-  it('are checked with names and bounds', () => {
+  it('are rejected with unknown names or values out of bounds, and read with defaults otherwise', () => {
     assert.throws(
       () => readLocalClusterOptions('f.hcl', { lab: [{ sped: 2 }] }),
       (error) => error instanceof InvalidSettingsError && /f.hcl: lab.sped: unknown name/.test(error.message),
