--- a/packages/local-cluster/src/cluster-storage.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -31,7 +31,7 @@
   private unwrittenOperations: BatchOperation[] = [];
   private writing: Promise<void> | null = null;
   private flushCallbacks: (() => void)[] = [];
-  private failure: Error | null = null;
+  private writeError: Error | null = null;
 
   private constructor(
     private readonly database: ClassicLevel<string, unknown>,
@@ -128,7 +128,7 @@
   }
 
   private async write(): Promise<void> {
-    while (this.flushCallbacks.length > 0 && this.failure === null) {
+    while (this.flushCallbacks.length > 0 && this.writeError === null) {
       const { unwrittenOperations, flushCallbacks } = this;
       this.unwrittenOperations = [];
       this.flushCallbacks = [];
@@ -137,8 +137,8 @@
         // batch.
         if (unwrittenOperations.length > 0) await this.database.batch(unwrittenOperations, { sync: true });
       } catch (error) {
-        this.failure = error as Error;
-        this.onError(this.failure);
+        this.writeError = error as Error;
+        this.onError(this.writeError);
         break;
       }
       for (const resolve of flushCallbacks) resolve();
@@ -148,7 +148,7 @@
 
   /** Writes the buffered changes, and closes the database. */
   async close(): Promise<void> {
-    if (this.failure === null) await this.flush();
+    if (this.writeError === null) await this.flush();
     await this.database.close();
   }
 }
--- a/packages/local-cluster/src/fake-cloud.ts
+++ b/packages/local-cluster/src/fake-cloud.ts
@@ -29,8 +29,8 @@
 
 /** The list of machines at a time, kept to answer requests with a stale list. */
 interface MachineList {
-  /** When it was taken, in milliseconds. */
-  readonly at: number;
+  /** Milliseconds. */
+  readonly takenAt: number;
   readonly machines: ListedMachine[];
 }
 
@@ -40,7 +40,7 @@
 export class FakeCloud {
   /** During an outage; every request is refused. */
   down = false;
-  /** Maximum number of machines rented at a time; ignored if `room` is set. */
+  /** Maximum number of machines rented at a time, unless limits by type, zone and spot are set. */
   capacity = 20;
   /** Boot time of a machine in seconds; the default of `bootMs`. */
   bootS = 5;
@@ -52,9 +52,7 @@
   readonly released: string[] = [];
   /** Number of machines ever created, used in their ids: ids are never reused. */
   made = 0;
-  /**
-   * Maximum number of machines rented at a time of a type, zone and spot kind; replaces `capacity` if set.
-   */
+  /** Limits by type, zone and spot: maximum number of such machines rented at a time; null for none. */
   room: ((type: TypeName, zone: ZoneName, spot: boolean) => number) | null = null;
   /** Boot time of a machine in milliseconds; negative if it never boots. */
   bootMs = (_type: TypeName): number => this.bootS * 1000;
@@ -153,11 +151,11 @@
     const { now, workers } = this.environment;
     const machines = [...workers.values()].map((machine) => machine.listed(now));
     if (this.listLagMs === 0) return machines;
-    this.lists.push({ at: now, machines });
+    this.lists.push({ takenAt: now, machines });
     // Returns the newest list that is at least `listLagMs` old, or an empty one before there is such a list.
     const newestAt = now - this.listLagMs;
-    while (this.lists.length > 1 && this.lists[1]!.at <= newestAt) this.lists.shift();
+    while (this.lists.length > 1 && this.lists[1]!.takenAt <= newestAt) this.lists.shift();
     const lagging = this.lists[0]!;
-    return lagging.at <= newestAt ? lagging.machines : [];
+    return lagging.takenAt <= newestAt ? lagging.machines : [];
   }
 }
--- a/packages/local-cluster/src/fake-store.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * A change of the entry of a key (`kept` is null if it was deleted), or of the lease with id `lease` (`ttlMs`
- * is null if it has ended).
+ * A change of the entry of a key (null if it was deleted), or of the lease with id `lease` (`ttlMs` is null
+ * if it has ended).
  */
 export type StoreChange =
   | { key: string; kept: StoredEntry | null; revision: number }
@@ -57,7 +57,7 @@
   limits: { valueBytes: number; txnOps: number } | null = null;
   /** Refuses every second request as over the rate limit; requests for leases and watches are exempt. */
   halfRefused = false;
-  /** Number of requests of which `halfRefused` refused every second one. */
+  /** Number of requests counted for refusing every second one. */
   refusals = 0;
   /** Set to lose the reply to the next transaction that writes a value. */
   loseNextAnswer = false;
@@ -136,7 +136,7 @@
     return request.kind === 'get' && this.unread !== null && request.key.startsWith(this.unread);
   }
 
-  /** Schedules a transaction that `lateMs` delays; returns whether it was delayed. */
+  /** Schedules a transaction for later execution if a delay is set for its node; returns whether one is. */
   private scheduleIfDelayed(node: string, request: CompareAndSwap): boolean {
     const number = ++this.transactionCount;
     const delayMs = this.lateMs?.(node) ?? null;
@@ -172,13 +172,13 @@
   }
 
   private isAnswerLost(node: string, request: StoreRequest, reply: StoreReply): boolean {
-    const changed =
+    const hasWritten =
       request.kind === 'compare-and-swap' && reply.kind === 'committed' && request.puts.length > 0;
-    if (changed && this.loseNextAnswer) {
+    if (hasWritten && this.loseNextAnswer) {
       this.loseNextAnswer = false;
       return true;
     }
-    return (changed || request.kind === 'renew-lease') && this.losesAnswer?.(node, request) === true;
+    return (hasWritten || request.kind === 'renew-lease') && this.losesAnswer?.(node, request) === true;
   }
 
   // ---- requests
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -69,7 +69,7 @@
       log,
     });
     const machines = new LocalMachines({ options, clock, random, controllers, guard, dir });
-    const services = new OutsideServices(machines, options, random, (answer) => this.whenDurable(answer));
+    const services = new OutsideServices(machines, options, random, (callback) => this.whenDurable(callback));
     this.controllerGroup = controllers;
     this.machines = machines;
     this.services = services;
