--- a/scripts/known-red.ts
+++ b/scripts/known-red.ts
@@ -1,34 +1,34 @@
-// Tests that fail for a fault which is known and not mended yet: KNOWN-RED.txt names them, one line each,
-// `test | cause | issue`. All tests run; just these are passed over, and printed.
+// Known failing tests: KNOWN-RED.txt lists tests that fail because of a known fault that is not fixed yet,
+// one per line as `test | cause | issue N`. All tests run; listed tests may fail, and are printed.
 
-/** What became of one test. */
+/** The result of one test. */
 export interface Outcome {
   name: string;
   passed: boolean;
 }
 
-/** A line of the list. */
+/** A line of KNOWN-RED.txt. */
 export interface KnownRed {
   test: string;
   cause: string;
   issue: string;
 }
 
-/** How many tests may be listed. */
+/** Maximum number of tests in KNOWN-RED.txt. */
 export const MAX_KNOWN_REDS = 3;
 
-/** The lines of the list, and what is wrong with them, one line each. */
+/** The parsed KNOWN-RED.txt; `errors` has one line for each fault in the file. */
 export interface KnownRedList {
   known: KnownRed[];
   errors: string[];
 }
 
-/** Reads KNOWN-RED.txt. */
-export function parse(text: string): KnownRedList {
+/** Parses the text of KNOWN-RED.txt. */
+export function parseKnownReds(text: string): KnownRedList {
   const known: KnownRed[] = [];
   const errors: string[] = [];
-  for (const [i, raw] of text.split('\n').entries()) {
-    const line = raw.trim();
+  for (const [i, rawLine] of text.split('\n').entries()) {
+    const line = rawLine.trim();
     if (line === '' || line.startsWith('#')) continue;
     const fields = line.split('|').map((field) => field.trim());
     const [test, cause, issue] = fields;
@@ -41,16 +41,16 @@
   return { known, errors };
 }
 
-/** Why the run fails, one line each; none if it passes. */
+/** The reasons for which the run fails, one line each; empty if it passes. */
 export function failuresOf(known: readonly KnownRed[], outcomes: readonly Outcome[]): string[] {
   const errors: string[] = [];
   const listed = new Set(known.map((red) => red.test));
   if (listed.size < known.length) errors.push('KNOWN-RED.txt: a test is listed twice');
   for (const test of listed) {
-    const found = outcomes.filter((outcome) => outcome.name === test);
-    if (found.length === 0) errors.push(`KNOWN-RED.txt: no test has the name: ${test}`);
-    else if (found.length > 1) errors.push(`KNOWN-RED.txt: ${found.length} tests have the name: ${test}`);
-    else if (found[0]!.passed) errors.push(`KNOWN-RED.txt: passes, so its line is to go: ${test}`);
+    const matches = outcomes.filter((outcome) => outcome.name === test);
+    if (matches.length === 0) errors.push(`KNOWN-RED.txt: no test has the name: ${test}`);
+    else if (matches.length > 1) errors.push(`KNOWN-RED.txt: ${matches.length} tests have the name: ${test}`);
+    else if (matches[0]!.passed) errors.push(`KNOWN-RED.txt: passes, so its line is to go: ${test}`);
   }
   for (const { name, passed } of outcomes)
     if (!passed && !listed.has(name)) errors.push(`failed, and not a known red: ${name}`);
@@ -58,6 +58,6 @@
   return errors;
 }
 
-/** The line that a run prints of a test that it passes over. */
+/** The line that a run prints for a known failing test. */
 export const formatKnownRed = ({ test, cause, issue }: KnownRed): string =>
   `known red, passed over: ${test} | ${cause} | ${issue}`;
--- a/scripts/unit.ts
+++ b/scripts/unit.ts
@@ -1,11 +1,11 @@
-// Runs the tests and compares the outcome with KNOWN-RED.txt. The runner's own output and counts are printed
-// as they are.
+// Test runner: runs the test files and fails unless the failing tests are exactly those listed in
+// KNOWN-RED.txt. The output and counts of node:test are printed unchanged.
 import { existsSync, readFileSync } from 'node:fs';
 import type { Readable } from 'node:stream';
 import { run } from 'node:test';
 import { tap } from 'node:test/reporters';
 import { Command } from 'commander';
-import { failuresOf, formatKnownRed, type Outcome, parse } from './known-red.ts';
+import { failuresOf, formatKnownRed, type Outcome, parseKnownReds } from './known-red.ts';
 
 const program = new Command('unit')
   .argument('<files...>', 'test files')
@@ -14,18 +14,18 @@
   .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : 2))
   .parse();
 const { known: file } = program.opts<{ known: string }>();
-const { known, errors } = parse(existsSync(file) ? readFileSync(file, 'utf8') : '');
+const { known, errors } = parseKnownReds(existsSync(file) ? readFileSync(file, 'utf8') : '');
 
 const outcomes: Outcome[] = [];
 const stream = run({ files: program.args, concurrency: true });
-// Suites fail or pass by the tests within them.
-const noteOutcome =
+// Suites are left out: their outcome follows from the tests in them.
+const recordOutcome =
   (passed: boolean) =>
   (test: { name: string; details: { type?: string } }): void => {
     if (test.details.type !== 'suite') outcomes.push({ name: test.name, passed });
   };
-stream.on('test:pass', noteOutcome(true));
-stream.on('test:fail', noteOutcome(false));
+stream.on('test:pass', recordOutcome(true));
+stream.on('test:fail', recordOutcome(false));
 
 function finish(): void {
   for (const red of known) console.log(formatKnownRed(red));
@@ -34,6 +34,6 @@
   process.exit(failures.length === 0 ? 0 : 1);
 }
 
-// The runner's own exit code knows nothing of known reds; the verdict stands for it.
+// The exit code is set by `finish`, because node:test does not take KNOWN-RED.txt into account.
 const report = stream.compose(tap as never) as unknown as Readable;
 report.on('end', finish).pipe(process.stdout, { end: false });
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,19 +1,19 @@
-// Known reds: just what is listed is passed over, and a list that says too much or too little fails.
+// Known failing tests: only the listed failures are tolerated, and a list with missing or extra tests fails.
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { describe, it } from 'node:test';
-import { failuresOf, parse } from '../scripts/known-red.ts';
+import { failuresOf, parseKnownReds } from '../scripts/known-red.ts';
 
 const red = { name: 'red', passed: false };
 const sound = { name: 'sound', passed: true };
 const line = (t: string) => `${t} | a leader forgets | issue 35`;
 
 describe('known reds', () => {
-  it('a line names test, cause and issue; what does not, and a fourth one, is an error of one line', () => {
-    const good = parse(`# known\n\n${line('red')}\n`);
+  it('a line has test, cause and issue; a malformed line and more than three tests are one-line errors', () => {
+    const good = parseKnownReds(`# known\n\n${line('red')}\n`);
     assert.deepEqual(good, {
       known: [{ test: 'red', cause: 'a leader forgets', issue: 'issue 35' }],
       errors: [],
@@ -25,16 +25,19 @@
       ' | cause | issue 35',
       'red | cause | soon',
     ]) {
-      const { errors } = parse(bad);
+      const { errors } = parseKnownReds(bad);
       assert.equal(errors.length, 1, bad);
       assert.match(errors[0]!, /^KNOWN-RED.txt, line 1: not "test \| cause \| issue N": [^\n]*$/);
     }
-    assert.deepEqual(parse(['a', 'b', 'c'].map(line).join('\n')).errors, []);
-    assert.match(parse(['a', 'b', 'c', 'd'].map(line).join('\n')).errors.join(), /4 tests, at most 3/);
+    assert.deepEqual(parseKnownReds(['a', 'b', 'c'].map(line).join('\n')).errors, []);
+    assert.match(
+      parseKnownReds(['a', 'b', 'c', 'd'].map(line).join('\n')).errors.join(),
+      /4 tests, at most 3/,
+    );
   });
 
-  it('a run passes with just the listed failures, and says in a line each why it does not', () => {
-    const { known } = parse(line('red'));
+  it('a run passes if exactly the listed tests fail; otherwise it reports one line per reason', () => {
+    const { known } = parseKnownReds(line('red'));
     assert.deepEqual(failuresOf(known, [red, sound]), []);
     assert.deepEqual(failuresOf([], [sound]), []);
     assert.match(failuresOf([], [red, sound]).join(), /^failed, and not a known red: red$/);
@@ -45,14 +48,14 @@
     assert.match(failuresOf([], []).join(), /no test was run/);
   });
 
-  it('the runner tells the true counts, prints what it passes over, and exits by the list', async () => {
+  it('the runner prints unchanged counts and the known failures, and sets the exit code by the list', async () => {
     const dir = mkdtempSync(join(tmpdir(), 'known-red-'));
     const unit = (known: string): Promise<{ code: number; out: string; err: string }> =>
       new Promise((done) => {
         const file = join(dir, `${known.length}.txt`);
         writeFileSync(file, known);
         const args = ['--import', 'tsx', 'scripts/unit.ts', '--known', file, 'test/fixtures/red/some.mjs'];
-        // A test of tests: the inner runner is none of the outer one's children.
+        // Without NODE_TEST_CONTEXT the inner runner does not report to the outer one as its child.
         const { NODE_TEST_CONTEXT: _, ...env } = process.env;
         execFile('node', args, { env }, (e, out, err) =>
           done({ code: e === null ? 0 : Number(e.code), out, err }),
