--- a/test/support/behaviour-digest.ts
+++ b/test/support/behaviour-digest.ts
@@ -15,7 +15,7 @@
 /** Histories drawn from each seed. */
 const HISTORIES_PER_SEED = 4;
 
-/** The bytes with which an effect leaves its controller; null for log lines, which nothing depends on. */
+/** Encodes an effect as it is sent by its controller; null for log lines, which do not affect behaviour. */
 export function encodeEffect(effect: Effect): Buffer | null {
   switch (effect.kind) {
     case 'store':
@@ -54,20 +54,20 @@
     this.hash.update(bytes);
   }
 
-  /** The digest of all that was added; nothing can be added afterwards. */
+  /** Returns the digest of all added messages; no message can be added afterwards. */
   hex(): string {
     return this.hash.digest('hex');
   }
 }
 
-/** Gets the bytes of each message that leaves a node, with its simulated time. */
+/** Receives the encoded bytes of each message that a node sends, with its simulated time. */
 export type MessageListener = (nowMs: number, node: string, bytes: Buffer) => void;
 
-/** The histories of a seed. */
+/** Draws the histories of a seed. */
 export const drawHistories = (seed: number): History[] =>
   fc.sample(historyArbitrary, { ...SAMPLING, seed, numRuns: HISTORIES_PER_SEED });
 
-/** Passes on what leaves controllers as bytes. */
+/** Wraps a message listener as an effect listener that encodes each effect. */
 export const encoding =
   (listener: MessageListener): EffectListener =>
   (nowMs, node, effect) => {
@@ -75,7 +75,7 @@
     if (bytes !== null) listener(nowMs, node, bytes);
   };
 
-/** All that a key-value store holds, in the order of its keys. */
+/** Encodes the contents of the key-value store, in the order of the keys. */
 export function storedBytes(world: SimulatedWorld): Buffer[] {
   const keys = [...world.state.keys.keys()].sort();
   return keys.map((key) => {
@@ -84,7 +84,7 @@
   });
 }
 
-/** Plays one history and passes on each message, and finally all that is stored. */
+/** Plays one history and passes each message to the listener, followed by the final contents of the store. */
 export function listenToHistory(history: History, listener: MessageListener): void {
   const player = new HistoryPlayer(history, encoding(listener));
   player.play();
--- a/test/support/golden-records.ts
+++ b/test/support/golden-records.ts
@@ -1,5 +1,5 @@
-// A world whose key-value store comes to hold a record of every kind, to compare what versions write and
-// read.
+// Golden data of the stored and peer formats: produces a record and a message of every kind, so that tests
+// can compare what versions write and read.
 
 import type { StoredEntry } from '../../packages/local-cluster/src/fake-store.ts';
 import type { ForwardedHeartbeat, Heartbeat, PeerMessage } from '../../src/core/base/model.ts';
@@ -18,14 +18,14 @@
 import { Operator, team } from './operator.ts';
 import { job, SimulatedWorld } from './simulated-world.ts';
 
-/** Jobs named by one that depends on so many that its record takes further values. */
-const DEPENDENCIES = 120;
+/** Dependencies of one job: enough that its record is split into several stored values. */
+const DEPENDENCY_COUNT = 120;
 const FAILOVER_S = 90;
-/** How often, and how many times, it is looked whether a record is marked. */
-const LOOK_INTERVAL_S = 0.01;
-const LOOKS = 100;
+/** Interval and maximum number of checks for a record that is marked as cancelled. */
+const POLL_INTERVAL_S = 0.01;
+const MAX_POLLS = 100;
 
-/** The lines of the store: `[key, revision, value]` as JSON. */
+/** Fills a store with records of every kind; returns one line `[key, revision, value]` of JSON for each. */
 export function writeEveryKindOfRecord(): string[] {
   const world = new SimulatedWorld();
   world.run(4);
@@ -61,7 +61,7 @@
 
 function submitDependentJobs(world: SimulatedWorld): void {
   const dependsOn = Array.from(
-    { length: DEPENDENCIES },
+    { length: DEPENDENCY_COUNT },
     (_, i) => `run-${String(i).padStart(100, '0')}` as JobId,
   );
   for (const id of dependsOn) world.ask(world.owner!, { op: 'submit', spec: job(id, { cpus: 1 }) });
@@ -75,10 +75,10 @@
   const isMarked = (): boolean =>
     [...world.state.keys.values()].some((entry) => (entry.value as { c?: 1 }).c === 1);
   world.ask(world.owner!, { op: 'cancel', id });
-  for (let i = 0; i < LOOKS && !isMarked(); i++) world.run(LOOK_INTERVAL_S);
+  for (let i = 0; i < MAX_POLLS && !isMarked(); i++) world.run(POLL_INTERVAL_S);
 }
 
-/** The digest of what controllers send that begin with these records, while no machine of them is left. */
+/** Digests what controllers send after a start with these stored records, all of whose machines are lost. */
 export function digestAfterReading(lines: readonly string[]): { digest: string; messages: number } {
   const digest = new BehaviourDigest();
   const listener = encoding((nowMs, node, bytes) => digest.add(nowMs, node, bytes));
@@ -135,7 +135,7 @@
 const REVISION = 41 as Revision;
 const ID = 'run-1' as JobId;
 
-/** One message of each kind that controllers send each other, with each form of its parts. */
+/** Messages between controllers: at least one of each kind, and each variant of their fields. */
 export const PEER_MESSAGES: readonly PeerMessage[] = [
   {
     kind: 'hello',
--- a/test/support/in-memory-controllers.ts
+++ b/test/support/in-memory-controllers.ts
@@ -1,41 +1,41 @@
-// Controllers that run in the memory of a simulated world: they start, end, know each other, tick, and are
-// asked.
+// In-memory controllers of a simulated world: start and crash them, connect them to each other, and deliver
+// ticks and requests.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { Effect, Input } from '../../src/core/base/io.ts';
 import type { HeartbeatResponse, UserResponse } from '../../src/core/base/model.ts';
 import type { Controller } from '../../src/core/controller.ts';
 import type { Instant, NodeId, WallTime } from '../../src/types/index.ts';
 
-/** The wall clock at the beginning of a world, in milliseconds. */
+/** Wall-clock time at the start of a simulated world, in milliseconds. */
 export const WALL_CLOCK_START_MS = 1e9;
-/** How often controllers tick. */
+/** Interval between the ticks of a controller. */
 export const TICK_MS = 100;
 
-/** The effect of a kind. */
+/** The effect type with kind `K`. */
 export type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
 type Response = UserResponse | HeartbeatResponse;
 
 /**
- * The controllers of one world, by name; what they are created with and how their effects are carried out is
- * the world's.
+ * The controllers of one world, by name. Subclasses define how a controller is created and how its effects
+ * are carried out.
  */
 export abstract class InMemoryControllers {
   readonly nodes = new Map<string, Controller>();
-  /** How often each node was started or ended: what belongs to an earlier incarnation is void. */
+  /** Starts and crashes of each node so far; replies and timers of an earlier incarnation are discarded. */
   private readonly incarnations = new Map<string, number>();
   private readonly pendingResponses = new Map<number, (response: Response) => void>();
   private nextRequestId = 1;
 
   constructor(private readonly clock: SimulationClock) {}
 
-  /** Creates a controller that is about to start. */
+  /** Creates the controller for a node that is being started. */
   protected abstract create(name: string, incarnation: number): Controller;
 
-  /** Carries out what a controller sends, other than responses. */
+  /** Carries out an effect other than a response. */
   protected abstract carryOut(name: string, incarnation: number, effect: Effect): void;
 
-  /** Is told of everything that a controller sends, before it is carried out. */
+  /** Called with every effect, including responses, before it is carried out. */
   protected observe(_name: string, _effect: Effect): void {}
 
   protected tickInput(_name: string): Input {
@@ -46,7 +46,7 @@
     return TICK_MS;
   }
 
-  /** Starts a controller, connected to all others that run. */
+  /** Starts a controller and connects it to all running controllers. */
   start(name: string): void {
     const incarnation = this.beginIncarnation(name);
     this.nodes.set(name, this.create(name, incarnation));
@@ -63,14 +63,14 @@
     tick();
   }
 
-  /** Ends a controller at once. */
+  /** Ends a controller without a shutdown. */
   crash(name: string): void {
     this.nodes.delete(name);
     this.beginIncarnation(name);
     for (const other of this.nodes.keys()) this.input(other, { kind: 'peer-down', node: name as NodeId });
   }
 
-  /** Gives a controller an input and carries out what it answers with. */
+  /** Passes an input to a controller and carries out the resulting effects. */
   input(name: string, input: Input): void {
     const controller = this.nodes.get(name);
     if (controller === undefined) return;
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Gives a controller a request; `onResponse` gets what it responds with, if it does. */
+  /** Passes a request to a controller; `onResponse` is called with the response, if there is one. */
   request(
     name: string,
     makeInput: (requestId: number) => Input,
@@ -96,7 +96,7 @@
     this.input(name, makeInput(requestId));
   }
 
-  /** Whether the node has run since that incarnation began. */
+  /** Whether the node is still running in that incarnation. */
   protected isRunning(name: string, incarnation: number): boolean {
     return this.incarnations.get(name) === incarnation && this.nodes.has(name);
   }
--- a/test/support/simulated-controllers.ts
+++ b/test/support/simulated-controllers.ts
@@ -1,5 +1,5 @@
-// The controllers of a simulated world: they start, crash and freeze, get their inputs, and have their
-// effects carried out.
+// Runs the controllers of a simulated world: starts, crashes and freezes them, delivers their inputs and
+// carries out their effects.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
 import type { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
@@ -20,10 +20,10 @@
 import type { SimulatedNetwork } from './simulated-network.ts';
 import { settings } from './simulated-settings.ts';
 
-/** Gets everything that a controller sends, before it is delivered. */
+/** Receives every effect of a controller before it is carried out. */
 export type EffectListener = (nowMs: number, node: string, effect: Effect) => void;
 
-/** What a simulated world offers its controllers, and the faults that it has them meet. */
+/** The parts of a simulated world that controllers use, and the faults that affect them. */
 export interface ControllerEnvironment extends SimulationClock {
   readonly network: SimulatedNetwork;
   readonly state: FakeStore;
@@ -31,17 +31,17 @@
   readonly workers: ReadonlyMap<string, FakeWorker>;
   readonly nodeNames: readonly string[];
   readonly logs: string[];
-  /** How many events the world has had so far, from which random generators get their seeds. */
+  /** Number of events added to the world's queue so far, used to seed random generators. */
   readonly eventCount: number;
-  /** How long the key-value store takes beyond the network. */
+  /** Processing delay of the key-value store, in addition to network latency. */
   readonly stateSlowMs: number;
-  /** Looks at what controllers send each other; false loses the message. */
+  /** Inspects each message between controllers; the message is dropped if it returns false. */
   readonly tapPeer: ((message: PeerMessage) => boolean) | null;
-  /** Nodes whose timers fire late, by so many milliseconds. */
+  /** Additional milliseconds between the ticks of a node, by node. */
   readonly slowTicks: ReadonlyMap<string, number>;
-  /** The part of their memory that nodes use. */
+  /** Fraction of its memory that a node uses, by node. */
   readonly memory: ReadonlyMap<string, number>;
-  /** Nodes that greet others as versions before jobs with dependencies do. */
+  /** Nodes whose `hello` message is that of a version without support for job dependencies. */
   readonly oldForm: ReadonlySet<string>;
 }
 
@@ -50,7 +50,7 @@
 
 type Hello = Extract<PeerMessage, { kind: 'hello' }>;
 
-/** The greeting of a version that has none of the later features. */
+/** The `hello` message of a version that supports none of the features announced in it. */
 const withoutLaterFeatures = (hello: Hello): Hello => ({
   ...hello,
   supportsDependencies: false,
@@ -60,8 +60,8 @@
 
 /** The controllers of one simulated world, by name. */
 export class SimulatedControllers extends InMemoryControllers {
-  /** Inputs that wait for frozen controllers. */
-  private readonly frozen = new Map<string, Input[]>();
+  /** Queued inputs of each frozen controller. */
+  private readonly queuedInputsByFrozenNode = new Map<string, Input[]>();
 
   constructor(
     private readonly environment: ControllerEnvironment,
@@ -72,33 +72,33 @@
   }
 
   override crash(name: string): void {
-    this.frozen.delete(name);
+    this.queuedInputsByFrozenNode.delete(name);
     super.crash(name);
   }
 
-  /** It does nothing from now on, and its links stay up; what comes waits for it. */
+  /** Suspends a controller: its links stay up, and its inputs other than ticks are queued. */
   freeze(name: string): void {
-    if (!this.frozen.has(name)) this.frozen.set(name, []);
+    if (!this.queuedInputsByFrozenNode.has(name)) this.queuedInputsByFrozenNode.set(name, []);
   }
 
-  /** It goes on, with all that came while it was frozen. */
+  /** Resumes a controller and delivers the inputs that were queued while it was frozen. */
   thaw(name: string): void {
-    const waiting = this.frozen.get(name) ?? [];
-    this.frozen.delete(name);
-    for (const input of waiting) this.input(name, input);
+    const queuedInputs = this.queuedInputsByFrozenNode.get(name) ?? [];
+    this.queuedInputsByFrozenNode.delete(name);
+    for (const input of queuedInputs) this.input(name, input);
   }
 
-  /** The controller that acts as the leader, if one does that is not frozen. */
+  /** The controller that is not frozen and holds the leader's lease, if there is one. */
   get leader(): string | undefined {
     for (const [name, controller] of this.nodes)
-      if (!this.frozen.has(name) && controller.election.holdsLease) return name;
+      if (!this.queuedInputsByFrozenNode.has(name) && controller.election.holdsLease) return name;
     return undefined;
   }
 
   override input(name: string, input: Input): void {
-    const waiting = this.nodes.has(name) ? this.frozen.get(name) : undefined;
-    if (waiting === undefined) super.input(name, input);
-    else if (input.kind !== 'tick') waiting.push(input);
+    const queuedInputs = this.nodes.has(name) ? this.queuedInputsByFrozenNode.get(name) : undefined;
+    if (queuedInputs === undefined) super.input(name, input);
+    else if (input.kind !== 'tick') queuedInputs.push(input);
   }
 
   protected create(name: string): Controller {
@@ -178,12 +178,12 @@
   }
 
   private sendToPeer(name: string, { node, message }: EffectOf<'peer'>): void {
-    const { network, tapPeer, oldForm } = this.environment;
-    if (tapPeer?.(message) === false) return;
+    const { network, tapPeer: filterPeerMessage, oldForm: oldVersionNodes } = this.environment;
+    if (filterPeerMessage?.(message) === false) return;
     network.send(name, node, () => {
-      const isOldGreeting = message.kind === 'hello' && oldForm.has(name);
-      // What is sent shares no memory with the sender.
-      const sent = isOldGreeting ? withoutLaterFeatures(message) : structuredClone(message);
+      const isOldHello = message.kind === 'hello' && oldVersionNodes.has(name);
+      // Copied, so that the receiver shares no memory with the sender.
+      const sent = isOldHello ? withoutLaterFeatures(message) : structuredClone(message);
       this.input(node, { kind: 'peer', node: name as NodeId, message: sent });
     });
   }
--- a/test/support/simulated-heartbeats.ts
+++ b/test/support/simulated-heartbeats.ts
@@ -1,39 +1,39 @@
-// Heartbeats of a simulated world on their way to nodes, with copies that arrive late or once another leader
-// begins.
+// Delivery of machine heartbeats to nodes in a simulated world, including duplicates that arrive late or when
+// a new leader starts.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
 import type { SimulatedControllers } from './simulated-controllers.ts';
 import type { SimulatedNetwork } from './simulated-network.ts';
 
-/** What a simulated world offers its machines' heartbeats, and the faults that it has them meet. */
+/** The parts of a simulated world that deliver heartbeats, and the faults that affect them. */
 export interface HeartbeatEnvironment extends SimulationClock {
   readonly network: SimulatedNetwork;
   readonly controllers: SimulatedControllers;
   readonly workers: ReadonlyMap<string, FakeWorker>;
-  /** Machines that reach no controller, while direct commands reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands still reach them. */
   readonly mute: ReadonlySet<string>;
-  /** Which heartbeats are kept, to arrive once more at every controller as soon as another one leads. */
+  /** Selects heartbeats that are delivered again, to every controller, after the next leader change. */
   readonly keepReport: (() => boolean) | null;
-  /** Of which heartbeats a copy arrives once more: milliseconds later, or null for none. */
+  /** Delay in milliseconds after which a heartbeat is delivered a second time; null for no duplicate. */
   readonly copyMs: (() => number | null) | null;
 }
 
-/** Whether the machine has sent a newer heartbeat than this. */
+/** Whether the machine has already sent a newer heartbeat than this one. */
 const isOutdated = (worker: FakeWorker, heartbeat: Heartbeat): boolean =>
   worker.session > heartbeat.agentEpoch || worker.seq > heartbeat.seq;
 
-/** Carries heartbeats from machines to nodes. */
+/** Delivers heartbeats from machines to nodes. */
 export class SimulatedHeartbeats {
-  /** Copies that arrived after a newer heartbeat of the machine. */
-  outdatedCopies = 0;
-  /** Kept heartbeats that were older than the machine's last, as they arrived. */
-  outdatedKept = 0;
-  private kept: Heartbeat[] = [];
+  /** Duplicates that were delivered after the machine had sent a newer heartbeat. */
+  outdatedCopyCount = 0;
+  /** Kept heartbeats that were delivered after the machine had sent a newer one. */
+  outdatedKeptCount = 0;
+  private keptHeartbeats: Heartbeat[] = [];
 
   constructor(private readonly environment: HeartbeatEnvironment) {}
 
-  /** Sends a heartbeat and its copies; `onReply` gets null if no response came in time. */
+  /** Sends a heartbeat and its duplicates; `onReply` receives null if no response arrives in time. */
   send(
     worker: FakeWorker,
     node: string,
@@ -43,7 +43,7 @@
   ): void {
     const { environment } = this;
     if (environment.mute.has(worker.id)) return environment.after(timeoutMs, () => onReply(null));
-    if (environment.keepReport?.() === true) this.kept.push(structuredClone(heartbeat));
+    if (environment.keepReport?.() === true) this.keptHeartbeats.push(structuredClone(heartbeat));
     const copyMs = environment.copyMs?.() ?? null;
     if (copyMs !== null) environment.after(copyMs, () => this.deliverCopy(worker, node, heartbeat));
     environment.network.call<HeartbeatResponse>(
@@ -51,7 +51,7 @@
       node,
       timeoutMs,
       (respond) => {
-        // Nobody listens there: the connection is refused.
+        // The node does not run: the connection is refused.
         if (!environment.controllers.nodes.has(node)) return respond(null as never);
         this.request(node, heartbeat, respond);
       },
@@ -59,26 +59,26 @@
     );
   }
 
-  /** Has a copy of a heartbeat reach a node; nobody waits for the response. */
+  /** Delivers a duplicate of a heartbeat to a node and discards the response. */
   deliver(node: string, heartbeat: Heartbeat): void {
     if (this.environment.controllers.nodes.has(node)) this.request(node, heartbeat, () => {});
   }
 
-  /** Has all heartbeats that were kept reach every node. */
+  /** Delivers all kept heartbeats to every node. */
   deliverKept(): void {
-    for (const heartbeat of this.kept.splice(0)) {
+    for (const heartbeat of this.keptHeartbeats.splice(0)) {
       const worker = this.environment.workers.get(heartbeat.machine);
-      if (worker === undefined || isOutdated(worker, heartbeat)) this.outdatedKept++;
+      if (worker === undefined || isOutdated(worker, heartbeat)) this.outdatedKeptCount++;
       for (const node of [...this.environment.controllers.nodes.keys()]) this.deliver(node, heartbeat);
     }
   }
 
   private deliverCopy(worker: FakeWorker, node: string, heartbeat: Heartbeat): void {
-    if (isOutdated(worker, heartbeat)) this.outdatedCopies++;
+    if (isOutdated(worker, heartbeat)) this.outdatedCopyCount++;
     this.deliver(node, heartbeat);
   }
 
-  /** What is sent shares no memory with the sender, nor with what has been read of it. */
+  /** Passes each node a deep copy, so that neither the sender nor another receiver shares its memory. */
   private request(
     node: string,
     heartbeat: Heartbeat,
--- a/test/support/simulated-network.ts
+++ b/test/support/simulated-network.ts
@@ -1,13 +1,13 @@
-// The network of a simulated world: it delays, holds back and drops messages between named ends.
+// Simulated network: delays, holds back or drops messages between named endpoints.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 
-/** What becomes of messages across a cut: lost, or delivered once it is healed. */
+/** Whether messages across a cut link are lost, or delivered when the link is healed. */
 export type CutMode = 'drop' | 'hold';
 
-/** How long a message takes from one end to the other. */
+/** Latency of a message between two endpoints. */
 const LATENCY_MS = 2;
-/** How long a message that was held back takes once the cut is healed. */
-const RELEASE_MS = 1;
+/** Latency of a held-back message after the link is healed. */
+const RELEASE_LATENCY_MS = 1;
 
 interface HeldMessage {
   from: string;
@@ -18,34 +18,35 @@
 const linkKey = (a: string, b: string): string => (a < b ? `${a}|${b}` : `${b}|${a}`);
 
 /**
- * Delivers messages between nodes, machines, users, the cloud (`cloud`) and the key-value store (`state`).
+ * Delivers messages between nodes, machines, users, the cloud (endpoint `cloud`) and the key-value store
+ * (endpoint `state`).
  */
 export class SimulatedNetwork {
-  /** Ends to which everything is lost, while what they send arrives. */
+  /** Endpoints that receive no messages, while the messages that they send are delivered. */
   readonly unreachable = new Set<string>();
-  /** Further milliseconds that everything to an end takes. */
+  /** Additional latency of all messages to an endpoint, in milliseconds. */
   readonly extraLatencyMs = new Map<string, number>();
   private readonly cuts = new Map<string, CutMode>();
   private readonly heldBack: HeldMessage[] = [];
 
   constructor(private readonly clock: SimulationClock) {}
 
-  /** Cuts the link between two ends. */
-  cut(a: string, b: string, mode: CutMode): void {
-    this.cuts.set(linkKey(a, b), mode);
+  /** Cuts the link between two endpoints. */
+  cut(endpointA: string, endpointB: string, mode: CutMode): void {
+    this.cuts.set(linkKey(endpointA, endpointB), mode);
   }
 
-  /** Mends the link between two ends and delivers what was held back. */
-  heal(a: string, b: string): void {
-    this.cuts.delete(linkKey(a, b));
+  /** Restores the link between two endpoints and delivers the messages that were held back on it. */
+  heal(endpointA: string, endpointB: string): void {
+    this.cuts.delete(linkKey(endpointA, endpointB));
     for (const message of this.heldBack.splice(0))
       if (this.isCut(message.from, message.to)) this.heldBack.push(message);
-      else this.clock.after(RELEASE_MS, message.deliver);
+      else this.clock.after(RELEASE_LATENCY_MS, message.deliver);
   }
 
-  /** Whether the link between two ends is cut, in either mode. */
-  isCut(a: string, b: string): boolean {
-    return this.cuts.has(linkKey(a, b));
+  /** Whether the link between two endpoints is cut, in either mode. */
+  isCut(endpointA: string, endpointB: string): boolean {
+    return this.cuts.has(linkKey(endpointA, endpointB));
   }
 
   /** Delivers, holds back or drops a message. */
@@ -56,7 +57,7 @@
     else if (mode === undefined) this.clock.after(LATENCY_MS + (this.extraLatencyMs.get(to) ?? 0), deliver);
   }
 
-  /** Sends a request with a time limit; `onReply` gets null when no response came in time. */
+  /** Sends a request with a timeout; `onReply` receives null if no response arrives in time. */
   call<T>(
     from: string,
     to: string,
@@ -64,10 +65,10 @@
     serve: (respond: (reply: T) => void) => void,
     onReply: (reply: T | null) => void,
   ): void {
-    let open = true;
+    let isPending = true;
     const finish = (reply: T | null): void => {
-      if (open) onReply(reply);
-      open = false;
+      if (isPending) onReply(reply);
+      isPending = false;
     };
     this.clock.after(timeoutMs, () => finish(null));
     this.send(from, to, () => serve((reply) => this.send(to, from, () => finish(reply))));
--- a/test/support/simulated-settings.ts
+++ b/test/support/simulated-settings.ts
@@ -2,18 +2,18 @@
 import type { JobSpec, Settings } from '../../src/core/base/model.ts';
 import type { JobId, NodeId, TeamName, ZoneName } from '../../src/types/index.ts';
 
-/** The controllers of a world, unless a test asks for others. */
+/** Names of the controllers of a world, unless a test names others. */
 export const DEFAULT_NODE_NAMES: readonly string[] = ['node-0', 'node-1', 'node-2'];
 
-/** The team of a world that has a limit. */
+/** Name of the one team whose CPU use is limited. */
 export const LIMITED_TEAM = 'small';
-/** How many CPUs that team may use. */
+/** CPU quota of the limited team. */
 export const LIMITED_TEAM_CPUS = 6;
 
-/** Settings of the controller `node`, in a world of controllers `names`. */
+/** Settings of the controller `node` in a world with the controllers `names`. */
 export const settings = (
   node: string,
-  over: Partial<Settings> = {},
+  overrides: Partial<Settings> = {},
   names: readonly string[] = DEFAULT_NODE_NAMES,
 ): Settings => ({
   node: node as NodeId,
@@ -37,10 +37,10 @@
   cloud: { requestsPerS: 5, listLagS: 2 },
   sockets: 100,
   ramMb: null,
-  ...over,
+  ...overrides,
 });
 
-/** A job of one task that every machine of the world can run. */
+/** Describes a job of one task that fits every machine type of the world. */
 export const job = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
   id: id as JobId,
   class: 'plain',
--- a/test/support/simulated-tasks.ts
+++ b/test/support/simulated-tasks.ts
@@ -1,5 +1,5 @@
-// Tasks as they run on the machines of a simulated world: for a fixed time, until they are stopped, or as a
-// gang.
+// Simulated task execution: array tasks run for a fixed time, service tasks until they are stopped, and gang
+// members together.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { RunningTask } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { ExitReason, JobSpec } from '../../src/core/base/model.ts';
@@ -7,38 +7,38 @@
 import type { RuleChecker } from './rule-checker.ts';
 import type { SubmittedJob } from './simulated-users.ts';
 
-/** What a simulated world offers tasks that run. */
+/** The parts of a simulated world that running tasks use. */
 export interface TaskEnvironment extends SimulationClock {
   readonly jobs: ReadonlyMap<string, SubmittedJob>;
-  /** How long tasks run, in seconds, and those of a job that run otherwise. */
+  /** Run time of a task in seconds, unless `runOf` has another one for its job. */
   readonly runS: number;
   readonly runOf: ReadonlyMap<string, number>;
-  /** When tasks that run end by themselves. */
+  /** Simulated time at which each running array task completes. */
   readonly endsAt: Map<string, number>;
   readonly rules: RuleChecker | null;
-  readonly onEnd: ((task: TaskId) => void) | null;
+  readonly onTaskDone: ((task: TaskId) => void) | null;
 }
 
-/** What a running task tells its machine. */
+/** Callbacks with which a running task reports to its machine. */
 interface TaskCallbacks {
-  /** It ends by itself, with its work done. */
+  /** The task has completed its work. */
   onDone: () => void;
   onExit: (reason: ExitReason) => void;
   onState: (state: 'waiting' | 'running') => void;
 }
 
-/** How long members of a gang wait for each other, and go on after one has gone. */
+/** How long gang members wait for each other to start, and how long they run on after one has left. */
 export interface GangTimeouts {
   gangWaitS: number;
   gangPeerS: number;
 }
 
-/** Members of a gang that are there, by task. */
+/** The present members of a gang, by task. */
 type Gang = Map<TaskId, TaskCallbacks>;
 
 /** Runs the tasks of a simulated world. */
 export class SimulatedTasks {
-  /** Gangs by job and attempt. */
+  /** Gangs by job and attempt: `JOB@ATTEMPT`. */
   private readonly gangs = new Map<string, Gang>();
 
   constructor(
@@ -46,7 +46,7 @@
     private readonly timeouts: GangTimeouts,
   ) {}
 
-  /** Runs a task, which begins in the state `running`. */
+  /** Starts a task; its initial state is `running`. */
   launch(
     task: TaskId,
     attempt: number,
@@ -59,7 +59,7 @@
     const runMs = (environment.runOf.get(job) ?? environment.runS) * 1000;
     const onDone = (): void => {
       environment.rules?.completed(task);
-      environment.onEnd?.(task);
+      environment.onTaskDone?.(task);
       onExit('done');
     };
     if (spec?.kind === 'gang') return this.joinGang(spec, task, attempt, runMs, { onDone, onExit, onState });
@@ -70,7 +70,7 @@
     return { stop: (_graceS, onStopped) => onStopped(false), kill: () => {} };
   }
 
-  /** The tasks of a gang find one another by their attempt: they run, complete and end together. */
+  /** Adds a member to the gang of its attempt; all members of an attempt start, complete and end together. */
   private joinGang(
     spec: JobSpec,
     task: TaskId,
@@ -86,7 +86,7 @@
     if (gang.size === spec.tasks) this.runGang(spec, gang, runMs);
     else {
       const isWaiting = (): boolean => gang.get(task) === member && gang.size < spec.tasks;
-      // Told as what it is at the next moment: it begins as running.
+      // Deferred by one event, because the initial state is `running`.
       environment.after(0, () => isWaiting() && member.onState('waiting'));
       environment.after(this.timeouts.gangWaitS * 1000, () => isWaiting() && member.onExit('alone'));
     }
@@ -107,7 +107,7 @@
     });
   }
 
-  /** A member has gone; the others end some time later, if they ran with it. */
+  /** Removes a member; if the gang was running, the others exit after `gangPeerS`. */
   private leaveGang(spec: JobSpec, gang: Gang, task: TaskId, member: TaskCallbacks): void {
     const wasRunning = gang.size === spec.tasks;
     if (gang.get(task) === member) gang.delete(task);
--- a/test/support/simulated-users.ts
+++ b/test/support/simulated-users.ts
@@ -1,4 +1,4 @@
-// The users of a simulated world: they send requests to nodes, repeat them, and note what they were told.
+// Simulated users: send requests to nodes, retry them, and record the responses.
 import type { JobSpec, UserRequest, UserResponse } from '../../src/core/base/model.ts';
 import type { JobId } from '../../src/types/index.ts';
 import type { RuleChecker } from './rule-checker.ts';
@@ -8,16 +8,16 @@
 /** A job that a user has submitted, whether or not it was accepted. */
 export interface SubmittedJob {
   spec: JobSpec;
-  /** When its user was told that it is cancelled, in milliseconds. */
+  /** Simulated time at which its user received the confirmation of the cancellation, in milliseconds. */
   cancelledAt: number | null;
 }
 
-/** A request on its way; `answer` is null until a response arrives. */
-export interface PendingAnswer {
+/** A pending request; `answer` is null until the response arrives. */
+export interface PendingResponse {
   answer: UserResponse | null;
 }
 
-/** What a simulated world offers its users. */
+/** The parts of a simulated world that its users need. */
 export interface UserEnvironment {
   readonly now: number;
   readonly network: SimulatedNetwork;
@@ -38,13 +38,13 @@
 export class SimulatedUsers {
   constructor(private readonly environment: UserEnvironment) {}
 
-  /** Sends a request to a node, once. */
-  ask(node: string, request: UserRequest): PendingAnswer {
+  /** Sends a request to a node, without retries. */
+  ask(node: string, request: UserRequest): PendingResponse {
     const { environment } = this;
-    const pending: PendingAnswer = { answer: null };
+    const pending: PendingResponse = { answer: null };
     const sentAt = environment.now;
     environment.rules?.asked(sentAt, request);
-    if (request.op === 'submit') this.noteSubmission(request.spec);
+    if (request.op === 'submit') this.recordSubmission(request.spec);
     environment.network.call<UserResponse>(
       'user',
       node,
@@ -63,10 +63,8 @@
     return pending;
   }
 
-  /**
-   * Repeats a request until it is answered with something else than to come back later; null if it never is.
-   */
-  insist(request: UserRequest, node: string, attempts: number): UserResponse | null {
+  /** Repeats a request until the response is not `retry`; returns null if all attempts fail. */
+  requestUntilAnswered(request: UserRequest, node: string, attempts: number): UserResponse | null {
     for (let i = 0; i < attempts; i++) {
       const pending = this.ask(node, request);
       this.environment.until(() => pending.answer !== null, RESPONSE_WAIT_S);
@@ -76,15 +74,15 @@
     return null;
   }
 
-  private noteSubmission(spec: JobSpec): void {
+  private recordSubmission(spec: JobSpec): void {
     const { jobs } = this.environment;
     if (!jobs.has(spec.id)) jobs.set(spec.id, { spec, cancelledAt: null });
   }
 
   private onResponse(request: UserRequest, sentAt: number, response: UserResponse): void {
-    const { now, rules, onTold, jobs } = this.environment;
+    const { now, rules, onTold: onUserResponse, jobs } = this.environment;
     rules?.told(now, sentAt, request, response);
-    onTold?.(response);
+    onUserResponse?.(response);
     if (response.kind !== 'ended' || response.status !== 'cancelled') return;
     const cancelled = jobs.get(response.id as JobId);
     if (cancelled !== undefined) cancelled.cancelledAt ??= now;
--- a/test/support/simulated-world.ts
+++ b/test/support/simulated-world.ts
@@ -1,5 +1,6 @@
-// A small world in memory: key-value store, cloud, machines, users and controllers on one simulated clock,
-// joined by a network that can delay, hold, drop and cut. It checks rules of placement while it runs.
+// In-memory simulation of a whole cluster: key-value store, cloud, machines, users and controllers share one
+// simulated clock and a network that can delay, hold back and drop messages. Every task start is checked
+// against the placement rules.
 
 import type { CloudEnvironment } from '../../packages/local-cluster/src/fake-cloud.ts';
 import { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
@@ -33,7 +34,7 @@
 import { DEFAULT_NODE_NAMES, settings } from './simulated-settings.ts';
 import { SimulatedTasks, type TaskEnvironment } from './simulated-tasks.ts';
 import {
-  type PendingAnswer,
+  type PendingResponse,
   SimulatedUsers,
   type SubmittedJob,
   type UserEnvironment,
@@ -49,12 +50,12 @@
   TaskEnvironment &
   UserEnvironment;
 
-/** How often `until` looks at its condition, in a simulated second. */
-const LOOKS_PER_S = 5;
+/** How often `until` checks its condition in a simulated second. */
+const CHECKS_PER_S = 5;
 
 const isLeaderKey = (key: string): boolean => key === LEADER_KEY || key === CONFIGURED_LEADER_KEY;
 
-/** A cluster in memory: tests drive its clock, submit jobs, and have it meet faults. */
+/** A simulated cluster; tests advance its clock, submit jobs and inject faults. */
 export class SimulatedWorld implements Environment {
   /** The simulated time, in milliseconds. */
   now = 0;
@@ -65,39 +66,39 @@
   readonly nodeNames: readonly string[];
   /** Jobs that users have submitted. */
   readonly jobs = new Map<string, SubmittedJob>();
-  /** A line for each rule that a start of a task has broken. */
+  /** One line for each rule that a task start has violated. */
   readonly broken: string[] = [];
-  /** What controllers have logged. */
+  /** Log lines of all controllers. */
   readonly logs: string[] = [];
 
   // Timing of machines and tasks.
 
   leaseMs = 10_000;
-  /** How often machines send heartbeats when nothing changes. */
+  /** Interval between the heartbeats of a machine when its state does not change. */
   reportMs = 1000;
-  /** How long tasks run, in seconds. */
+  /** Default run time of tasks, in seconds. */
   runS = 5;
-  /** How long the tasks of a job run, if not `runS`. */
+  /** Run time of the tasks of a job in seconds, by job, where it differs from `runS`. */
   readonly runOf = new Map<string, number>();
   readonly endsAt = new Map<string, number>();
-  /** Whether machines begin at all nodes in turn, rather than at the first. */
+  /** Whether new machines connect to the nodes in turn, instead of all to the first one. */
   spread = true;
 
   // Listeners.
 
-  /** Is told of what happens, to check it against the users' rules; see rule-checker.ts. */
+  /** Receives the events of the world to check them against the users' rules; see rule-checker.ts. */
   rules: RuleChecker | null = null;
-  /** Is told of every task that ends by itself. */
-  onEnd: ((task: TaskId) => void) | null = null;
-  /** Is told of every response to a user. */
+  /** Called for every task that completes. */
+  onTaskDone: ((task: TaskId) => void) | null = null;
+  /** Called for every response to a user. */
   onTold: ((response: UserResponse) => void) | null = null;
 
   // Faults.
 
-  /** Machines that reach no controller, while direct commands reach them. */
+  /** Machines whose heartbeats reach no controller, while direct commands still reach them. */
   readonly mute = new Set<string>();
   keepReport: (() => boolean) | null = null;
-  /** Milliseconds from the beginning of a term until heartbeats that were kept arrive. */
+  /** Delay from the start of a leader's term until kept heartbeats are delivered, in milliseconds. */
   keptMs = 150;
   copyMs: (() => number | null) | null = null;
   stateSlowMs = 0;
@@ -109,7 +110,7 @@
   readonly network = new SimulatedNetwork(this);
   /** Machines whose heartbeats arrive, while responses and direct commands to them are lost. */
   readonly deaf = this.network.unreachable;
-  /** Machines to which everything is held up for so long. */
+  /** Additional latency of all messages to a machine, in milliseconds. */
   readonly heldUpMs = this.network.extraLatencyMs;
   readonly controllers: SimulatedControllers;
   readonly nodes: SimulatedControllers['nodes'];
@@ -119,17 +120,17 @@
   private readonly tasks: SimulatedTasks;
   private readonly placementCheck = new PlacementCheck(this);
 
-  /** Starts the controllers `names`, with settings that differ from the usual ones by `over`. */
+  /** Starts the controllers `names`; `overrides` replace their default settings. */
   constructor(
-    over: Partial<Settings> = {},
+    overrides: Partial<Settings> = {},
     names: readonly string[] = DEFAULT_NODE_NAMES,
     onEffect: EffectListener | null = null,
   ) {
     this.nodeNames = names.length > DEFAULT_NODE_NAMES.length ? names : DEFAULT_NODE_NAMES;
-    this.controllers = new SimulatedControllers(this, over, onEffect);
+    this.controllers = new SimulatedControllers(this, overrides, onEffect);
     this.nodes = this.controllers.nodes;
     this.heartbeats = new SimulatedHeartbeats(this);
-    this.tasks = new SimulatedTasks(this, settings('node-0', over).workers);
+    this.tasks = new SimulatedTasks(this, settings('node-0', overrides).workers);
     this.state.onChange = (change) => {
       if ('key' in change && isLeaderKey(change.key) && change.kept !== null)
         this.after(this.keptMs, () => this.heartbeats.deliverKept());
@@ -139,17 +140,17 @@
 
   // ---- time
 
-  /** Has something happen at a simulated time. */
+  /** Schedules an action at a simulated time. */
   at(ms: number, run: () => void): void {
     this.events.add(ms, run);
   }
 
-  /** Has something happen so many milliseconds from now. */
+  /** Schedules an action `ms` milliseconds from now. */
   after(ms: number, run: () => void): void {
     this.at(this.now + ms, run);
   }
 
-  /** Lets simulated time pass. */
+  /** Advances simulated time and runs the events that are due. */
   run(seconds: number): void {
     const end = this.now + seconds * 1000;
     for (let event = this.events.next(end); event !== null; event = this.events.next(end)) {
@@ -159,31 +160,31 @@
     this.now = end;
   }
 
-  /** Lets time pass until the condition holds, or for so many seconds; returns whether it holds. */
+  /** Advances time until the condition holds, at most for `seconds`; returns whether it holds. */
   until(condition: () => boolean, seconds = 120): boolean {
-    for (let i = 0; i < seconds * LOOKS_PER_S && !condition(); i++) this.run(1 / LOOKS_PER_S);
+    for (let i = 0; i < seconds * CHECKS_PER_S && !condition(); i++) this.run(1 / CHECKS_PER_S);
     return condition();
   }
 
   get eventCount(): number {
-    return this.events.n;
+    return this.events.eventCount;
   }
 
   // ---- network
 
-  /** Cuts the link between two ends: nodes, machines, `state` and `cloud`. */
-  cut(a: string, b: string, mode: CutMode): void {
-    this.network.cut(a, b, mode);
+  /** Cuts the link between two endpoints: nodes, machines, `state` or `cloud`. */
+  cut(endpointA: string, endpointB: string, mode: CutMode): void {
+    this.network.cut(endpointA, endpointB, mode);
   }
 
-  /** Mends the link between two ends. */
-  heal(a: string, b: string): void {
-    this.network.heal(a, b);
+  /** Restores the link between two endpoints and delivers the messages that were held back on it. */
+  heal(endpointA: string, endpointB: string): void {
+    this.network.heal(endpointA, endpointB);
   }
 
-  /** Whether the link between two ends is cut. */
-  isCut(a: string, b: string): boolean {
-    return this.network.isCut(a, b);
+  /** Whether the link between two endpoints is cut. */
+  isCut(endpointA: string, endpointB: string): boolean {
+    return this.network.isCut(endpointA, endpointB);
   }
 
   // ---- controllers
@@ -193,23 +194,23 @@
     this.controllers.start(name);
   }
 
-  /** Ends a controller at once. */
+  /** Ends a controller without a shutdown. */
   crash(name: string): void {
     this.controllers.crash(name);
   }
 
-  /** It does nothing from now on, and its links stay up; what comes waits for it. */
+  /** Suspends a controller: its links stay up, and its inputs other than ticks are queued. */
   freeze(name: string): void {
     this.controllers.freeze(name);
   }
 
-  /** It goes on, with all that came while it was frozen. */
+  /** Resumes a controller and delivers the inputs that were queued while it was frozen. */
   thaw(name: string): void {
     this.controllers.thaw(name);
   }
 
-  /** Who leads by the key-value store, under the key of shards with configuration documents or without. */
-  get ownerOnRecord(): { node: string; term: number } | null {
+  /** The leader and its term by the key-value store, under the key for shards with or without documents. */
+  get recordedLeader(): { node: string; term: number } | null {
     for (const key of [CONFIGURED_LEADER_KEY, LEADER_KEY]) {
       const entry = this.state.keys.get(key);
       const node = (entry?.value as { node?: string } | undefined)?.node;
@@ -218,17 +219,17 @@
     return null;
   }
 
-  /** The controller that acts as the leader. */
+  /** The controller that holds the leader's lease, if there is one. */
   get owner(): string | undefined {
     return this.controllers.leader;
   }
 
-  /** Gives a controller an input. */
+  /** Passes an input to a controller. */
   input(name: string, input: Input): void {
     this.controllers.input(name, input);
   }
 
-  /** Gives a controller a request, and `onResponse` what it responds with. */
+  /** Passes a request to a controller; `onResponse` is called with the response. */
   request(
     name: string,
     makeInput: (requestId: number) => Input,
@@ -237,39 +238,39 @@
     this.controllers.request(name, makeInput, onResponse);
   }
 
-  /** Whether the key-value store says that the job is done. */
+  /** Whether the key-value store records the job as done. */
   doneOnRecord(id: string): boolean {
     return (this.state.keys.get(`f/${id}`)?.value as { s?: string } | undefined)?.s === 'done';
   }
 
-  /** How many requests of a kind the key-value store has served. */
-  stateOps(kind: StoreRequest['kind']): number {
+  /** Number of requests of a kind that the key-value store has served. */
+  storeRequestCount(kind: StoreRequest['kind']): number {
     return this.state.served.filter((request) => request.kind === kind).length;
   }
 
   // ---- users
 
-  /** Sends a request to a node, once. */
-  ask(name: string, request: UserRequest): PendingAnswer {
+  /** Sends a request to a node, without retries. */
+  ask(name: string, request: UserRequest): PendingResponse {
     return this.users.ask(name, request);
   }
 
-  /** Asks until it is answered with something else than to come back later. */
+  /** Repeats a request until the response is not `retry`; returns null if all attempts fail. */
   insist(request: UserRequest, node = 'node-0', attempts = 30): UserResponse | null {
-    return this.users.insist(request, node, attempts);
+    return this.users.requestUntilAnswered(request, node, attempts);
   }
 
-  /** Submits a job, until it is answered. */
+  /** Submits a job, with retries until there is a response. */
   submit(spec: JobSpec, node = 'node-0'): UserResponse | null {
     return this.insist({ op: 'submit', spec }, node);
   }
 
-  /** Asks for the status of a job, until it is answered. */
+  /** Requests the status of a job, with retries until there is a response. */
   status(id: string, node = 'node-0'): UserResponse | null {
     return this.insist({ op: 'status', id: id as JobId }, node);
   }
 
-  /** Whether a node says that the job is done. */
+  /** Whether a node reports the job as done. */
   isDone(id: string, node = 'node-0'): boolean {
     const response = this.status(id, node);
     return response?.kind === 'ended' && response.status === 'done';
@@ -277,7 +278,7 @@
 
   // ---- machines
 
-  /** A machine that the cloud rents out. */
+  /** Creates a machine that the cloud has provided. */
   machine(id: string, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const firstNode = this.spread ? this.workers.size % this.nodeNames.length : 0;
     const worker = new FakeWorker({
@@ -302,19 +303,19 @@
     this.heartbeats.send(worker, node, heartbeat, timeoutMs, onReply);
   }
 
-  /** A copy of a heartbeat reaches a node; nobody waits for the response. */
+  /** Delivers a duplicate of a heartbeat to a node and discards the response. */
   deliver(node: string, heartbeat: Heartbeat): void {
     this.heartbeats.deliver(node, heartbeat);
   }
 
-  /** Copies of heartbeats that arrived after a newer one of the machine. */
-  get oldCopies(): number {
-    return this.heartbeats.outdatedCopies;
+  /** Duplicated heartbeats that were delivered after the machine had sent a newer one. */
+  get outdatedHeartbeatCopies(): number {
+    return this.heartbeats.outdatedCopyCount;
   }
 
-  /** Kept heartbeats that were older than the machine's last, as they arrived. */
+  /** Kept heartbeats that were delivered after the machine had sent a newer one. */
   get keptDelivered(): number {
-    return this.heartbeats.outdatedKept;
+    return this.heartbeats.outdatedKeptCount;
   }
 
   launch(
@@ -334,7 +335,7 @@
     this.placementCheck.check(worker, task);
   }
 
-  /** Machines that hold a task of the job, in any state but exited. */
+  /** Machines with a task of the job in any state but exited. */
   holders(id: string): string[] {
     return [...this.workers.values()]
       .filter((worker) => worker.live().some((running) => running.job === id))
