--- a/test/support/checked-world.ts
+++ b/test/support/checked-world.ts
@@ -1,4 +1,4 @@
-// A simulated world that is checked by the users' rules all the time, for scenarios of faults that coincide.
+// Continuous checks of a simulated world against the users' rules, for scenarios with concurrent faults.
 import assert from 'node:assert/strict';
 import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { JobSpec, UserRequest } from '../../src/core/base/model.ts';
@@ -15,24 +15,24 @@
 import { LIMITED_TEAM, LIMITED_TEAM_CPUS } from './simulated-settings.ts';
 import type { SimulatedWorld } from './simulated-world.ts';
 
-/** How long after the confirmation tasks of a cancelled job may be on machines. */
+/** How long tasks of a cancelled job may remain on machines after the cancellation is confirmed. */
 export const CANCEL_MS = 40_000;
-/** CPUs that each team of the world may use. */
+/** CPU quotas of the world's teams; teams that are not listed are unlimited. */
 export const CPUS_MAX = new Map([[LIMITED_TEAM, LIMITED_TEAM_CPUS]]);
-const LOOK_INTERVAL_MS = 500;
-const ASK_INTERVAL_MS = 1000;
-/** Without these a job's description is incomplete. */
+const CHECK_INTERVAL_MS = 500;
+const POLL_INTERVAL_MS = 1000;
+/** Fields that every job description must have. */
 const REQUIRED_FIELDS = ['id', 'class', 'team', 'kind', 'tasks', 'cpus', 'memoryGb', 'image'] as const;
 
-/** What a team of the world may use. */
+/** The quota of a team of the world. */
 export const limitOf = (team: string): TeamAmounts => ({
   ...UNLIMITED,
   cpus: CPUS_MAX.get(team) ?? UNLIMITED.cpus,
 });
 
 /**
- * The leader alone is refused by the key-value store and cut from the other nodes; these machines stay with
- * it.
+ * Isolates the leader: the key-value store refuses its requests, and its links to the other nodes are cut.
+ * The given machines reach only the leader.
  */
 export function cutLeader(world: SimulatedWorld, leader: string, machines: readonly string[] = []): void {
   world.state.refused.add(leader);
@@ -43,41 +43,42 @@
   }
 }
 
-/** The tasks that are on machines. */
-export function* onMachines(world: SimulatedWorld): Iterable<OnMachine> {
+/** All tasks that are on machines which still exist. */
+export function* tasksOnMachines(world: SimulatedWorld): Iterable<OnMachine> {
   for (const machine of world.workers.values()) {
     if (machine.over) continue;
     for (const { task } of machine.live()) yield { task, machine };
   }
 }
 
-/** Whether the machine is up, reaches a node, hears it and runs what it is given. */
+/** Whether the machine is up, can exchange messages with a node, and can run new tasks. */
 function canTakeTasks(world: SimulatedWorld, machine: FakeWorker): boolean {
   if (!machine.up || machine.over || machine.faulty || machine.noticeS !== null) return false;
   if (world.mute.has(machine.id) || world.deaf.has(machine.id)) return false;
   return ![...world.nodes.keys()].every((node) => world.isCut(machine.id, node));
 }
 
-/** What machines have free that can take tasks. */
-export function* rooms(world: SimulatedWorld): Iterable<Room> {
+/** Free capacity of each machine that can take tasks. */
+export function* freeCapacities(world: SimulatedWorld): Iterable<Room> {
   for (const machine of world.workers.values()) {
     if (!canTakeTasks(world, machine)) continue;
     const { cpus, gpus, memoryGb } = world.cloud.types.find((type) => type.name === machine.type)!;
-    const room: Room = { machine, cpus, gpus, memoryGb };
+    const free: Room = { machine, cpus, gpus, memoryGb };
     for (const { job } of machine.live()) {
       const spec = world.jobs.get(job)?.spec;
       if (spec === undefined) continue;
-      room.cpus -= spec.cpus;
-      room.gpus -= spec.gpus;
-      room.memoryGb -= spec.memoryGb;
+      free.cpus -= spec.cpus;
+      free.gpus -= spec.gpus;
+      free.memoryGb -= spec.memoryGb;
     }
-    yield room;
+    yield free;
   }
 }
 
-/** Why a job can never run in this world, by its description alone. */
+/** Why a job can never run in this world, judged by its description alone; null if it can. */
 export function unfit(world: SimulatedWorld, spec: JobSpec): string | null {
-  for (const field of REQUIRED_FIELDS) if (spec[field] === undefined) return `it has no ${field}`;
+  for (const field of REQUIRED_FIELDS)
+    if (spec[field] === undefined) return `its description has no field ${field}`;
   const fits = world.cloud.types.some(
     (type) =>
       (spec.machineTypes === null || spec.machineTypes.includes(type.name)) &&
@@ -86,65 +87,67 @@
       spec.gpus <= type.gpus &&
       spec.memoryGb <= type.memoryGb,
   );
-  if (!fits) return 'no machine is large enough';
-  const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
+  if (!fits) return 'no machine type satisfies its type, zone and size constraints';
+  const minConcurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
   const max = CPUS_MAX.get(spec.team);
-  if (max !== undefined && spec.cpus * atOnce > max) return 'its team may not use so much';
+  if (max !== undefined && spec.cpus * minConcurrentTasks > max)
+    return `it needs more than the ${max} CPUs of its team's quota`;
   return null;
 }
 
-/** A world's rule checker, and users who go on asking. */
+/** A world's rule checker, with users that poll and retry. */
 export interface Judged {
   rules: RuleChecker;
-  /** Nothing was broken, by the rules nor by the world's own checks. */
+  /** Asserts that neither the rule checker nor the world's own placement check found a violation. */
   sound(): void;
-  /** The job is asked about every second, at each node in turn, from now on. */
+  /** From now on requests the job's status every second, from each node in turn. */
   follow(id: JobId): void;
   /**
-   * Repeated every second, at each node in turn, until it is answered with something else than to come back.
+   * Repeats a request every second, at each node in turn, until the response is not `retry`; `over` is true
+   * from then on.
    */
   insist(request: UserRequest): { over: boolean };
 }
 
-/** The rules of this world, told of all that happens in it; whoever plays the world calls `look`. */
+/** Attaches a rule checker to a world; the caller has to call `look` regularly. */
 export function ruleCheckerFor(world: SimulatedWorld, limitAt: Limits['limitOf'] = limitOf): RuleChecker {
   const limits: Limits = {
     cancelMs: CANCEL_MS,
     limitOf: limitAt,
     unfit: (spec) => unfit(world, spec),
-    rooms: () => rooms(world),
+    rooms: () => freeCapacities(world),
   };
-  world.rules = new RuleChecker(limits, new ScannedPlacements(() => onMachines(world)));
+  world.rules = new RuleChecker(limits, new ScannedPlacements(() => tasksOnMachines(world)));
   return world.rules;
 }
 
-/** Has a world checked by its rules from now on. */
+/** Attaches a rule checker to a world and schedules its checks. */
 export function judge(world: SimulatedWorld): Judged {
   const rules = ruleCheckerFor(world);
-  const look = (): void => {
+  const check = (): void => {
     rules.look(world.now);
-    world.after(LOOK_INTERVAL_MS, look);
+    world.after(CHECK_INTERVAL_MS, check);
   };
-  look();
-  let turn = 0;
+  check();
+  let nodeIndex = 0;
   const nextNode = (): string => {
     const running = [...world.nodes.keys()];
-    return running[turn++ % Math.max(1, running.length)] ?? world.nodeNames[0]!;
+    return running[nodeIndex++ % Math.max(1, running.length)] ?? world.nodeNames[0]!;
   };
   const follow = (id: JobId): void => {
     world.ask(nextNode(), { op: 'status', id });
-    world.after(ASK_INTERVAL_MS, () => follow(id));
+    world.after(POLL_INTERVAL_MS, () => follow(id));
   };
   const insist = (request: UserRequest): { over: boolean } => {
     const state = { over: false };
-    const again = (): void => {
+    const sendRequest = (): void => {
       const pending = world.ask(nextNode(), request);
-      world.after(ASK_INTERVAL_MS, () => {
+      world.after(POLL_INTERVAL_MS, () => {
         if (pending.answer !== null && pending.answer.kind !== 'retry') state.over = true;
-        else if (!state.over) again();
+        else if (!state.over) sendRequest();
       });
     };
-    again();
+    sendRequest();
     return state;
   };
   return {
--- a/test/support/free-capacity.ts
+++ b/test/support/free-capacity.ts
@@ -1,28 +1,28 @@
-// Whether machines with free capacity could take what is missing of a job, by all that its user can know.
+// Computes how many tasks of a job fit into the machines' free capacity, judged by what its user can observe.
 import type { JobSpec } from '../../src/core/base/model.ts';
-import { acceptsMachine, type Place, type Placements, spreadLimit } from './placement-rules.ts';
+import { acceptsMachine, type MachineInfo, type Placements, spreadLimit } from './placement-rules.ts';
 
-/** What a machine has free; of those that are there, reach controllers and can run what they are given. */
-export interface Room {
-  machine: Place;
+/** Free capacity of a machine that exists, reaches controllers and can run new tasks. */
+export interface FreeCapacity {
+  machine: MachineInfo;
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Sums of fractions drift by less than this. */
-const ROUNDING = 1e-9;
+/** Tolerance for floating-point errors in sums of fractional amounts. */
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** How many tasks of the job fit on the machine, by what it has free. */
-function fittingTasks(spec: JobSpec, room: Room): number {
+/** How many tasks of the job fit into the machine's free capacity. */
+function fittingTasks(spec: JobSpec, machine: FreeCapacity): number {
   const fitting = (free: number, each: number): number =>
-    each <= 0 ? spec.tasks : Math.floor((free + ROUNDING) / each);
-  const most = Math.min(
-    fitting(room.cpus, spec.cpus),
-    fitting(room.gpus, spec.gpus),
-    fitting(room.memoryGb, spec.memoryGb),
+    each <= 0 ? spec.tasks : Math.floor((free + ROUNDING_TOLERANCE) / each);
+  const fittingCount = Math.min(
+    fitting(machine.cpus, spec.cpus),
+    fitting(machine.gpus, spec.gpus),
+    fitting(machine.memoryGb, spec.memoryGb),
   );
-  return Math.max(0, most);
+  return Math.max(0, fittingCount);
 }
 
 function countByZone(job: string, placements: Placements): Map<string, number> {
@@ -32,25 +32,33 @@
   return zones;
 }
 
-/** Whether the job's constraints allow a further task in the room, by the machine and by the zones in use. */
-function allowsRoom(spec: JobSpec, { machine }: Room, placedIn: ReadonlyMap<string, number>): boolean {
+/** Whether the job's constraints allow another task on the machine, given the zones that it already uses. */
+function allowsMachine(
+  spec: JobSpec,
+  { machine }: FreeCapacity,
+  placedByZone: ReadonlyMap<string, number>,
+): boolean {
   if (!acceptsMachine(spec, machine)) return false;
   if (spec.zone !== null && spec.zone !== machine.zone) return false;
-  return !spec.oneZone || placedIn.size === 0 || placedIn.has(machine.zone);
+  return !spec.oneZone || placedByZone.size === 0 || placedByZone.has(machine.zone);
 }
 
-/** How many more tasks of the job could run now, on machines that its description allows. */
-export function startableTasks(spec: JobSpec, rooms: readonly Room[], placements: Placements): number {
-  const placedIn = countByZone(spec.id, placements);
-  const fittingIn = new Map<string, number>();
-  for (const room of rooms) {
-    const { zone } = room.machine;
-    if (!allowsRoom(spec, room, placedIn)) continue;
-    fittingIn.set(zone, (fittingIn.get(zone) ?? 0) + fittingTasks(spec, room));
+/** How many more tasks of the job could be started now on machines that its constraints allow. */
+export function startableTasks(
+  spec: JobSpec,
+  machines: readonly FreeCapacity[],
+  placements: Placements,
+): number {
+  const placedByZone = countByZone(spec.id, placements);
+  const fittingByZone = new Map<string, number>();
+  for (const free of machines) {
+    const { zone } = free.machine;
+    if (!allowsMachine(spec, free, placedByZone)) continue;
+    fittingByZone.set(zone, (fittingByZone.get(zone) ?? 0) + fittingTasks(spec, free));
   }
   let total = 0;
-  for (const [zone, fitting] of fittingIn) {
-    const allowed = spec.spread ? Math.max(0, spreadLimit(spec) - (placedIn.get(zone) ?? 0)) : fitting;
+  for (const [zone, fitting] of fittingByZone) {
+    const allowed = spec.spread ? Math.max(0, spreadLimit(spec) - (placedByZone.get(zone) ?? 0)) : fitting;
     const inZone = Math.min(fitting, allowed);
     total = spec.oneZone ? Math.max(total, inZone) : total + inZone;
   }
--- a/test/support/long-job.ts
+++ b/test/support/long-job.ts
@@ -1,4 +1,4 @@
-// Scenarios that begin with a job whose tasks run for longer than the scenario lasts.
+// Starting points of scenarios with a job whose tasks run longer than the scenario lasts.
 import assert from 'node:assert/strict';
 import type { JobSpec } from '../../src/core/base/model.ts';
 import { type Judged, judge } from './checked-world.ts';
@@ -8,34 +8,37 @@
 const TASK_RUN_S = 500;
 const DEFAULT_BOOT_S = 5;
 
-/** The controllers of a world: the leader, and all others. */
+/** The controllers of a world by role. */
 export interface Roles {
   leader: string;
   others: string[];
 }
 
-/** The world's own checks have found nothing wrong. */
+/** Asserts that the world's own checks found no violation. */
 export const assertUnbroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
 
-/** A world in which an array `run-1` of eight tasks has started; boots take `bootS` seconds. */
+/** Starts a world and the array `run-1` of eight tasks in it; machines boot in `bootS` seconds. */
 export function startLongArray(
-  over: Partial<JobSpec> = {},
+  overrides: Partial<JobSpec> = {},
   bootS = DEFAULT_BOOT_S,
 ): Roles & { world: SimulatedWorld } {
   const world = new SimulatedWorld();
-  return { world, ...startLongJob(world, job(JOB_ID, { tasks: 8, ...over }), bootS) };
+  return { world, ...startLongJob(world, job(JOB_ID, { tasks: 8, ...overrides }), bootS) };
 }
 
-/** The same with a single task, judged by the users' rules, and with all agents connected to the first leader. */
+/**
+ * Starts a world and the one-task job `run-1` in it, with a rule checker and with all agents connected to the
+ * first leader.
+ */
 export function startCheckedLongJob(
-  over: Partial<JobSpec> = {},
+  overrides: Partial<JobSpec> = {},
   bootS = DEFAULT_BOOT_S,
 ): Roles & { world: SimulatedWorld; checks: Judged } {
   const world = new SimulatedWorld();
   const checks = judge(world);
   // Agents connect to the first controller, which is the first leader.
   world.spread = false;
-  return { world, checks, ...startLongJob(world, job(JOB_ID, over), bootS) };
+  return { world, checks, ...startLongJob(world, job(JOB_ID, overrides), bootS) };
 }
 
 function startLongJob(world: SimulatedWorld, spec: JobSpec, bootS: number): Roles {
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -1,4 +1,4 @@
-// An operator who changes the configuration of a simulated world, by the transactions that the command makes.
+// A simulated operator: changes the configuration with the same transactions as the configuration command.
 import assert from 'node:assert/strict';
 import type { StoreItem, StoreReply } from '../../src/core/base/model.ts';
 import {
@@ -30,57 +30,57 @@
 
 const OPERATOR = 'operator';
 const RETRY_DELAY_MS = 300;
-/** How long it takes for a shard to be ready for configuration documents. */
-const PREPARATION_S = 20;
-/** Limits of the world's key-value store. */
+/** Time limit for the preparation of a shard for configuration documents. */
+const PREPARATION_TIMEOUT_S = 20;
+/** Size and rate limits of the world's key-value store. */
 export const LIMITS = settings('node-0').store;
 
-/** A document of a team's quota. */
-export const team = (name: string, over: Partial<TeamDocument> = {}): ConfigDocument => ({
+/** A configuration document with a team's quota. */
+export const team = (name: string, overrides: Partial<TeamDocument> = {}): ConfigDocument => ({
   kind: 'team',
   name: name as TeamName,
-  team: { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0, above: { kind: 'drain' }, removed: false, ...over },
+  team: { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0, above: { kind: 'drain' }, removed: false, ...overrides },
 });
 
-/** A limit that was asked for. */
+/** A CPU limit that the operator has committed. */
 interface RequestedLimit {
   team: string;
   cpus: number;
   revision: Revision;
 }
 
-/** Makes changes of configuration in a simulated world, at once and whatever goes wrong there. */
+/** Changes the configuration of a simulated world, without the network's faults and the store's delays. */
 export class Operator {
-  private changesMade = 0;
+  private changeCount = 0;
   private readonly requestedLimits: RequestedLimit[] = [];
 
   constructor(private readonly world: SimulatedWorld) {}
 
-  /** The documents on record. */
+  /** The stored configuration documents. */
   get snapshot(): ConfigSnapshot {
-    return readSnapshot(this.items(CONFIG_PREFIX));
+    return readSnapshot(this.storedItems(CONFIG_PREFIX));
   }
 
-  /** The changes on record. */
+  /** The stored history of changes. */
   get history(): HistoryEntry[] {
-    return this.items(CONFIG_HISTORY_PREFIX)
+    return this.storedItems(CONFIG_HISTORY_PREFIX)
       .map(readHistory)
       .filter((entry) => entry !== null);
   }
 
-  /** What the leader says is in force. */
+  /** The leader's record of the configuration in force; null if there is none. */
   get inForce(): InForceRecord | null {
     return (this.world.state.keys.get(CONFIG_IN_FORCE_KEY)?.value as InForceRecord | undefined) ?? null;
   }
 
-  /** The revision of the record that says that the leader's key has moved. */
-  get movedAt(): Revision | null {
+  /** Revision of the record that marks the leader's key as moved; null if the key has not moved. */
+  get leaderKeyMoveRevision(): Revision | null {
     const entry = this.world.state.keys.get(LEADER_KEY);
     const moved = (entry?.value as { moved?: string } | undefined)?.moved;
     return moved === undefined ? null : (entry!.revision as Revision);
   }
 
-  /** Carried out at once, whatever the store does to others. */
+  /** Commits a transaction without the store's simulated delays and lost replies. */
   commit(transaction: StoreTransaction): StoreReply {
     const { state } = this.world;
     let reply: StoreReply = { kind: 'no-answer' };
@@ -95,78 +95,88 @@
     return reply;
   }
 
-  /** Makes the shard ready for documents, as the first change does. */
+  /** Prepares the shard for configuration documents, as the first change of the command does. */
   prepare(): void {
-    if (this.movedAt !== null) return;
+    if (this.leaderKeyMoveRevision !== null) return;
     this.commit(preparation('prepare', this.world.now));
-    const hasMoved = this.world.until(() => this.movedAt !== null, PREPARATION_S);
-    assert.equal(hasMoved, true, 'the share has not moved');
+    const hasMoved = this.world.until(() => this.leaderKeyMoveRevision !== null, PREPARATION_TIMEOUT_S);
+    assert.equal(hasMoved, true, `the leader key has not moved within ${PREPARATION_TIMEOUT_S} s`);
   }
 
-  /** The transaction of a change, planned against what is on record now. */
-  planned(wanted: readonly ConfigDocument[], id = `change-${++this.changesMade}`): StoreTransaction {
+  /** Builds the transaction of a change, based on the documents that are stored now. */
+  planned(wanted: readonly ConfigDocument[], id = `change-${++this.changeCount}`): StoreTransaction {
     const { snapshot } = this;
-    return transactionOf(snapshot, changesTo(snapshot, wanted), id, this.world.now, this.movedAt!, LIMITS);
+    return transactionOf(
+      snapshot,
+      changesTo(snapshot, wanted),
+      id,
+      this.world.now,
+      this.leaderKeyMoveRevision!,
+      LIMITS,
+    );
   }
 
-  /** Makes a change; its revision. */
+  /** Makes a change and returns its revision. */
   change(...wanted: ConfigDocument[]): Revision {
     this.prepare();
-    return this.committed(this.planned(wanted));
+    return this.commitOrFail(this.planned(wanted));
   }
 
-  /** Goes back to what was before a change; the revision of that. */
+  /** Restores the configuration before a change; returns the revision of the rollback. */
   rollback(number: number): Revision {
     const { snapshot } = this;
     const changes = changesBackTo(snapshot, this.history, number);
     assert.notEqual(changes, null);
     const id = `back-${number}`;
-    return this.committed(transactionOf(snapshot, changes!, id, this.world.now, this.movedAt!, LIMITS));
+    return this.commitOrFail(
+      transactionOf(snapshot, changes!, id, this.world.now, this.leaderKeyMoveRevision!, LIMITS),
+    );
   }
 
-  /** Changes a team's limit as soon as the store takes it, with whatever goes wrong meanwhile. */
-  insist(name: string, cpusMax: number, above: TeamDocument['above']): void {
-    const again = (): void => this.world.after(RETRY_DELAY_MS, () => this.insist(name, cpusMax, above));
-    if (this.movedAt === null) {
+  /** Changes a team's limit, and retries until the store commits the change. */
+  changeLimitUntilCommitted(name: string, cpusMax: number, above: TeamDocument['above']): void {
+    const retry = (): void =>
+      this.world.after(RETRY_DELAY_MS, () => this.changeLimitUntilCommitted(name, cpusMax, above));
+    if (this.leaderKeyMoveRevision === null) {
       this.commit(preparation('prepare', this.world.now));
-      return again();
+      return retry();
     }
     const reply = this.commit(this.planned([team(name, { cpusMax, above })]));
-    if (reply.kind !== 'committed') return again();
+    if (reply.kind !== 'committed') return retry();
     this.requestedLimits.push({ team: name, cpus: cpusMax, revision: reply.revision });
   }
 
-  /** The highest limit that a controller may act on at this moment; `first`: that of the settings. */
-  limitOf(name: string, first: number): number {
-    let most = first;
+  /** The highest limit that a controller may apply now; `configuredCpus` is the limit in the settings. */
+  limitOf(name: string, configuredCpus: number): number {
+    let highest = configuredCpus;
     for (const limit of this.requestedLimits) {
       if (limit.team !== name) continue;
-      most = this.isInForce(limit.revision) ? limit.cpus : Math.max(most, limit.cpus);
+      highest = this.isInForce(limit.revision) ? limit.cpus : Math.max(highest, limit.cpus);
     }
-    return most;
+    return highest;
   }
 
-  /** Seconds until the leader says that it is in force; null if it does not in time. */
+  /** Waits until the leader records the revision as in force; returns the seconds taken, null on timeout. */
   untilInForce(revision: Revision, seconds: number): number | null {
-    const began = this.world.now;
-    const isOnRecord = (): boolean => (this.inForce?.revision ?? 0) >= revision;
-    return this.world.until(isOnRecord, seconds) ? (this.world.now - began) / 1000 : null;
+    const startedAt = this.world.now;
+    const isInForce = (): boolean => (this.inForce?.revision ?? 0) >= revision;
+    return this.world.until(isInForce, seconds) ? (this.world.now - startedAt) / 1000 : null;
   }
 
-  private items(prefix: string): StoreItem[] {
+  private storedItems(prefix: string): StoreItem[] {
     return [...this.world.state.keys]
       .filter(([key]) => key.startsWith(prefix))
       .map(([key, { value, revision }]) => ({ key, value, revision: revision as Revision }));
   }
 
-  /** Commits what must go through; its revision. */
-  private committed(transaction: StoreTransaction): Revision {
+  /** Commits a transaction that must succeed; returns its revision. */
+  private commitOrFail(transaction: StoreTransaction): Revision {
     const reply = this.commit(transaction);
     assert.equal(reply.kind, 'committed');
     return (reply as Extract<StoreReply, { kind: 'committed' }>).revision;
   }
 
-  /** Whether the time has come from which controllers act on nothing older. */
+  /** Whether the time has passed after which controllers apply no revision older than this one. */
   private isInForce(revision: Revision): boolean {
     const { inForce } = this;
     if (inForce === null || inForce.revision < revision) return false;
--- a/test/support/placement-rules.ts
+++ b/test/support/placement-rules.ts
@@ -1,57 +1,57 @@
-// Where the tasks of a job may run by its description, and what is on machines: what all checks of placements
-// share.
+// Placement rules shared by all checks: where a job's description allows its tasks to run, and which tasks
+// are on which machines.
 import type { JobSpec } from '../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../src/types/index.ts';
 
-/** A machine, as far as users may say where they want their tasks. */
-export interface Place {
+/** The attributes of a machine that a job's placement constraints refer to. */
+export interface MachineInfo {
   readonly id: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** A task that is on a machine at this moment. */
-export interface OnMachine {
+/** A task and the machine that it is on. */
+export interface PlacedTask {
   task: string;
-  machine: Place;
+  machine: MachineInfo;
 }
 
-/** CPUs and accelerators that a team uses or may use. */
+/** CPUs and accelerators that a team uses, or its limit for them. */
 export interface TeamAmounts {
   cpus: number;
   gpus: number;
 }
 
-/** The limit of a team that has none. */
+/** The limit of a team without a quota. */
 export const UNLIMITED: TeamAmounts = { cpus: Number.POSITIVE_INFINITY, gpus: Number.POSITIVE_INFINITY };
 
-/** What is on machines now, as whoever plays the world knows it. */
+/** Read access to the tasks that are on machines now. */
 export interface Placements {
   /** All tasks that are on machines. */
-  all(): Iterable<OnMachine>;
-  /** A machine that the task is on. */
-  ofTask(task: string): OnMachine | undefined;
+  all(): Iterable<PlacedTask>;
+  /** The placement of a task, if it is on a machine. */
+  ofTask(task: string): PlacedTask | undefined;
   /** Tasks of the job that are on machines. */
-  ofJob(job: string): Iterable<OnMachine>;
-  /** What the team's tasks use. `specOf`: null for a job that is not known. */
+  ofJob(job: string): Iterable<PlacedTask>;
+  /** Resources that the team's tasks use; `specOf` returns null for an unknown job. */
   usedBy(team: string, specOf: (job: string) => JobSpec | null): TeamAmounts;
-  /** The most that the team has used lately, where tasks end all the time; absent: what it uses now. */
+  /** Recent peak use of the team, where tasks end all the time; if absent, current use counts. */
   lastingUseOf?(team: string): TeamAmounts;
 }
 
 const jobOf = (task: string): string => parseTaskId(task as TaskId).job;
 
-/** Placements of a small world, found by looking at all that is on machines. */
+/** Placements of a small world, found by scanning all machines. */
 export class ScannedPlacements implements Placements {
-  constructor(readonly all: () => Iterable<OnMachine>) {}
+  constructor(readonly all: () => Iterable<PlacedTask>) {}
 
-  ofTask(task: string): OnMachine | undefined {
+  ofTask(task: string): PlacedTask | undefined {
     for (const placement of this.all()) if (placement.task === task) return placement;
     return undefined;
   }
 
-  *ofJob(job: string): Iterable<OnMachine> {
+  *ofJob(job: string): Iterable<PlacedTask> {
     for (const placement of this.all()) if (jobOf(placement.task) === job) yield placement;
   }
 
@@ -67,28 +67,28 @@
   }
 }
 
-/** Whether the job may run on machines of this type, and on spot machines if it is one. */
-export const acceptsMachine = (spec: JobSpec, machine: Place): boolean =>
+/** Whether the job may run on this machine's type, and on a spot machine if it is one. */
+export const acceptsMachine = (spec: JobSpec, machine: MachineInfo): boolean =>
   (spec.machineTypes === null || (spec.machineTypes as string[]).includes(machine.type)) &&
   (spec.spot || !machine.spot);
 
-/** The most tasks of a spread job that may be in one zone. */
+/** The maximum number of tasks of a spread job in one zone. */
 export const spreadLimit = (spec: JobSpec): number => Math.ceil(spec.tasks / 2);
 
 /**
- * What is wrong about a task of the job on this machine, by the job's description and the places of its other
- * tasks.
+ * Checks a placement of a task of the job on this machine, given the job's constraints and the placements of
+ * its other tasks.
  *
- * @returns a description of each rule that is broken
+ * @returns a description of each violated constraint
  */
-export function wrongPlaces(spec: JobSpec, machine: Place, placements: Placements): string[] {
-  const faults: string[] = [];
-  if (!acceptsMachine(spec, machine)) faults.push(`on ${machine.type}`);
-  if (spec.zone !== null && spec.zone !== machine.zone) faults.push(`in ${machine.zone}`);
-  if (!spec.oneZone && !spec.spread) return faults;
+export function placementViolations(spec: JobSpec, machine: MachineInfo, placements: Placements): string[] {
+  const violations: string[] = [];
+  if (!acceptsMachine(spec, machine)) violations.push(`on ${machine.type}`);
+  if (spec.zone !== null && spec.zone !== machine.zone) violations.push(`in ${machine.zone}`);
+  if (!spec.oneZone && !spec.spread) return violations;
   const zones = [...placements.ofJob(spec.id)].map((placement) => placement.machine.zone);
-  if (spec.oneZone && zones.some((zone) => zone !== machine.zone)) faults.push(`in ${machine.zone}`);
+  if (spec.oneZone && zones.some((zone) => zone !== machine.zone)) violations.push(`in ${machine.zone}`);
   const inZone = zones.filter((zone) => zone === machine.zone).length;
-  if (spec.spread && inZone >= spreadLimit(spec)) faults.push(`beyond half in ${machine.zone}`);
-  return faults;
+  if (spec.spread && inZone >= spreadLimit(spec)) violations.push(`beyond half in ${machine.zone}`);
+  return violations;
 }
