--- a/test/support/fault-history.ts
+++ b/test/support/fault-history.ts
@@ -1,5 +1,5 @@
-// Histories of faults that coincide, drawn at random, played in the simulated world and checked by the users'
-// rules.
+// Entry point for histories of concurrent faults: drawn at random, run in the simulated world and checked
+// against the users' rules.
 export { historyArbitrary, SAMPLING } from './history-arbitrary.ts';
 export * from './history-model.ts';
 export { HistoryPlayer, playHistory } from './history-player.ts';
--- a/test/support/fault-injection.ts
+++ b/test/support/fault-injection.ts
@@ -1,11 +1,11 @@
-// Faults of a history as they begin and end in a simulated world, by the kind of fault.
+// Types and helpers of fault injectors, which begin and end the faults of a history in a simulated world.
 import type { FaultObserver } from './fault-observer.ts';
 import type { Fault, FaultOf } from './history-model.ts';
 import type { HistoryRun } from './history-run.ts';
 import type { HistoryUsers } from './history-users.ts';
 import type { Operator } from './operator.ts';
 
-/** What faults act on. */
+/** The objects that fault injectors act on. */
 export interface FaultTargets {
   readonly run: HistoryRun;
   readonly users: HistoryUsers;
@@ -16,16 +16,16 @@
 /** Ends a fault. */
 export type Recovery = () => void;
 
-/** Begins a fault; what it returns is called when the fault is over. */
+/** Begins a fault; the returned function is called when the fault ends. */
 export type FaultInjector<K extends Fault['kind']> = (targets: FaultTargets, fault: FaultOf<K>) => Recovery;
 
-/** An injector for each of some kinds of fault. */
+/** One injector for each of the kinds `K`. */
 export type FaultInjectors<K extends Fault['kind']> = { readonly [Kind in K]: FaultInjector<Kind> };
 
-/** The recovery of a fault that is over by itself. */
+/** The recovery of a fault that ends by itself. */
 export const NO_RECOVERY: Recovery = () => {};
 
-/** Calls each of several recoveries. */
+/** Combines several recoveries into one. */
 export const recoverAll =
   (recoveries: readonly Recovery[]): Recovery =>
   () => {
--- a/test/support/fault-observer.ts
+++ b/test/support/fault-observer.ts
@@ -1,37 +1,37 @@
-// Counts the combinations of faults that a history meets, by what machines, users and the key-value store see
-// of them.
+// Counts the combinations of faults that occur in a history, as observed at machines, users and the key-value
+// store.
 
 import type { UserResponse } from '../../src/core/base/model.ts';
 import type { MachineId } from '../../src/types/index.ts';
 import { type HistoryRun, sumOf } from './history-run.ts';
 import { LIMITED_TEAM_CPUS } from './simulated-settings.ts';
 
-/** Leaders that begin within this are in a row. */
+/** At least `LEADERS_IN_A_ROW` terms that start within this period count as leaders in a row. */
 const LEADERS_IN_A_ROW_MS = 30_000;
 const LEADERS_IN_A_ROW = 3;
-/** Machines that have been up for less are young. */
+/** A machine that has been up for less than this counts as young. */
 const YOUNG_MACHINE_MS = 5000;
 const QUICK_BOOT_S = 2;
-/** A term is new for so long. */
+/** A term counts as new for this long. */
 const NEW_TERM_MS = 1500;
-/** With so many tasks on each machine there is more work than room. */
-const CROWDED_TASKS = 3;
+/** With at least this many tasks on each machine, there is more work than capacity. */
+const CROWDED_TASKS_PER_MACHINE = 3;
 
-/** Observes one history while it is played. */
+/** Observes one history while it runs. */
 export class FaultObserver {
-  /** Of each job, the terms under which its tasks were seen to end. */
-  private readonly endTerms = new Map<string, Set<number>>();
-  private readonly endedOverTerms = new Set<string>();
+  /** The leader terms during which completed tasks were observed, by job. */
+  private readonly completionTermsByJob = new Map<string, Set<number>>();
+  private readonly jobsCompletedOverTerms = new Set<string>();
   private readonly cancelledJobs = new Set<string>();
   private lastTerm = 0;
   private readonly termsBeganAt: number[] = [];
   private termBeganAt = 0;
-  private machineUnheardAtTakeover = false;
-  private noNodeSince: number | null = null;
+  private wasBusyMachineUnreachableAtTakeover = false;
+  private allNodesDownSince: number | null = null;
 
   constructor(private readonly run: HistoryRun) {}
 
-  /** Looks at the world; to be called every second. */
+  /** Observes the state of the world; must be called every second. */
   observe(): void {
     const { term } = this.run;
     if (term > this.lastTerm) this.onNewTerm(term);
@@ -40,18 +40,15 @@
     this.observeEndedTasks(term);
   }
 
-  /** A user asks for a cancellation. */
+  /** Counts a cancellation that is requested around a leader change or while the store is down or slow. */
   onCancelRequested(): void {
     const { world, met } = this.run;
-    if (world.ownerOnRecord === null || world.now - this.termBeganAt < NEW_TERM_MS)
+    if (world.recordedLeader === null || world.now - this.termBeganAt < NEW_TERM_MS)
       met['cancelled-in-a-hand-over']++;
     if (world.state.down || world.stateSlowMs > 0) met['state-away-while-cancelling']++;
   }
 
-  /**
-   * Counts cancellations that are confirmed while tasks run on machines that follow a leader whose term is
-   * over.
-   */
+  /** Counts cancellations confirmed while tasks of the job run on machines that follow a former leader. */
   onResponse(response: UserResponse): void {
     if (response.kind !== 'ended' || response.status !== 'cancelled') return;
     const { id } = response;
@@ -65,7 +62,7 @@
     }
   }
 
-  /** Counts jobs bound to one zone that lose machines. */
+  /** Counts lost tasks of jobs that are bound to one zone. */
   onMachinesLost(ids: readonly MachineId[]): void {
     const { world, met } = this.run;
     for (const id of ids)
@@ -75,16 +72,16 @@
       }
   }
 
-  /** Counts what the world itself has counted. */
+  /** Adds the counters that the world and its services keep. */
   finish(): void {
     const { world, met } = this.run;
     met['late-writes'] = world.state.lateAfterNewer;
-    met['old-reports'] = world.oldCopies;
+    met['old-reports'] = world.outdatedHeartbeatCopies;
     met['late-commands'] = sumOf([...world.workers.values()].map((machine) => machine.lateCommands));
     met['answers-lost-others-read'] = world.state.answersLost;
     met['reports-kept-for-the-next-leader'] = world.keptDelivered;
-    met['tasks-apart-over-terms'] = this.endedOverTerms.size;
-    met['leader-ended-machines-away'] = this.machineUnheardAtTakeover ? 1 : 0;
+    met['tasks-apart-over-terms'] = this.jobsCompletedOverTerms.size;
+    met['leader-ended-machines-away'] = this.wasBusyMachineUnreachableAtTakeover ? 1 : 0;
   }
 
   private onNewTerm(term: number): void {
@@ -95,39 +92,39 @@
     this.termsBeganAt.push(world.now);
     const recent = this.termsBeganAt.filter((at) => world.now - at < LEADERS_IN_A_ROW_MS);
     if (recent.length >= LEADERS_IN_A_ROW) met['leaders-in-a-row']++;
-    if (this.isLimitedTeamUnheard()) met['team-at-limit-machines-away']++;
+    if (this.isLimitedTeamPartlyUnreachable()) met['team-at-limit-machines-away']++;
     if (isFirst) return;
     const machines = [...world.workers.values()];
     const hasYoungMachine = machines.some(
       (machine) => machine.up && machine.upSince > world.now - YOUNG_MACHINE_MS,
     );
     if (hasYoungMachine && world.cloud.bootS <= QUICK_BOOT_S) met['quick-boot-leader-ends']++;
-    if (machines.some((machine) => this.run.isUnheard(machine.id) && machine.live().length > 0))
-      this.machineUnheardAtTakeover = true;
+    if (machines.some((machine) => this.run.isUnreachable(machine.id) && machine.live().length > 0))
+      this.wasBusyMachineUnreachableAtTakeover = true;
   }
 
-  /** Whether the limited team uses all that it may, on machines that are not all heard. */
-  private isLimitedTeamUnheard(): boolean {
+  /** Whether the limited team uses its whole quota, in part on unreachable machines. */
+  private isLimitedTeamPartlyUnreachable(): boolean {
     const use = this.run.limitedTeamUse();
     if (sumOf(use.values()) < LIMITED_TEAM_CPUS) return false;
-    return [...use.keys()].some((machine) => this.run.isUnheard(machine));
+    return [...use.keys()].some((machine) => this.run.isUnreachable(machine));
   }
 
   private observeNodes(): void {
     const { world, met } = this.run;
     if (world.nodes.size > 0 || world.workers.size === 0) {
-      this.noNodeSince = null;
+      this.allNodesDownSince = null;
       return;
     }
-    this.noNodeSince ??= world.now;
-    if (world.now - this.noNodeSince > world.leaseMs) met['all-away-for-a-lease']++;
+    this.allNodesDownSince ??= world.now;
+    if (world.now - this.allNodesDownSince > world.leaseMs) met['all-away-for-a-lease']++;
   }
 
   private observeMachines(): void {
     const { world, met } = this.run;
     if (world.workers.size < world.cloud.capacity) return;
     const running = [...world.workers.values()].filter((machine) => machine.up && !machine.over);
-    if (running.length > 0 && running.every((machine) => machine.live().length >= CROWDED_TASKS))
+    if (running.length > 0 && running.every((machine) => machine.live().length >= CROWDED_TASKS_PER_MACHINE))
       met['work-beyond-room']++;
   }
 
@@ -135,9 +132,9 @@
     for (const machine of this.run.world.workers.values())
       for (const task of machine.tasks.values()) {
         if (task.state !== 'exited' || task.why !== 'done') continue;
-        const terms = this.endTerms.get(task.job) ?? new Set();
-        this.endTerms.set(task.job, terms.add(term));
-        if (terms.size > 1) this.endedOverTerms.add(task.job);
+        const terms = this.completionTermsByJob.get(task.job) ?? new Set();
+        this.completionTermsByJob.set(task.job, terms.add(term));
+        if (terms.size > 1) this.jobsCompletedOverTerms.add(task.job);
       }
   }
 }
--- a/test/support/history-arbitrary.ts
+++ b/test/support/history-arbitrary.ts
@@ -1,6 +1,6 @@
-// Draws histories of faults that coincide, by fast-check.
+// Generators of random fault histories for fast-check.
 import fc from 'fast-check';
-import { FAULTS_S, type Fault, type History, type HistoryJob } from './history-model.ts';
+import { FAULT_PERIOD_S, type Fault, type History, type HistoryJob } from './history-model.ts';
 
 const tenth = (min: number, max: number): fc.Arbitrary<number> =>
   fc.integer({ min: Math.round(min * 10), max: Math.round(max * 10) }).map((n) => n / 10);
@@ -74,14 +74,14 @@
   }),
 );
 
-/** One fault of any kind. */
+/** A single fault of any kind. */
 const singleFault: fc.Arbitrary<Fault[]> = fc
   .tuple(faultKind, tenth(4, 60), fc.oneof(tenth(0.5, 6), tenth(5, 30), tenth(20, 65)))
-  .map(([kind, atS, forS]) => [{ ...kind, atS, forS: Math.min(forS, FAULTS_S - atS) } as Fault]);
+  .map(([kind, atS, forS]) => [{ ...kind, atS, forS: Math.min(forS, FAULT_PERIOD_S - atS) } as Fault]);
 
 /**
- * The refused leader: refused alone, mostly cut from its peers too, and then an outage for all; its end or a
- * freeze between.
+ * A leader that the store refuses, mostly cut off from its peers too, followed by a store outage for all
+ * nodes; in some histories the leader crashes or freezes between the two.
  */
 const refusedLeader: fc.Arbitrary<Fault[]> = fc
   .record({
@@ -97,16 +97,16 @@
   .map(({ atS, gapS, forS, hold, peers, side, cloud, between }) => {
     const faults: Fault[] = [
       { kind: 'refuse-leader', atS, forS: gapS + forS, hold, peers, side: side && peers },
-      { kind: 'outage', atS: atS + gapS, forS: Math.min(forS, FAULTS_S - atS - gapS) },
+      { kind: 'outage', atS: atS + gapS, forS: Math.min(forS, FAULT_PERIOD_S - atS - gapS) },
     ];
-    // Without a cloud the next leader can't return the machines that it does not hear.
+    // Without the cloud the next leader can't return machines whose heartbeats it does not receive.
     if (cloud) faults.push({ kind: 'cloud-down', atS, forS: gapS + forS });
     if (between === 'crash') faults.push({ kind: 'crash', who: 0, backS: 0.4, atS: atS + gapS / 2, forS: 1 });
     if (between === 'freeze') faults.push({ kind: 'freeze', who: 0, atS: atS + gapS / 2, forS: 10 });
     return faults;
   });
 
-/** A leader ends while machines with work don't hear the next one, or can't be reached. */
+/** A leader crashes while busy machines can't receive messages from its successor or are cut off. */
 const leaderEndsUnheard: fc.Arbitrary<Fault[]> = fc
   .record({
     atS: tenth(6, 40),
@@ -122,8 +122,8 @@
   ]);
 
 /**
- * Old heartbeats reach every controller just as a new leader begins, while a machine that it must hear is out
- * of its reach.
+ * Old heartbeats reach every controller just after a new leader starts, while current heartbeats of some
+ * machines do not reach it.
  */
 const keptHeartbeats: fc.Arbitrary<Fault[]> = fc
   .record({
@@ -139,7 +139,7 @@
     { kind: 'mute', atS: atS + 1, forS: 12, count },
   ]);
 
-/** Draws histories. What is drawn for a seed must stay, or digests of behaviour no longer compare. */
+/** Draws histories. Those of a seed must not change, or behaviour digests are no longer comparable. */
 export const historyArbitrary: fc.Arbitrary<History> = fc.record({
   seed: fc.integer({ min: 1, max: 1_000_000 }),
   nodes: fc.constantFrom(2, 3, 3, 3, 5),
@@ -161,5 +161,5 @@
     .map((all) => all.flat()),
 });
 
-/** Drawn evenly: the search is for faults that coincide, and few or short ones rarely do. */
+/** Unbiased sampling: fast-check's bias towards few and short faults would rarely make faults concurrent. */
 export const SAMPLING = { noBias: true, endOnFailure: false } as const;
--- a/test/support/history-jobs.ts
+++ b/test/support/history-jobs.ts
@@ -1,24 +1,24 @@
-// The jobs of a history as users submit them, and how long a history must go on for all of them to end.
+// Job descriptions of a history, and how long it must continue after the faults for all jobs to end.
 import type { JobSpec } from '../../src/core/base/model.ts';
 import type { JobId, TeamName, ZoneName } from '../../src/types/index.ts';
-import { FAULTS_S, type History, type HistoryJob } from './history-model.ts';
+import { FAULT_PERIOD_S, type History, type HistoryJob } from './history-model.ts';
 import { job, LIMITED_TEAM } from './simulated-settings.ts';
 
-/** How many tasks the limited team may run at once. */
-export const LIMITED_AT_ONCE = 3;
-/** What is accepted must be over this long after the last fault, if it depends on nothing. */
-const CALM_S = 240;
-/** The longest run that `CALM_S` allows for. */
+/** Number of tasks that the limited team may run at the same time. */
+export const LIMITED_TEAM_MAX_TASKS = 3;
+/** Accepted jobs without dependencies must have ended this long after the last fault. */
+const FAULT_FREE_S = 240;
+/** The longest task run time that `FAULT_FREE_S` allows for. */
 const LONGEST_RUN_S = 100;
-/** From the end of a job to the start of one that depends on it, at the most. */
-const CHAIN_LINK_S = 30;
-/** Jobs with longer runs are not the limited team's: what has a limit must be able to end within the calm. */
-const LONGEST_LIMITED_S = 30;
+/** Maximum delay from the end of a job to the start of a job that depends on it. */
+const DEPENDENT_START_DELAY_S = 30;
+/** Longer jobs are not given to the limited team, whose jobs must end within the fault-free period. */
+const LONGEST_LIMITED_RUN_S = 30;
 
 const idOf = (index: number): JobId => `run-${String(index + 1).padStart(3, '0')}` as JobId;
 
 const isLimited = (historyJob: HistoryJob): boolean =>
-  historyJob.limited && historyJob.kind !== 'service' && historyJob.runS <= LONGEST_LIMITED_S;
+  historyJob.limited && historyJob.kind !== 'service' && historyJob.runS <= LONGEST_LIMITED_RUN_S;
 
 /** Whether a job depends on the one before it. */
 function dependsOnPrevious(jobs: readonly HistoryJob[], index: number): boolean {
@@ -26,7 +26,7 @@
   return jobs[index]!.chained && previous !== undefined && previous.kind !== 'service';
 }
 
-/** The job as its user submits it. */
+/** The job description that the user submits. */
 export function specOf(history: History, index: number): JobSpec {
   const historyJob = history.jobs[index]!;
   const { kind, tasks, runS } = historyJob;
@@ -43,25 +43,27 @@
   });
 }
 
-/** When the last fault is over, in seconds from the first job. */
+/** When the last fault ends, in seconds from the start of the history. */
 export const faultsEndS = (history: History): number =>
-  history.troubles.reduce((end, fault) => Math.max(end, fault.atS + fault.forS), FAULTS_S);
+  history.troubles.reduce((end, fault) => Math.max(end, fault.atS + fault.forS), FAULT_PERIOD_S);
 
-/** Seconds for which the jobs of the longest chain run one after the other. */
+/** Total run time of the longest chain of dependent jobs, in seconds. */
 function longestChainS(jobs: readonly HistoryJob[]): number {
   let longest = 0;
   let chain = 0;
   jobs.forEach((historyJob, index) => {
-    chain = (dependsOnPrevious(jobs, index) ? chain + CHAIN_LINK_S : 0) + historyJob.runS;
+    chain = (dependsOnPrevious(jobs, index) ? chain + DEPENDENT_START_DELAY_S : 0) + historyJob.runS;
     longest = Math.max(longest, chain);
   });
   return longest;
 }
 
-/** Seconds that the limited team's tasks take, as many at a time as its limit allows. */
-const limitedS = (jobs: readonly HistoryJob[]): number =>
-  jobs.filter(isLimited).reduce((seconds, { tasks, runS }) => seconds + (tasks * runS) / LIMITED_AT_ONCE, 0);
+/** Total run time of the limited team's tasks in seconds, with as many in parallel as its quota allows. */
+const limitedTeamRunS = (jobs: readonly HistoryJob[]): number =>
+  jobs
+    .filter(isLimited)
+    .reduce((seconds, { tasks, runS }) => seconds + (tasks * runS) / LIMITED_TEAM_MAX_TASKS, 0);
 
-/** Seconds after the last fault within which the longest chain and the limited team's work can be over. */
-export const calmS = ({ jobs }: History): number =>
-  CALM_S + Math.max(0, longestChainS(jobs) + limitedS(jobs) - LONGEST_RUN_S);
+/** Seconds after the last fault within which the longest chain and the limited team's jobs can end. */
+export const faultFreeS = ({ jobs }: History): number =>
+  FAULT_FREE_S + Math.max(0, longestChainS(jobs) + limitedTeamRunS(jobs) - LONGEST_RUN_S);
--- a/test/support/history-model.ts
+++ b/test/support/history-model.ts
@@ -1,32 +1,27 @@
-// Histories of faults that coincide: what users do and what goes wrong, as plain data, so that a history that
-// failed can be shrunk, printed and played again.
+// Data model of histories of concurrent faults: user actions and faults as plain data, so that a failing
+// history can be shrunk, printed and replayed.
 
-/** Faults mostly begin and end within this; what users do, too. */
-export const FAULTS_S = 90;
+/** Most faults and user actions take place within this many seconds. */
+export const FAULT_PERIOD_S = 90;
 
-/**
- * A job of a history: when its user submits it and perhaps cancels it, and how long its tasks run, in
- * seconds.
- */
+/** A job of a history: submission, optional cancellation and run time of its tasks, in seconds. */
 export interface HistoryJob {
   atS: number;
   kind: 'array' | 'gang' | 'service';
   tasks: number;
   runS: number;
   limited: boolean;
-  /** Depends on the job before it in the list, if that is no service. */
+  /** Whether it depends on the previous job in the list; ignored if that is a service. */
   chained: boolean;
   cancelAtS: number | null;
 }
 
-/** A fault that begins `atS` seconds after the first job and is over `forS` seconds later. */
+/** A fault that begins `atS` seconds after the start of the history and ends `forS` seconds later. */
 export type Fault = { atS: number; forS: number } & (
   | { kind: 'crash'; who: number; backS: number }
   | { kind: 'crash-all'; backS: number }
   | { kind: 'freeze'; who: number }
-  /**
-   * `side`: the machines that send it heartbeats are on its side of the cut, as in a zone that is cut off.
-   */
+  /** `side`: machines that send heartbeats to the leader are cut off with it, as in a partitioned zone. */
   | { kind: 'refuse-leader'; hold: boolean; peers: boolean; side: boolean }
   | { kind: 'outage' }
   | { kind: 'slow'; ms: number }
@@ -40,37 +35,37 @@
   | { kind: 'machine-die'; count: number }
   | { kind: 'peers-cut'; who: number }
   | { kind: 'cloud-down' }
-  /** Carried out at once, and the answer lost. */
+  /** Requests that the store carries out at once, but whose replies are lost. */
   | { kind: 'answers-lost'; share: number }
-  /** Kept, and delivered to every node so long after the next leader begins. */
+  /** Heartbeats that are delivered again, to every node, `afterMs` after the next leader starts. */
   | { kind: 'kept-reports'; share: number; afterMs: number }
   | { kind: 'mute'; count: number }
-  /** Jobs that run are called off at once; some of their machines hang. */
+  /** Cancels running jobs almost at once; their machines hang for `hangS`. */
   | { kind: 'cancel-now'; count: number; hangS: number }
   | { kind: 'cancel-at-end'; share: number }
   | { kind: 'close-looks' }
   | { kind: 'odd-requests' }
-  /** The leader ends and is back, then the next one, so that the work goes there and back. */
+  /** Restarts the leader and then its successor, so that leadership moves away and back. */
   | { kind: 'hand-over'; backS: number }
-  /** A zone with its machines and one controller: `who`. */
+  /** Cuts off a zone: its machines and one controller, `who`. */
   | { kind: 'zone-cut'; who: number; hold: boolean }
-  /** One-task jobs, four a second; every fourth is cancelled. */
+  /** Submits one-task jobs, four a second; every fourth one is cancelled. */
   | { kind: 'stream' }
-  /** Work of the limited team, and so much later its quota is another one until the fault is over. */
+  /** Submits work of the limited team, and changes its quota from `afterS` later until the fault ends. */
   | { kind: 'quota'; afterS: number; cpus: number; stop: boolean }
 );
 
-/** What users do and what goes wrong, as plain data. */
+/** User actions and faults of one run, as plain data. */
 export interface History {
   seed: number;
   nodes: number;
-  /** How long machines take to boot, in seconds; 2 if it is not said. */
+  /** Boot time of machines, in seconds; 2 if absent. */
   bootS?: number;
   jobs: HistoryJob[];
   troubles: Fault[];
 }
 
-/** Faults that coincide: each combination of the operators' page is counted by what the world saw of it. */
+/** Combinations of concurrent faults that operators expect; each is counted as observed in the world. */
 export const FAULT_COMBINATIONS = [
   'late-writes',
   'leader-ended-machines-away',
@@ -104,8 +99,8 @@
 export type FaultCombination = (typeof FAULT_COMBINATIONS)[number];
 
 /**
- * Met a few times in seven hundred histories: scenarios of failover.test.ts and read-after-write.test.ts
- * bring them about.
+ * Combinations that occur only a few times in seven hundred histories; scenarios in failover.test.ts and
+ * read-after-write.test.ts produce them on purpose.
  */
 export const RARE_COMBINATIONS: readonly FaultCombination[] = [
   'team-at-limit-machines-away',
@@ -116,21 +111,21 @@
   'bound-job-loses-machine',
 ];
 
-/** How often each combination of faults was met. */
+/** How often each combination of faults occurred. */
 export type CombinationCounts = Record<FaultCombination, number>;
 
-/** What the rule checker found in a history, and what was met in it. */
+/** The result of a history: violations of rules, fault combinations that occurred, and latencies. */
 export interface Verdict {
   broken: string[];
   met: CombinationCounts;
   latestGoneMs: number;
   longestSilenceMs: number;
   longestNeedlessMs: number;
-  /** The latest start of a cancelled job after its user was told. */
+  /** The longest time from a confirmed cancellation to the start of a task of that job, in milliseconds. */
   latestStartMs: number;
-  /** Nothing was accepted: the history proves nothing. */
+  /** Whether at least one task was started; otherwise the history proves nothing. */
   played: boolean;
 }
 
-/** The fault of a kind. */
+/** The fault type with kind `K`. */
 export type FaultOf<K extends Fault['kind']> = Extract<Fault, { kind: K }>;
--- a/test/support/history-player.ts
+++ b/test/support/history-player.ts
@@ -1,9 +1,9 @@
-// Plays a history in a simulated world of its own, and has it checked by the users' rules.
+// Runs a history in a simulated world of its own and checks it against the users' rules.
 import { seededRandom } from '../../src/runtime/random.ts';
 import { CPUS_MAX, ruleCheckerFor } from './checked-world.ts';
 import type { FaultInjector, FaultInjectors, FaultTargets, Recovery } from './fault-injection.ts';
 import { FaultObserver } from './fault-observer.ts';
-import { calmS, faultsEndS } from './history-jobs.ts';
+import { faultFreeS, faultsEndS } from './history-jobs.ts';
 import type { Fault, History, Verdict } from './history-model.ts';
 import { HistoryRun } from './history-run.ts';
 import { HistoryUsers } from './history-users.ts';
@@ -15,17 +15,17 @@
 import { type EffectListener, SimulatedWorld } from './simulated-world.ts';
 import { USER_FAULTS } from './user-faults.ts';
 
-/** Machines that the cloud of a history has. */
-const CAPACITY = 8;
+/** Maximum number of machines that the cloud provides. */
+const MAX_MACHINES = 8;
 const DEFAULT_BOOT_S = 2;
-/** Before the first job. */
+/** Simulated time before the history starts. */
 const WARM_UP_S = 4;
-/** From the end of the last fault until the rules hold that need a world without faults. */
+/** Time from the end of the last fault until rules that require a fault-free world are checked. */
 const RECOVERY_S = 12;
-/** The least that is played after the last fault. */
-const LEAST_CALM_S = 45;
-/** Rules that depend on time are checked so often in a second. */
-const LOOKS_PER_S = 2;
+/** Minimum time that is simulated after the recovery. */
+const MIN_FAULT_FREE_S = 45;
+/** How often rules with time limits are checked in a simulated second. */
+const CHECKS_PER_S = 2;
 
 const INJECTORS: FaultInjectors<Fault['kind']> = {
   ...NODE_FAULTS,
@@ -39,7 +39,7 @@
   return inject(targets, fault);
 }
 
-/** Plays one history in a world of its own. */
+/** Runs one history in a world of its own. */
 export class HistoryPlayer {
   readonly world: SimulatedWorld;
   private readonly rules: RuleChecker;
@@ -54,7 +54,7 @@
   ) {
     const names = Array.from({ length: history.nodes }, (_, i) => `node-${i}`);
     this.world = new SimulatedWorld({}, names, onEffect);
-    // Two nodes are fewer than the world begins with.
+    // Ends nodes that the world has started but the history does not have.
     for (const name of [...this.world.nodes.keys()]) if (!names.includes(name)) this.world.crash(name);
     this.run = new HistoryRun(this.world, names, seededRandom(history.seed));
     this.operator = new Operator(this.world);
@@ -62,16 +62,16 @@
     this.observer = new FaultObserver(this.run);
     this.users = new HistoryUsers(history, this.run, this.observer);
     this.world.onTold = (response) => this.users.onResponse(response);
-    this.world.onEnd = (task) => this.users.onTaskEnd(task);
-    this.world.cloud.capacity = CAPACITY;
+    this.world.onTaskDone = (task) => this.users.onTaskEnd(task);
+    this.world.cloud.capacity = MAX_MACHINES;
     this.world.cloud.bootS = history.bootS ?? DEFAULT_BOOT_S;
   }
 
-  /** Plays the history to its end. */
+  /** Runs the history to its end. */
   play(): Verdict {
     const { world, history, rules } = this;
     world.run(WARM_UP_S);
-    history.jobs.forEach((_, index) => {
+    history.jobs.forEach((_job, index) => {
       this.users.submitJob(index);
     });
     this.scheduleFaults();
@@ -83,7 +83,10 @@
     this.observer.finish();
     const { latestGoneMs, longestSilenceMs, longestNeedlessMs, latestStartMs } = rules;
     return {
-      broken: [...rules.broken, ...unfinished.map((id) => `never over: ${id}`)],
+      broken: [
+        ...rules.broken,
+        ...unfinished.map((id) => `not ended ${faultFreeS(history)} s after the recovery: ${id}`),
+      ],
       met: this.run.met,
       latestGoneMs,
       longestSilenceMs,
@@ -94,8 +97,10 @@
   }
 
   private limitOf(team: string): number {
-    const first = CPUS_MAX.get(team);
-    return first === undefined ? Number.POSITIVE_INFINITY : this.operator.limitOf(team, first);
+    const configuredCpus = CPUS_MAX.get(team);
+    return configuredCpus === undefined
+      ? Number.POSITIVE_INFINITY
+      : this.operator.limitOf(team, configuredCpus);
   }
 
   private scheduleFaults(): void {
@@ -109,27 +114,27 @@
       });
   }
 
-  /** Jobs that were not over by the end. */
+  /** Runs until all jobs have ended or the time limit is reached; returns the jobs that have not ended. */
   private playUntilFinished(): string[] {
     let unfinished: string[] = [];
-    for (let s = 0; s < calmS(this.history); s++) {
+    for (let s = 0; s < faultFreeS(this.history); s++) {
       this.playSecond();
       unfinished = this.rules.unfinished();
-      if (unfinished.length === 0 && s > LEAST_CALM_S) break;
+      if (unfinished.length === 0 && s > MIN_FAULT_FREE_S) break;
     }
     return unfinished;
   }
 
   private playSecond(): void {
-    for (let i = 0; i < LOOKS_PER_S; i++) {
-      this.world.run(1 / LOOKS_PER_S);
+    for (let i = 0; i < CHECKS_PER_S; i++) {
+      this.world.run(1 / CHECKS_PER_S);
       this.rules.look(this.world.now);
     }
     this.observer.observe();
   }
 }
 
-/** Plays one history; the same history always ends the same way. */
+/** Runs one history; deterministic for a given history. */
 export const playHistory = (history: History, onLogs?: (lines: string[]) => void): Verdict => {
   const player = new HistoryPlayer(history);
   const verdict = player.play();
--- a/test/support/history-run.ts
+++ b/test/support/history-run.ts
@@ -1,4 +1,4 @@
-// What all parts of the player of a history share.
+// State of a running history that its users, faults and observer share.
 import type { seededRandom } from '../../src/runtime/random.ts';
 import type { MachineId } from '../../src/types/index.ts';
 import { type CombinationCounts, FAULT_COMBINATIONS } from './history-model.ts';
@@ -7,7 +7,7 @@
 
 type Random = ReturnType<typeof seededRandom>;
 
-/** The world that a history is played in, its random numbers, and what was met. */
+/** The world that a history runs in, its random numbers, and counters of fault combinations. */
 export class HistoryRun {
   readonly met = Object.fromEntries(FAULT_COMBINATIONS.map((name) => [name, 0])) as CombinationCounts;
 
@@ -18,29 +18,29 @@
     readonly random: Random,
   ) {}
 
-  /** The term on record; 0 if there is none. */
+  /** The leader term recorded in the store; 0 if there is none. */
   get term(): number {
-    return this.world.ownerOnRecord?.term ?? 0;
+    return this.world.recordedLeader?.term ?? 0;
   }
 
-  /** Whether something of a given probability happens, in thousandths. */
-  happens(share: number): boolean {
-    return this.random.below(1000) < share * 1000;
+  /** Draws whether an event of a given probability occurs, with a resolution of one thousandth. */
+  occursWithProbability(probability: number): boolean {
+    return this.random.below(1000) < probability * 1000;
   }
 
-  /** A node that runs. */
-  anyNode(): string {
+  /** A random running node; the first node of the history if none runs. */
+  randomRunningNode(): string {
     const running = [...this.world.nodes.keys()];
     return running[this.random.below(running.length)] ?? this.names[0]!;
   }
 
-  /** A node by its number; 0 is the leader, if there is one. */
-  nodeOf(who: number): string {
-    const leader = this.world.ownerOnRecord?.node;
-    return who === 0 && leader !== undefined ? leader : this.names[who % this.names.length]!;
+  /** The node with a number; 0 is the recorded leader, if there is one. */
+  nodeByNumber(number: number): string {
+    const leader = this.world.recordedLeader?.node;
+    return number === 0 && leader !== undefined ? leader : this.names[number % this.names.length]!;
   }
 
-  /** So many machines that run tasks. */
+  /** The first `count` machines that are up and run tasks. */
   busyMachines(count: number): MachineId[] {
     return [...this.world.workers.values()]
       .filter((machine) => machine.up && machine.live().length > 0)
@@ -48,8 +48,8 @@
       .map((machine) => machine.id);
   }
 
-  /** Whether the machine does not hear controllers, or does not reach them. */
-  isUnheard(machine: string): boolean {
+  /** Whether the machine receives no messages from controllers, or is cut off from all nodes. */
+  isUnreachable(machine: string): boolean {
     return this.world.deaf.has(machine) || this.names.every((node) => this.world.isCut(machine, node));
   }
 
@@ -64,26 +64,26 @@
     return use;
   }
 
-  /** Cuts one end from others; returns what heals it. */
-  cutOff(from: string, others: Iterable<string>, mode: 'drop' | 'hold'): () => void {
-    const cut = [...others].filter((other) => other !== from);
-    for (const other of cut) this.world.cut(from, other, mode);
+  /** Cuts the links from one endpoint to others; returns a function that heals them. */
+  isolate(from: string, others: Iterable<string>, mode: 'drop' | 'hold'): () => void {
+    const cutEndpoints = [...others].filter((other) => other !== from);
+    for (const other of cutEndpoints) this.world.cut(from, other, mode);
     return () => {
-      for (const other of cut) this.world.heal(from, other);
+      for (const other of cutEndpoints) this.world.heal(from, other);
     };
   }
 
-  /** Does something now and again and again, until what is returned is called. */
-  repeat(everyMs: number, action: () => void): () => void {
-    let isOn = true;
-    const again = (): void => {
-      if (!isOn) return;
+  /** Runs an action now and then periodically; returns a function that stops it. */
+  repeat(intervalMs: number, action: () => void): () => void {
+    let isActive = true;
+    const runAndReschedule = (): void => {
+      if (!isActive) return;
       action();
-      this.world.after(everyMs, again);
+      this.world.after(intervalMs, runAndReschedule);
     };
-    again();
+    runAndReschedule();
     return () => {
-      isOn = false;
+      isActive = false;
     };
   }
 }
--- a/test/support/machine-faults.ts
+++ b/test/support/machine-faults.ts
@@ -1,10 +1,10 @@
-// Faults of machines, and of their heartbeats on the way.
+// Injectors for faults of machines and of the delivery of their heartbeats.
 import { type FaultInjectors, NO_RECOVERY, recoverAll } from './fault-injection.ts';
 
-/** Machines that are cut off for longer have their leases end. */
+/** Duration of a machine's lease: machines that are cut off for longer lose their tasks. */
 const LEASE_S = 10;
 const LONGEST_HANG_S = 9;
-/** Late copies of heartbeats arrive this much later, and up to so much more. */
+/** Minimum delay of duplicated heartbeats, and the range of the random delay added to it. */
 const LATE_HEARTBEAT_MS = 2000;
 const LATE_HEARTBEAT_SPREAD_MS = 20_000;
 
@@ -22,7 +22,9 @@
 > = {
   'late-reports': ({ run }, { share }) => {
     run.world.copyMs = () =>
-      run.happens(share) ? LATE_HEARTBEAT_MS + run.random.below(LATE_HEARTBEAT_SPREAD_MS) : null;
+      run.occursWithProbability(share)
+        ? LATE_HEARTBEAT_MS + run.random.below(LATE_HEARTBEAT_SPREAD_MS)
+        : null;
     return () => {
       run.world.copyMs = null;
     };
@@ -39,7 +41,7 @@
   'machine-cut': ({ run, observer }, { count, hold, forS }) => {
     const ids = run.busyMachines(count);
     if (forS > LEASE_S) observer.onMachinesLost(ids);
-    return recoverAll(ids.map((id) => run.cutOff(id, run.names, hold ? 'hold' : 'drop')));
+    return recoverAll(ids.map((id) => run.isolate(id, run.names, hold ? 'hold' : 'drop')));
   },
 
   'held-up': ({ run }, { count, ms }) => {
@@ -70,7 +72,7 @@
 
   'kept-reports': ({ run }, { share, afterMs }) => {
     run.world.keptMs = afterMs;
-    // A fifth of the share: each is delivered to every node.
+    // Only a fifth of the share is kept, because each kept heartbeat is delivered to every node.
     run.world.keepReport = () => run.random.below(1000) < share * 200;
     return () => {
       run.world.keepReport = null;
--- a/test/support/node-faults.ts
+++ b/test/support/node-faults.ts
@@ -1,14 +1,14 @@
-// Faults of controllers, and of the links between them, their machines and the key-value store.
+// Injectors for faults of controllers and of their links to each other, to machines and to the store.
 import { type FaultInjectors, type FaultTargets, NO_RECOVERY, recoverAll } from './fault-injection.ts';
 
-/** A node that is back within this is back at once. */
+/** A restart that takes less than this counts as `back-at-once`. */
 const BACK_AT_ONCE_S = 1;
-/** From the end of one leader to that of the next, in a hand-over there and back. */
+/** Time between the crashes of the first and the second leader in a `hand-over`. */
 const HAND_OVER_MS = 6000;
-/** A zone that is cut off for longer has its machines' leases end. */
+/** Duration of a machine's lease, which ends if its zone is cut off for longer. */
 const LEASE_S = 10;
 
-/** Ends a node and starts it again so much later. */
+/** Crashes a node and starts it again `backS` seconds later. */
 function restartNode({ run }: FaultTargets, name: string, backS: number): void {
   const { world, met } = run;
   if (!world.nodes.has(name)) return;
@@ -25,7 +25,7 @@
   'crash' | 'crash-all' | 'freeze' | 'refuse-leader' | 'peers-cut' | 'hand-over' | 'zone-cut'
 > = {
   crash: (targets, { who, backS }) => {
-    restartNode(targets, targets.run.nodeOf(who), backS);
+    restartNode(targets, targets.run.nodeByNumber(who), backS);
     return NO_RECOVERY;
   },
 
@@ -35,35 +35,35 @@
   },
 
   freeze: ({ run }, { who }) => {
-    const node = run.nodeOf(who);
+    const node = run.nodeByNumber(who);
     run.world.freeze(node);
     return () => run.world.thaw(node);
   },
 
   'refuse-leader': ({ run }, { hold, peers, side }) => {
     const { world, names } = run;
-    const leader = run.nodeOf(0);
-    const healPeers = peers ? run.cutOff(leader, names, 'drop') : NO_RECOVERY;
+    const leader = run.nodeByNumber(0);
+    const healPeers = peers ? run.isolate(leader, names, 'drop') : NO_RECOVERY;
     const healStore = hold
-      ? run.cutOff(leader, ['state'], 'hold')
+      ? run.isolate(leader, ['state'], 'hold')
       : () => void world.state.refused.delete(leader);
     if (!hold) world.state.refused.add(leader);
     const others = names.filter((name) => name !== leader);
     const machines = side
       ? [...world.workers.values()].filter((machine) => machine.up && machine.node === leader)
       : [];
-    const healMachines = machines.map((machine) => run.cutOff(machine.id, others, 'drop'));
+    const healMachines = machines.map((machine) => run.isolate(machine.id, others, 'drop'));
     return recoverAll([...healMachines, healPeers, healStore]);
   },
 
-  'peers-cut': ({ run }, { who }) => run.cutOff(run.nodeOf(who), run.names, 'drop'),
+  'peers-cut': ({ run }, { who }) => run.isolate(run.nodeByNumber(who), run.names, 'drop'),
 
   'hand-over': (targets, { backS }) => {
     const { run } = targets;
-    const first = run.nodeOf(0);
+    const first = run.nodeByNumber(0);
     restartNode(targets, first, backS);
     run.world.after(HAND_OVER_MS, () => {
-      const second = run.nodeOf(0);
+      const second = run.nodeByNumber(0);
       if (second !== first) run.met['there-and-back']++;
       restartNode(targets, second, backS);
     });
@@ -72,12 +72,12 @@
 
   'zone-cut': ({ run }, { who, hold, forS }) => {
     const { world, names, random, met } = run;
-    const node = run.nodeOf(who);
+    const node = run.nodeByNumber(who);
     const zone = random.below(2) === 0 ? 'north' : 'south';
     const machines = [...world.workers.values()].filter((machine) => machine.zone === zone);
     const inside = new Set<string>([node, ...machines.map((machine) => machine.id)]);
     const outside = ['state', ...names, ...world.workers.keys()].filter((end) => !inside.has(end));
-    const heals = [...inside].map((end) => run.cutOff(end, outside, hold ? 'hold' : 'drop'));
+    const heals = [...inside].map((end) => run.isolate(end, outside, hold ? 'hold' : 'drop'));
     if (forS > LEASE_S && inside.size > 1) met['zone-away-for-a-lease']++;
     return recoverAll(heals);
   },
--- a/test/support/service-faults.ts
+++ b/test/support/service-faults.ts
@@ -1,7 +1,7 @@
-// Faults of the key-value store and of the cloud.
+// Injectors for faults of the key-value store and of the cloud.
 import { type FaultInjectors, NO_RECOVERY } from './fault-injection.ts';
 
-/** Late writes are carried out this much later, and up to so much more. */
+/** Minimum delay of late writes, and the range of the random delay added to it. */
 const LATE_WRITE_MS = 2000;
 const LATE_WRITE_SPREAD_MS = 10_000;
 
@@ -23,14 +23,14 @@
 
   'late-writes': ({ run }, { share }) => {
     run.world.state.lateMs = () =>
-      run.happens(share) ? LATE_WRITE_MS + run.random.below(LATE_WRITE_SPREAD_MS) : null;
+      run.occursWithProbability(share) ? LATE_WRITE_MS + run.random.below(LATE_WRITE_SPREAD_MS) : null;
     return () => {
       run.world.state.lateMs = null;
     };
   },
 
   'answers-lost': ({ run }, { share }) => {
-    run.world.state.losesAnswer = () => run.happens(share);
+    run.world.state.losesAnswer = () => run.occursWithProbability(share);
     return () => {
       run.world.state.losesAnswer = null;
     };
--- a/test/support/user-faults.ts
+++ b/test/support/user-faults.ts
@@ -1,5 +1,5 @@
-// What users and the operator do that coincides with faults: cancellations, odd requests, streams of jobs,
-// changed quotas.
+// Injectors for actions of users and the operator: cancellations, invalid requests, streams of jobs and quota
+// changes.
 import type { JobId } from '../../src/types/index.ts';
 import { type FaultInjectors, type FaultTargets, NO_RECOVERY } from './fault-injection.ts';
 import { sumOf } from './history-run.ts';
@@ -7,12 +7,12 @@
 
 const ODD_REQUEST_INTERVAL_MS = 700;
 const STREAM_INTERVAL_MS = 250;
-/** Users who cancel at once do so within this. */
+/** Cancellations of `cancel-now` are sent within this period. */
 const CANCEL_SPREAD_MS = 200;
-/** Work above a lowered limit is stopped within this, if it is stopped at all. */
+/** Deadline for stopping tasks above a lowered quota, if the quota change stops them. */
 const STOP_WITHIN_S = 20;
 
-/** Jobs that run, as many as `count`; their machines hang for `hangS`. */
+/** Selects up to `count` running jobs, and makes their machines hang for `hangS` seconds. */
 function runningJobs({ run }: FaultTargets, count: number, hangS: number): Set<string> {
   const ids = new Set<string>();
   for (const machine of run.world.workers.values())
@@ -45,9 +45,9 @@
   },
 
   'close-looks': ({ users }) => {
-    users.isLookingClosely = true;
+    users.sendsRequestBursts = true;
     return () => {
-      users.isLookingClosely = false;
+      users.sendsRequestBursts = false;
     };
   },
 
@@ -61,15 +61,17 @@
     world.after(afterS * 1000, () => {
       met['quota-changed']++;
       if (sumOf(run.limitedTeamUse().values()) > cpus) met['quota-lowered-in-use']++;
-      operator.insist(
+      operator.changeLimitUntilCommitted(
         LIMITED_TEAM,
         cpus,
         stop ? { kind: 'stop', withinS: STOP_WITHIN_S } : { kind: 'drain' },
       );
     });
-    // The change back must not come before the change.
+    // The quota must not be restored before it is changed.
     const delayMs = Math.max(0, afterS - forS) * 1000 + 1;
     return () =>
-      world.after(delayMs, () => operator.insist(LIMITED_TEAM, LIMITED_TEAM_CPUS, { kind: 'drain' }));
+      world.after(delayMs, () =>
+        operator.changeLimitUntilCommitted(LIMITED_TEAM, LIMITED_TEAM_CPUS, { kind: 'drain' }),
+      );
   },
 };
