--- a/scripts/experiments/bundle.ts
+++ b/scripts/experiments/bundle.ts
@@ -1,15 +1,18 @@
-// The library and the experiment runners of this revision, and of an earlier one, as modules to be loaded by
-// a process.
+// Bundles the library and the experiment runners of this revision and of earlier revisions into modules that
+// an experiment's process can load.
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readdirSync } from 'node:fs';
 import { basename, dirname, join, resolve } from 'node:path';
 import { build } from 'esbuild';
 import { InvalidInputError } from '../errors.ts';
 
-/** Where experiments put what they build and measure. */
-export const WORK = 'target/drill';
+/** Folder for the files that experiments build and write. */
+export const WORK_FOLDER = 'target/drill';
 
-/** Modules whose exports experiments use, by every name that they have had; a version has some of them. */
+/**
+ * Modules whose exports experiments use. Includes module names of earlier revisions, so a given revision has
+ * only some of them.
+ */
 const LIBRARY_MODULES = [
   'controller',
   'scheduler',
@@ -27,9 +30,9 @@
 ];
 const LIBRARY_FOLDERS = ['src/core', 'src/http', 'src/protocol', 'src/runtime'];
 
-/** What an experiment needs of an earlier revision: its sources, and its runners with what they import. */
+/** Folders of an earlier revision that an experiment needs: the sources, the runners and their imports. */
 const CHECKED_OUT = ['src', 'scripts', 'test', 'packages'];
-/** Where runners stand now, and where they stood up to revision baf23d2. */
+/** Folders of the runners: the current one, and the one used up to revision baf23d2. */
 const RUNNER_FOLDERS = ['scripts/experiments', 'scripts/drill'];
 const ARCHIVE_MAX_BYTES = 1 << 28;
 
@@ -42,8 +45,8 @@
 } as const;
 
 /**
- * A folder may bear a module's name, and so may a job of the core: what the protocol has goes by its own
- * folder.
+ * Whether experiments use the exports of this file. Of the two modules named job.ts, in src/core and in
+ * src/protocol, only the protocol's is included.
  */
 function isLibraryModule(file: string): boolean {
   if (!file.endsWith('.ts') || !LIBRARY_MODULES.includes(basename(file, '.ts'))) return false;
@@ -53,10 +56,10 @@
 /**
  * Bundles the library of the checkout at `root`.
  *
- * @returns the path of the module, which exports what experiments use of the library
+ * @returns the path of the bundled module, which exports the parts of the library that experiments use
  */
 export async function bundle(root: string, name: string): Promise<string> {
-  const outfile = resolve(WORK, `${name}.mjs`);
+  const outfile = resolve(WORK_FOLDER, `${name}.mjs`);
   const files = LIBRARY_FOLDERS.flatMap((folder) =>
     readdirSync(resolve(root, folder), { recursive: true, encoding: 'utf8' }).map((file) =>
       resolve(root, folder, file),
@@ -76,20 +79,20 @@
 }
 
 /**
- * Bundles a script with all that it imports.
+ * Bundles a script with all of its imports.
  *
  * @returns the path of the bundled script
  */
 export async function bundleScript(entry: string, name: string): Promise<string> {
-  mkdirSync(WORK, { recursive: true });
-  const outfile = join(WORK, `${name}.mjs`);
+  mkdirSync(WORK_FOLDER, { recursive: true });
+  const outfile = join(WORK_FOLDER, `${name}.mjs`);
   await build({ ...BUILD_OPTIONS, entryPoints: [entry], outfile });
   return outfile;
 }
 
 /**
- * The script of a checkout that runs one measurement, in the folder where that revision has it. A library is
- * measured by the runner of its own revision, which knows the names of that revision's messages.
+ * Finds the script that runs one measurement in a checkout. A library is measured by the runner of its own
+ * revision, because the names of messages differ between revisions.
  *
  * @throws InvalidInputError if the revision has no such runner
  */
@@ -97,18 +100,18 @@
   const path = RUNNER_FOLDERS.map((folder) => join(root, folder, script)).find(existsSync);
   if (path === undefined)
     throw new InvalidInputError(
-      `no ${script} in ${root}: choose a base that has the runner of this experiment`,
+      `no ${script} in ${RUNNER_FOLDERS.join(' or ')} of ${root}: choose a base revision that has this runner`,
     );
   return path;
 }
 
 /**
- * Writes the sources of an earlier revision to a folder of their own.
+ * Extracts the sources of an earlier revision into a separate folder.
  *
  * @returns the path of the folder
  */
 export function checkout(revision: string): string {
-  const folder = join(WORK, `base-${revision.slice(0, 12)}`);
+  const folder = join(WORK_FOLDER, `base-${revision.slice(0, 12)}`);
   mkdirSync(folder, { recursive: true });
   const archive = execFileSync('git', ['archive', revision, ...CHECKED_OUT], {
     maxBuffer: ARCHIVE_MAX_BYTES,
--- a/scripts/experiments/fleet-arrivals.ts
+++ b/scripts/experiments/fleet-arrivals.ts
@@ -1,4 +1,4 @@
-// The jobs of a day of the fleet experiment, drawn from a seed.
+// Generates the jobs that arrive in a day of the fleet experiment, from a seed.
 import type { Random } from '../../src/core/base/io.ts';
 import type { JobSpec } from '../../src/core/base/model.ts';
 import type { JobId } from '../../src/types/index.ts';
@@ -11,18 +11,18 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Median and spread of the number of tasks of an array; sizes of gangs. */
+  /** Arrays: median and spread of the number of tasks. Gangs and services: the possible numbers of tasks. */
   tasks: { median: number; spread: number } | number[];
   runS: number;
   imageGb: number;
   images: number;
   deadline: { times: number; plusS: number } | null;
   checkpointS: number;
-  /** Part of the arriving work. */
-  part: number;
+  /** Fraction of the day's load that comes from this class. */
+  loadFraction: number;
   /**
-   * Of services: the most urgent, spread over zones, on ordinary machines, for as long as their users want
-   * them.
+   * True for services: they have the highest priority, are spread over zones, run on non-spot machines and
+   * run until their users cancel them.
    */
   service?: true;
 }
@@ -40,7 +40,7 @@
     images: 12,
     deadline: { times: 2.5, plusS: 30 },
     checkpointS: 0,
-    part: 0.4,
+    loadFraction: 0.4,
   },
   {
     name: 'joint',
@@ -54,7 +54,7 @@
     images: 20,
     deadline: null,
     checkpointS: 20,
-    part: 0.4,
+    loadFraction: 0.4,
   },
   {
     name: 'scan',
@@ -68,7 +68,7 @@
     images: 20,
     deadline: { times: 2, plusS: 60 },
     checkpointS: 15,
-    part: 0.15,
+    loadFraction: 0.15,
   },
   {
     name: 'watch',
@@ -82,31 +82,32 @@
     images: 8,
     deadline: null,
     checkpointS: 0,
-    part: 0.05,
+    loadFraction: 0.05,
     service: true,
   },
 ];
 
-/** Arrays have so many tasks at the most. */
+/** Maximum number of tasks of an array. */
 const TASKS_MAX = 400;
-const LEAST_RUN_S = 5;
-/** Spreads of how long jobs run beside their class, and of users' estimates beside that. */
+const MIN_RUN_S = 5;
+/**
+ * Log-normal spreads: of run times around the median of the class, and of users' estimates around run times.
+ */
 const RUN_SPREAD = 0.4;
 const ESTIMATE_SPREAD = 0.2;
-/** Mean of what the spread of run times does to the work of a job. */
-const RUN_SPREAD_WORK = 1.1;
-/** How unequal teams and images are, by Zipf. */
+/** Mean run time relative to the median, which exceeds 1 because run times are log-normal. */
+const MEAN_RUN_FACTOR = 1.1;
+/** Zipf exponents of the choice of a team and of an image. */
 const TEAM_SKEW = 0.8;
 const IMAGE_SKEW = 1;
-/** The hot team is another one in each part of the day. */
-const HOT_TEAMS = 3;
-/** The most urgent. */
+/** Number of hot teams in a day; they follow one another, each for an equal time. */
+const HOT_TEAM_COUNT = 3;
+/** The highest priority. */
 const SERVICE_PRIORITY = 3;
 const CHECKPOINT_DURATION_S = 3;
 
 /**
- * A job, when it arrives, and how long it runs; of a service, how long after it was accepted its user cancels
- * it.
+ * A job with its arrival time and its run time; a service is cancelled by its user `runS` after acceptance.
  */
 export interface Arrival {
   atS: number;
@@ -114,23 +115,23 @@
   runS: number;
 }
 
-/** Between 0 and 1, without either. */
+/** Draws a number between 0 and 1, both excluded. */
 const drawUnit = (random: Random): number => (random.below(1_000_000) + 0.5) / 1_000_000;
 
-/** Near enough to a normal draw: the sum of twelve even ones. */
+/** Draws approximately from the standard normal distribution, as a sum of twelve uniform draws less 6. */
 const drawNormal = (random: Random): number =>
   Array.from({ length: 12 }, () => drawUnit(random)).reduce((sum, unit) => sum + unit, -6);
 
 const drawLogNormal = (random: Random, median: number, spread: number): number =>
   median * Math.exp(drawNormal(random) * spread);
 
-/** By Zipf: the first of so many is drawn most often. */
+/** Draws an index below `count` from a Zipf distribution: index 0 is the most frequent. */
 function drawZipf(random: Random, count: number, skew: number): number {
   const weights = Array.from({ length: count }, (_, i) => 1 / (i + 1) ** skew);
-  let rest = drawUnit(random) * weights.reduce((sum, weight) => sum + weight, 0);
+  let remaining = drawUnit(random) * weights.reduce((sum, weight) => sum + weight, 0);
   for (let i = 0; i < count; i++) {
-    rest -= weights[i]!;
-    if (rest < 0) return i;
+    remaining -= weights[i]!;
+    if (remaining < 0) return i;
   }
   return count - 1;
 }
@@ -145,7 +146,7 @@
   return Math.max(1, Math.min(TASKS_MAX, Math.round(drawLogNormal(random, tasks.median, tasks.spread))));
 }
 
-/** Draws the jobs of a day, one after the other. */
+/** Generates the jobs of a day. */
 class ArrivalGenerator {
   private readonly arrivals: Arrival[] = [];
   private readonly hotTeams: number[];
@@ -157,29 +158,31 @@
     private readonly lengthS: number,
     private readonly random: Random,
   ) {
-    this.hotTeams = Array.from({ length: HOT_TEAMS }, () => random.below(teams));
+    this.hotTeams = Array.from({ length: HOT_TEAM_COUNT }, () => random.below(teams));
   }
 
-  /** All jobs in the order in which they come. */
+  /** All jobs, by arrival time. */
   generate(): Arrival[] {
     for (const jobClass of CLASSES) {
-      const perS = this.arrivalsPerS(jobClass);
-      const gap = (): number => -Math.log(drawUnit(this.random)) / perS;
-      for (let atS = gap(); atS < this.lengthS; atS += gap()) this.arrivals.push(this.draw(jobClass, atS));
+      const ratePerS = this.arrivalsPerS(jobClass);
+      const drawGapS = (): number => -Math.log(drawUnit(this.random)) / ratePerS;
+      for (let atS = drawGapS(); atS < this.lengthS; atS += drawGapS())
+        this.arrivals.push(this.draw(jobClass, atS));
     }
     return this.arrivals.sort((a, b) => a.atS - b.atS);
   }
 
   private arrivalsPerS(jobClass: JobClass): number {
-    const work = meanTasks(jobClass) * jobClass.cpus * jobClass.runS * RUN_SPREAD_WORK;
-    return (this.machines * MACHINE_CPUS * this.day.load * jobClass.part) / work;
+    const cpuSecondsPerJob = meanTasks(jobClass) * jobClass.cpus * jobClass.runS * MEAN_RUN_FACTOR;
+    return (this.machines * MACHINE_CPUS * this.day.load * jobClass.loadFraction) / cpuSecondsPerJob;
   }
 
   private drawTeam(atS: number): number {
-    const { hot } = this.day;
-    const isHot = hot > 1 && drawUnit(this.random) < (hot - 1) / (hot - 1 + this.teams / 2);
+    const { hotTeamFactor } = this.day;
+    const isHot =
+      hotTeamFactor > 1 && drawUnit(this.random) < (hotTeamFactor - 1) / (hotTeamFactor - 1 + this.teams / 2);
     if (!isHot) return drawZipf(this.random, this.teams, TEAM_SKEW);
-    return this.hotTeams[Math.min(HOT_TEAMS - 1, Math.floor((atS / this.lengthS) * HOT_TEAMS))]!;
+    return this.hotTeams[Math.min(HOT_TEAM_COUNT - 1, Math.floor((atS / this.lengthS) * HOT_TEAM_COUNT))]!;
   }
 
   private draw(jobClass: JobClass, atS: number): Arrival {
@@ -188,7 +191,7 @@
     const isService = jobClass.service ?? false;
     const team = this.drawTeam(atS);
     const tasks = drawTasks(jobClass, random);
-    const runS = Math.max(LEAST_RUN_S, drawLogNormal(random, jobClass.runS, RUN_SPREAD));
+    const runS = Math.max(MIN_RUN_S, drawLogNormal(random, jobClass.runS, RUN_SPREAD));
     const estimateS = drawLogNormal(random, runS, ESTIMATE_SPREAD);
     const spec: JobSpec = {
       id: `run-${String(this.arrivals.length + 1).padStart(6, '0')}` as JobId,
@@ -216,7 +219,7 @@
   }
 }
 
-/** All jobs of a day, in the order in which they come; the same for the same seed, whoever schedules them. */
+/** All jobs of a day by arrival time. The same seed gives the same jobs, whichever version schedules them. */
 export function arrivals(
   day: Day,
   machines: number,
--- a/scripts/experiments/fleet-controllers.ts
+++ b/scripts/experiments/fleet-controllers.ts
@@ -1,5 +1,5 @@
-// The controllers of the fleet experiment on its simulated clock, with a store, a cloud and each other a few
-// milliseconds away.
+// Runs the controllers of the fleet experiment on the simulated clock. Calls to the key-value store, the
+// cloud, workers and other controllers have fixed latencies.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
 import type { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
@@ -10,9 +10,9 @@
 import type { NodeId } from '../../src/types/index.ts';
 import { type EffectOf, InMemoryControllers } from '../../test/support/in-memory-controllers.ts';
 import { HEARTBEAT_INTERVAL_MS, LEASE_MS, OBJECTIVES, teamName, ZONES } from './fleet-days.ts';
-import type { Lib, Setup } from './fleet-types.ts';
+import type { Library, Setup } from './fleet-types.ts';
 
-/** The controllers of the fleet. */
+/** Names of the controllers. */
 export const NODES = ['node-0', 'node-1', 'node-2'];
 const STORE_REQUEST_MS = 2;
 const STORE_REPLY_MS = 4;
@@ -20,44 +20,44 @@
 const WORKER_MS = 2;
 const PEER_MS = 1;
 
-/** Gives a controller an input some time later, unless it has ended by then. */
+/** Passes an input to a controller after a delay, unless its process has ended by then. */
 type InputLater = (delayMs: number, makeInput: () => Input) => void;
 
-/** What the world offers its controllers. */
+/** The simulated surroundings of the controllers. */
 export interface ControllerEnvironment extends SimulationClock {
   readonly state: FakeStore;
   readonly cloud: FakeCloud;
   readonly workers: ReadonlyMap<string, FakeWorker>;
-  /** Whether the machine is reached over the network. */
+  /** Whether the machine can be reached over the network. */
   isReachable(worker: FakeWorker): boolean;
 }
 
-/** Starts, ends and serves the controllers. */
+/** Starts and stops the controllers, and carries out their effects. */
 export class FleetControllers extends InMemoryControllers {
   constructor(
     private readonly environment: ControllerEnvironment,
-    private readonly lib: Lib,
+    private readonly library: Library,
     private readonly setup: Setup,
   ) {
     super(environment);
   }
 
-  /** Controllers that run. */
+  /** Names of the controllers that are running. */
   get running(): string[] {
     return [...this.nodes.keys()];
   }
 
-  /** The controller that acts as the leader. */
+  /** Name of the controller that holds the leader lease; null if none does. */
   get leader(): string | null {
     for (const [name, controller] of this.nodes) if (controller.election.holdsLease) return name;
     return null;
   }
 
   protected create(name: string, incarnation: number): Controller {
-    return new this.lib.Controller(
+    return new this.library.Controller(
       fleetSettings(name, this.setup),
       this.setup.options,
-      this.lib.seededRandom(this.setup.seed * 31 + name.length + incarnation),
+      this.library.seededRandom(this.setup.seed * 31 + name.length + incarnation),
     );
   }
 
@@ -86,10 +86,10 @@
     inputLater: InputLater,
   ): void {
     const { environment } = this;
-    let isOpen = true;
+    let isPending = true;
     const respond = (reply: StoreReply): void => {
-      if (isOpen) inputLater(STORE_REPLY_MS, () => ({ kind: 'store', tag, reply }));
-      isOpen = false;
+      if (isPending) inputLater(STORE_REPLY_MS, () => ({ kind: 'store', tag, reply }));
+      isPending = false;
     };
     if (environment.state.down) environment.after(timeoutMs, () => respond({ kind: 'no-answer' }));
     environment.after(STORE_REQUEST_MS, () => environment.state.serve(name, request, respond));
@@ -136,7 +136,7 @@
       name: teamName(i),
       cpus: 0,
       cpusMax: 0,
-      // Every third team is guaranteed accelerators, and nothing else.
+      // Every third team has a guarantee of accelerators; there are no other guarantees.
       gpus: i % 3 === 0 ? Math.round(machines / (4 * teams)) : 0,
       gpusMax: 0,
     })),
--- a/scripts/experiments/fleet-days.ts
+++ b/scripts/experiments/fleet-days.ts
@@ -1,76 +1,82 @@
-// What the fleet experiment plays: who asks for what, and what goes wrong when. Figures are relative to the
-// number of machines, so that the same day can be played at any size.
+// The days of the fleet experiment: the load and the faults of each. Figures are relative to the number of
+// machines, so that a day can be run with a fleet of any size.
 import type { MachineType } from '../../src/core/base/model.ts';
 import type { TeamName, TypeName, ZoneName } from '../../src/types/index.ts';
 
-/** What goes wrong `atS` seconds into a day. `part`: of the machines. `zone`: its number in `ZONES`. */
+/**
+ * A fault that is injected `atS` seconds into a day. `fraction`: of the running machines. `zone`: index into
+ * `ZONES`.
+ */
 export type DayFault =
-  | { atS: number; kind: 'die' | 'hang' | 'slow'; part: number; forS: number; factor: number }
-  | { atS: number; kind: 'zone'; zone: number; forS: number }
-  | { atS: number; kind: 'owner-ends' }
-  | { atS: number; kind: 'store'; forS: number };
+  | { atS: number; kind: 'crash' | 'hang' | 'slow'; fraction: number; forS: number; factor: number }
+  | { atS: number; kind: 'zone-cut'; zone: number; forS: number }
+  | { atS: number; kind: 'leader-crash' }
+  | { atS: number; kind: 'store-outage'; forS: number };
 
-/** A kind of day. */
+/** A day: a load and a sequence of faults. */
 export interface Day {
   name: string;
   about: string;
-  /** What arrives, as a part of what the whole fleet can do. */
+  /** CPU demand of the arriving jobs, as a fraction of the CPU capacity of the whole fleet. */
   load: number;
-  /** One team asks for this many times its part, another one every third of the day; 1: none. */
-  hot: number;
-  troubles: DayFault[];
+  /**
+   * Demand of the hot team as a multiple of a usual team's; another team is hot in each third of the day. 1:
+   * none.
+   */
+  hotTeamFactor: number;
+  faults: DayFault[];
 }
 
-const leaderEnds = (atS: number): DayFault => ({ atS, kind: 'owner-ends' });
+const leaderCrash = (atS: number): DayFault => ({ atS, kind: 'leader-crash' });
 
-/** The days that are played. */
+/** All days of the experiment. */
 export const DAYS: Day[] = [
-  { name: 'calm', about: 'room for all', load: 0.7, hot: 1, troubles: [] },
+  { name: 'calm', about: 'enough capacity for all jobs', load: 0.7, hotTeamFactor: 1, faults: [] },
   {
     name: 'hot',
-    about: 'a hot team that moves, more than fits',
+    about: 'demand above capacity, with one hot team at a time',
     load: 2,
-    hot: 12,
-    troubles: [leaderEnds(250)],
+    hotTeamFactor: 12,
+    faults: [leaderCrash(250)],
   },
   {
     name: 'loss',
-    about: 'machines die, hang and slow down, the owner ends',
+    about: 'machines crash, hang and slow down, the leader crashes',
     load: 0.9,
-    hot: 4,
-    troubles: [
-      { atS: 150, kind: 'die', part: 0.1, forS: 0, factor: 1 },
-      { atS: 180, kind: 'hang', part: 0.05, forS: 30, factor: 1 },
-      { atS: 200, kind: 'slow', part: 0.05, forS: 1e6, factor: 4 },
-      leaderEnds(220),
+    hotTeamFactor: 4,
+    faults: [
+      { atS: 150, kind: 'crash', fraction: 0.1, forS: 0, factor: 1 },
+      { atS: 180, kind: 'hang', fraction: 0.05, forS: 30, factor: 1 },
+      { atS: 200, kind: 'slow', fraction: 0.05, forS: 1e6, factor: 4 },
+      leaderCrash(220),
     ],
   },
   {
     name: 'zone',
-    about: 'the largest zone is cut off, the owner ends, the state service is away',
+    about: 'the largest zone is cut off, the leader crashes, the key-value store is unavailable',
     load: 0.8,
-    hot: 1,
-    troubles: [
-      { atS: 150, kind: 'zone', zone: 0, forS: 50 },
-      leaderEnds(160),
-      { atS: 260, kind: 'store', forS: 20 },
+    hotTeamFactor: 1,
+    faults: [
+      { atS: 150, kind: 'zone-cut', zone: 0, forS: 50 },
+      leaderCrash(160),
+      { atS: 260, kind: 'store-outage', forS: 20 },
     ],
   },
 ];
 
-/** How often machines send heartbeats when nothing changes. */
+/** Interval between the heartbeats of a machine whose tasks do not change. */
 export const HEARTBEAT_INTERVAL_MS = 4000;
-/** How long machines go on unanswered. */
+/** Time without a heartbeat response after which a machine stops its tasks. */
 export const LEASE_MS = 20_000;
 
 /** Zones of the cloud. */
 export const ZONES = ['east', 'mid', 'west'] as ZoneName[];
-/** Zones are of unequal size. */
-const ZONE_PART = [0.5, 0.3, 0.2];
+/** Fractions of the machines that are in each zone, in the order of `ZONES`. */
+const ZONE_FRACTIONS = [0.5, 0.3, 0.2];
 const PLAIN_TYPE = 'box' as TypeName;
 const GPU_TYPE = 'lens' as TypeName;
-/** Part of the machines that are without accelerators. */
-const PLAIN_PART = 0.75;
+/** Fraction of the machines that have no accelerators. */
+const PLAIN_FRACTION = 0.75;
 /** CPUs of every machine. */
 export const MACHINE_CPUS = 16;
 
@@ -80,10 +86,10 @@
   { name: GPU_TYPE, cpus: MACHINE_CPUS, gpus: 2, price: 4, spotPrice: 1.4, memoryGb: 128, bootS: 40 },
 ].map((type) => ({ ...type, cacheGb: 50, fetchGbPerS: 0.4, zones: ZONES }));
 
-/** How many machines of a type there are to be rented in a zone, of a fleet of this size. */
+/** Number of machines of a type that can be rented in a zone, for a fleet of `machines` machines. */
 export function machinesToRent(machines: number, type: TypeName, zone: ZoneName): number {
-  const typePart = type === PLAIN_TYPE ? PLAIN_PART : 1 - PLAIN_PART;
-  return Math.max(1, Math.round(machines * typePart * ZONE_PART[ZONES.indexOf(zone)]!));
+  const typeFraction = type === PLAIN_TYPE ? PLAIN_FRACTION : 1 - PLAIN_FRACTION;
+  return Math.max(1, Math.round(machines * typeFraction * ZONE_FRACTIONS[ZONES.indexOf(zone)]!));
 }
 
 /** Objectives of the fleet's settings. */
@@ -97,5 +103,5 @@
   { kind: 'guarantee', class: null, withinS: 20, share: 0.9, times: null },
 ];
 
-/** Names of teams, by number. */
+/** Name of the `i`th team. */
 export const teamName = (i: number): TeamName => `team-${i}` as TeamName;
--- a/scripts/experiments/fleet-fairness.ts
+++ b/scripts/experiments/fleet-fairness.ts
@@ -1,5 +1,5 @@
-// Compares what teams of the fleet experiment have with their fair shares of what they have and have been
-// asking for.
+// Compares the resources that the teams of the fleet experiment use with their fair shares, which are
+// computed from the resources in use and the demand that has been waiting.
 import type { FakeWorker } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { JobSpec } from '../../src/core/base/model.ts';
 import { dominantShare, maxMinShares } from '../../src/core/teams/max-min-fairness.ts';
@@ -8,24 +8,25 @@
 import type { FleetMachines } from './fleet-machines.ts';
 
 /**
- * What has been asked for this long could have been started: a heartbeat, a task's end, and an image's fetch.
+ * Demand is counted from this age on: by then, a heartbeat, the end of a task and the fetch of an image would
+ * have allowed it to start.
  */
-const ASKED_MS = 20_000;
-/** A team that keeps asking for less than a minute in all tells nothing. */
-const LEAST_SAMPLES = 12;
-/** Shares of all that is asked for: there is room for all. */
-const ROOM_FOR_ALL = 0.999;
+const MIN_DEMAND_AGE_MS = 20_000;
+/** Teams with less than a minute of demand in total are left out, as their mean is not meaningful. */
+const MIN_SAMPLES = 12;
+/** From this fraction of a demand on, the demand counts as satisfied in full. */
+const FULLY_SATISFIED = 0.999;
 
-/** CPUs, accelerators and memory. */
+/** Amounts of CPUs, accelerators and memory, in this order. */
 type Resources = number[];
-const NOTHING: Resources = [0, 0, 0];
+const NO_RESOURCES: Resources = [0, 0, 0];
 
 interface MeanShare {
   sum: number;
   samples: number;
 }
 
-/** What the samples are taken of. */
+/** The simulated world from which samples are taken. */
 export interface FairnessEnvironment {
   readonly now: number;
   readonly workers: ReadonlyMap<string, FakeWorker>;
@@ -33,12 +34,12 @@
   readonly machines: FleetMachines;
 }
 
-/** Amounts by team. */
+/** Sums of resources by team. */
 class TeamResources {
   readonly byTeam = new Map<string, Resources>();
 
   add(spec: JobSpec, tasks: number): void {
-    const sum = this.byTeam.get(spec.team) ?? [...NOTHING];
+    const sum = this.byTeam.get(spec.team) ?? [...NO_RESOURCES];
     this.byTeam.set(spec.team, sum);
     [spec.cpus, spec.gpus, spec.memoryGb].forEach((amount, i) => {
       sum[i] = sum[i]! + amount * tasks;
@@ -46,32 +47,32 @@
   }
 
   of(team: string): Resources {
-    return this.byTeam.get(team) ?? NOTHING;
+    return this.byTeam.get(team) ?? NO_RESOURCES;
   }
 }
 
-/** Samples teams' shares while a day is played. */
+/** Samples the shares of teams while a day runs. */
 export class FleetFairness {
   private readonly shares = new Map<string, MeanShare>();
 
   constructor(
     private readonly environment: FairnessEnvironment,
-    /** Shares are compared until then: while jobs arrive. */
+    /** End of the arrivals, after which shares are not compared. */
     private readonly untilMs: number,
   ) {}
 
-  /** Takes a sample of services' replicas, and of shares. */
+  /** Samples the running replicas of services and the shares of teams. */
   sample(): void {
     const capacity = this.capacity();
     const used = new TeamResources();
     const demand = new TeamResources();
     const running = this.countRunning(used, demand);
     for (const [id, job] of this.environment.jobs.byId) {
-      if (!this.isAskedFor(job)) continue;
+      if (!this.countsAsDemand(job)) continue;
       const { spec } = job.arrival;
       const tasks = running.get(id) ?? 0;
       if (spec.kind === 'service') {
-        job.replicasUp.looks++;
+        job.replicasUp.samples++;
         job.replicasUp.sum += tasks / spec.tasks;
       }
       const waiting = tasksLeft(job) - tasks;
@@ -80,17 +81,17 @@
     this.compareShares(capacity, used, demand);
   }
 
-  /** The mean part of its fair share that each team had. */
+  /** For each team, the mean fraction of its fair share that it used. */
   meanShares(): Record<string, number> {
     return Object.fromEntries(
       [...this.shares]
-        .filter(([, { samples }]) => samples >= LEAST_SAMPLES)
+        .filter(([, { samples }]) => samples >= MIN_SAMPLES)
         .map(([team, { sum, samples }]) => [team, sum / samples]),
     );
   }
 
   private capacity(): Resources {
-    const capacity = [...NOTHING];
+    const capacity = [...NO_RESOURCES];
     for (const worker of this.environment.workers.values()) {
       if (!worker.up || worker.dead) continue;
       const { cpus, gpus, memoryGb } = TYPES.find((type) => type.name === worker.type)!;
@@ -101,7 +102,9 @@
     return capacity;
   }
 
-  /** Adds up what runs; returns how many tasks of each job do. */
+  /**
+   * Adds the resources of running tasks to `used` and `demand`; returns the number of running tasks by job.
+   */
   private countRunning(used: TeamResources, demand: TeamResources): Map<string, number> {
     const running = new Map<string, number>();
     for (const task of this.environment.machines.machineOf.keys()) {
@@ -114,27 +117,28 @@
     return running;
   }
 
-  private isAskedFor({ acceptedAt, cancelledAt }: FleetJob): boolean {
+  private countsAsDemand({ acceptedAt, cancelledAt }: FleetJob): boolean {
     if (acceptedAt === null || cancelledAt !== null) return false;
-    return this.environment.now - acceptedAt >= ASKED_MS;
+    return this.environment.now - acceptedAt >= MIN_DEMAND_AGE_MS;
   }
 
   private compareShares(capacity: Resources, used: TeamResources, demand: TeamResources): void {
     const teams = [...demand.byTeam.keys()];
     const demands = teams.map((team) => ({
       demand: demand.of(team),
-      guaranteed: [...NOTHING],
+      guaranteed: [...NO_RESOURCES],
       weight: 1,
     }));
-    const fairParts = maxMinShares(demands, capacity);
-    // Only while there is not room for all do shares say anything.
-    if (this.environment.now > this.untilMs || fairParts.every((part) => part > ROOM_FOR_ALL)) return;
+    const fairFractions = maxMinShares(demands, capacity);
+    // Shares are only meaningful while demand exceeds capacity.
+    if (this.environment.now > this.untilMs || fairFractions.every((fraction) => fraction > FULLY_SATISFIED))
+      return;
     teams.forEach((team, i) => {
-      const fair = fairParts[i]! * dominantShare(demands[i]!.demand, capacity);
-      if (fair <= 0) return;
-      const has = dominantShare(used.of(team), capacity);
+      const fairShare = fairFractions[i]! * dominantShare(demands[i]!.demand, capacity);
+      if (fairShare <= 0) return;
+      const actualShare = dominantShare(used.of(team), capacity);
       const { sum, samples } = this.shares.get(team) ?? { sum: 0, samples: 0 };
-      this.shares.set(team, { sum: sum + Math.min(1, has / fair), samples: samples + 1 });
+      this.shares.set(team, { sum: sum + Math.min(1, actualShare / fairShare), samples: samples + 1 });
     });
   }
 }
--- a/scripts/experiments/fleet-machines.ts
+++ b/scripts/experiments/fleet-machines.ts
@@ -1,5 +1,5 @@
-// The machines of the fleet experiment: their heartbeats, the tasks that run on them, and the rules that a
-// start can break.
+// Simulates the machines of the fleet experiment: carries their heartbeats, runs their tasks, and checks the
+// rules that the start of a task can break.
 import type { SimulationClock } from '../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker, RunningTask } from '../../packages/local-cluster/src/fake-worker.ts';
 import { Tasks } from '../../packages/local-cluster/src/task-runner.ts';
@@ -10,22 +10,22 @@
 import { TYPES } from './fleet-days.ts';
 import type { FleetJob, FleetJobs } from './fleet-jobs.ts';
 
-/** What the world offers its machines. */
+/** The simulated surroundings of the machines. */
 export interface MachineEnvironment extends SimulationClock {
   readonly controllers: FleetControllers;
   readonly jobs: FleetJobs;
-  readonly broken: string[];
+  readonly violations: string[];
 }
 
-const HEARTBEAT_MS = 1;
-/** A task of a cancelled job may start no later than this after its user was told. */
-const CANCEL_MS = 49_000;
+const NETWORK_DELAY_MS = 1;
+/** Time after the confirmation of a cancellation in which tasks of the job may still start. */
+const CANCEL_DEADLINE_MS = 49_000;
 const GANG_TIMEOUTS = { gangWaitS: 35, gangPeerS: 6 };
 
-/** Carries heartbeats, runs tasks and checks starts. */
+/** Carries heartbeats, runs tasks and checks their starts. */
 export class FleetMachines {
   readonly cutZones = new Set<ZoneName>();
-  /** Machines that run tasks slower, by this factor. */
+  /** Factors by which slowed-down machines run tasks longer, by machine id. */
   readonly slowdown = new Map<string, number>();
   /** The machine that each task runs on. */
   readonly machineOf = new Map<TaskId, FakeWorker>();
@@ -41,13 +41,13 @@
     return this.tasks.runs;
   }
 
-  /** Says what the tasks of a job are like. */
+  /** Registers the properties of a job's tasks with the task runner. */
   describe({ spec, runS }: Arrival): void {
     const { id, kind, tasks, image, imageGb } = spec;
     this.tasks.describe(id, { kind, tasks, image, imageGb, runS, command: null });
   }
 
-  /** Whether the machine is reached over the network. */
+  /** Whether the machine can be reached over the network. */
   isReachable(worker: FakeWorker): boolean {
     return !this.cutZones.has(worker.zone);
   }
@@ -61,20 +61,20 @@
     onReply: (response: HeartbeatResponse | null) => void,
   ): void {
     const { environment } = this;
-    let isOpen = true;
+    let isPending = true;
     const finish = (response: HeartbeatResponse | null): void => {
-      if (isOpen) onReply(response);
-      isOpen = false;
+      if (isPending) onReply(response);
+      isPending = false;
     };
     environment.after(timeoutMs, () => finish(null));
     if (!this.isReachable(worker)) return;
-    environment.after(HEARTBEAT_MS, () => {
+    environment.after(NETWORK_DELAY_MS, () => {
       if (!environment.controllers.nodes.has(node)) return finish(null);
       environment.controllers.request(
         node,
         (requestId) => ({ kind: 'heartbeat', requestId, heartbeat }),
         (response: HeartbeatResponse) =>
-          environment.after(HEARTBEAT_MS, () => {
+          environment.after(NETWORK_DELAY_MS, () => {
             if (this.isReachable(worker)) finish(response);
           }),
       );
@@ -92,7 +92,7 @@
     const job = this.environment.jobs.ofTask(task);
     const { fetchGbPerS, cacheGb } = TYPES.find((type) => type.name === worker.type)!;
     const machine = { id: worker.id, fetchGbPerS, cacheGb, slow: this.slowdown.get(worker.id) ?? 1 };
-    const leave = (): void => {
+    const removeTask = (): void => {
       if (this.machineOf.get(task) === worker) this.machineOf.delete(task);
     };
     const running = this.tasks.launch(
@@ -100,7 +100,7 @@
       task,
       attempt,
       (reason) => {
-        leave();
+        removeTask();
         if (reason === 'done') this.environment.jobs.onCompleted(task);
         onExit(reason as 'done');
       },
@@ -111,47 +111,47 @@
     );
     return {
       kill: () => {
-        leave();
+        removeTask();
         running.kill();
       },
       stop: (graceS, onStopped) =>
         running.stop(graceS, (isSaved) => {
-          leave();
+          removeTask();
           onStopped(isSaved);
         }),
     };
   }
 
-  /** A task is put on a machine: checks the rules that a start can break. */
+  /** Checks the rules that the start of a task on a machine can break. */
   onPlaced(worker: FakeWorker, task: TaskId): void {
-    const { now, jobs, broken } = this.environment;
-    const report = (fault: string): void =>
-      void broken.push(`${(now / 1000).toFixed(1)} ${fault}: ${task} on ${worker.id}`);
+    const { now, jobs, violations } = this.environment;
+    const report = (violation: string): void =>
+      void violations.push(`${(now / 1000).toFixed(1)} ${violation}: ${task} on ${worker.id}`);
     const job = jobs.ofTask(task);
     if (job === undefined) return report('invented');
-    const before = this.machineOf.get(task);
-    if (before !== undefined && !before.over) report(`ran_twice with ${before.id}`);
+    const previous = this.machineOf.get(task);
+    if (previous !== undefined && !previous.over) report(`ran_twice with ${previous.id}`);
     this.machineOf.set(task, worker);
-    if (job.cancelledAt !== null && now > job.cancelledAt + CANCEL_MS) report('ran_cancelled');
-    for (const fault of this.wrongPlaces(job, worker)) report(fault);
+    if (job.cancelledAt !== null && now > job.cancelledAt + CANCEL_DEADLINE_MS) report('ran_cancelled');
+    for (const violation of this.zoneViolations(job, worker)) report(violation);
   }
 
-  /** What is wrong about the zone of a task that is on the machine by now. */
-  private wrongPlaces({ arrival }: FleetJob, worker: FakeWorker): string[] {
+  /** Violations of the job's zone rules by a task that was just put on the machine. */
+  private zoneViolations({ arrival }: FleetJob, worker: FakeWorker): string[] {
     const { spec } = arrival;
     if (!spec.spread && !spec.oneZone) return [];
     const machines = this.machinesOf(spec.id, spec.tasks);
     const inZone = machines.filter((machine) => machine.zone === worker.zone).length;
-    const faults: string[] = [];
+    const violations: string[] = [];
     if (spec.spread && inZone > Math.ceil(spec.tasks / 2))
-      faults.push(`wrong_place: ${inZone} in ${worker.zone}`);
+      violations.push(`wrong_place: ${inZone} in ${worker.zone}`);
     if (spec.oneZone)
       for (const machine of machines)
-        if (machine.zone !== worker.zone) faults.push(`wrong_place beside ${machine.id}`);
-    return faults;
+        if (machine.zone !== worker.zone) violations.push(`wrong_place beside ${machine.id}`);
+    return violations;
   }
 
-  /** Machines that tasks of a job are on: one for each task. */
+  /** The machines that run tasks of a job, one for each running task. */
   private machinesOf(job: string, tasks: number): FakeWorker[] {
     const machines: FakeWorker[] = [];
     for (let i = 0; i < tasks; i++) {
--- a/scripts/experiments/fleet-outcome.ts
+++ b/scripts/experiments/fleet-outcome.ts
@@ -1,28 +1,28 @@
-// The figures of a day of the fleet experiment: who was served, how long work waited, what was fetched and
-// lost.
+// Computes the figures of a day of the fleet experiment: jobs completed, waiting times, images fetched and
+// work lost.
 import { build as histogram } from 'hdr-histogram-js';
 import type { JobSpec } from '../../src/core/base/model.ts';
 import type { FleetJob, FleetJobs } from './fleet-jobs.ts';
 import { tasksLeft } from './fleet-jobs.ts';
 import type { FleetMachines } from './fleet-machines.ts';
-import type { Outcome, Served } from './fleet-types.ts';
+import type { GroupOutcome, Outcome } from './fleet-types.ts';
 
-/** A service is served when so much of its replicas was up. */
-const SERVED_REPLICAS = 0.5;
+/** A service counts as served if on average at least this fraction of its replicas was up. */
+const MIN_REPLICAS_UP = 0.5;
 const MAX_WAIT_MS = 36_000_000;
 
-/** Work that was done and lost, and images that were fetched for it. */
+/** Figures of lost work and of fetched images. */
 type WorkFigures = Pick<Outcome, 'fetches' | 'fetchedGb' | 'lostWork'>;
 
 const sum = (values: readonly number[]): number => values.reduce((total, value) => total + value, 0);
 
 function isServed(job: FleetJob): boolean {
-  const { sum: up, looks } = job.replicasUp;
-  if (job.arrival.spec.kind === 'service') return looks === 0 || up >= SERVED_REPLICAS * looks;
+  const { sum: up, samples } = job.replicasUp;
+  if (job.arrival.spec.kind === 'service') return samples === 0 || up >= MIN_REPLICAS_UP * samples;
   return tasksLeft(job) === 0;
 }
 
-function servedOf(jobs: readonly FleetJob[], now: number): Served {
+function groupOutcome(jobs: readonly FleetJob[], now: number): GroupOutcome {
   const waits = histogram({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_WAIT_MS });
   for (const { startedAt, acceptedAt } of jobs)
     waits.recordValue(Math.max(1, Math.round((startedAt ?? now) - acceptedAt!)));
@@ -34,12 +34,12 @@
   };
 }
 
-/** Accepted jobs by a name of theirs, in the order of the names. */
-export function servedBy(
+/** Outcomes of the accepted jobs, grouped and sorted by the name that `nameOf` gives, such as the team's. */
+export function outcomesBy(
   jobs: FleetJobs,
   nameOf: (spec: JobSpec) => string,
   now: number,
-): Record<string, Served> {
+): Record<string, GroupOutcome> {
   const groups = new Map<string, FleetJob[]>();
   for (const job of jobs.byId.values()) {
     if (job.acceptedAt === null) continue;
@@ -48,17 +48,17 @@
     group.push(job);
     groups.set(name, group);
   }
-  return Object.fromEntries([...groups].sort().map(([name, group]) => [name, servedOf(group, now)]));
+  return Object.fromEntries([...groups].sort().map(([name, group]) => [name, groupOutcome(group, now)]));
 }
 
-/** Jain's index of the parts of their jobs that teams were served; 1 if all are equal. */
-export function jainIndex(teams: Record<string, Served>): number {
-  const parts = Object.values(teams).map(({ done, jobs }) => done / jobs);
-  if (parts.length === 0) return 1;
-  return sum(parts) ** 2 / (parts.length * sum(parts.map((part) => part * part)));
+/** Jain's fairness index of the fractions of their jobs that teams were served; 1 if all are equal. */
+export function jainIndex(teams: Record<string, GroupOutcome>): number {
+  const fractions = Object.values(teams).map(({ done, jobs }) => done / jobs);
+  if (fractions.length === 0) return 1;
+  return sum(fractions) ** 2 / (fractions.length * sum(fractions.map((fraction) => fraction * fraction)));
 }
 
-/** Adds up all tasks that have run. */
+/** Adds up the work and the image fetches of all tasks that have run. */
 export function workFigures(machines: FleetMachines, jobs: FleetJobs, now: number): WorkFigures {
   let cpuSeconds = 0;
   let lostCpuSeconds = 0;
--- a/scripts/experiments/fleet-types.ts
+++ b/scripts/experiments/fleet-types.ts
@@ -1,55 +1,58 @@
-// What a day of the fleet experiment is set up with, and what comes of it.
+// Types of the setup and the outcome of a day of the fleet experiment.
 import type { Random } from '../../src/core/base/io.ts';
 import type { Settings } from '../../src/core/base/model.ts';
 import type { Controller } from '../../src/core/controller.ts';
 import type { SchedulerOptions } from '../../src/core/scheduling/scheduler.ts';
 
-/** What is taken of a version of the program. */
-export interface Lib {
+/** Exports of a version's library that the experiment uses. */
+export interface Library {
   Controller: new (settings: Settings, options: SchedulerOptions, random: Random) => Controller;
   seededRandom: (seed: number) => Random;
 }
 
-/** The size of a fleet, its load, and the options of its controllers. */
+/** Size of a fleet, duration of its load, and options of its controllers. */
 export interface Setup {
   machines: number;
   teams: number;
   seed: number;
-  /** Jobs arrive for so long, and the day ends so much later. */
+  /** Seconds in which jobs arrive, and seconds from then to the end of the day. */
   arriveS: number;
   drainS: number;
   options: SchedulerOptions;
 }
 
-/** Jobs of a class or a team: how many were done, and their waits in seconds until their first task runs. */
-export interface Served {
+/**
+ * Outcome of the jobs of a class or a team; `wait`: seconds from acceptance to the start of the first task.
+ */
+export interface GroupOutcome {
   jobs: number;
   done: number;
   wait: { p50: number; p90: number; p99: number; max: number };
 }
 
-/** What came of a day. */
+/** The outcome of a day. */
 export interface Outcome {
-  classes: Record<string, Served>;
-  teams: Record<string, Served>;
-  /** Mean part of its fair share that each team had while it kept asking and there was not room for all. */
+  classes: Record<string, GroupOutcome>;
+  teams: Record<string, GroupOutcome>;
+  /** Mean fraction of its fair share that each team used while it had demand and demand exceeded capacity. */
   fair: Record<string, number>;
-  /** Jain's index of the teams' served parts. */
+  /** Jain's fairness index of the fractions of their jobs that teams were served. */
   jain: number;
   fetches: number;
   fetchedGb: number;
-  /** CPU seconds of tasks that ended otherwise than done, as a part of all. */
+  /** CPU seconds of task runs that ended without completing, as a fraction of all CPU seconds. */
   lostWork: number;
   killedByLease: number;
+  /** Violations of the users' rules. */
   broken: string[];
   cpuS: number;
 }
 
-/** The outcome of a day of one side of a comparison. */
-export interface Played {
+/** The outcome of a day run by one side of a comparison. */
+export interface DayResult {
   side: string;
   machines: number;
   day: string;
   seed: number;
-  out: Outcome;
+  outcome: Outcome;
 }
--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -1,6 +1,6 @@
-// The world of the fleet experiment: the core with fakes of its surroundings on a simulated clock, no
-// processes and no sockets. It checks the users' rules while it runs, and writes down what each job and each
-// team got.
+// The simulated world of the fleet experiment: runs the core with fakes of its surroundings on a simulated
+// clock, without processes or sockets. It checks the users' rules while it runs, and records the outcome of
+// each job and the share of each team.
 import { FakeCloud } from '../../packages/local-cluster/src/fake-cloud.ts';
 import { FakeStore } from '../../packages/local-cluster/src/fake-store.ts';
 import {
@@ -26,20 +26,20 @@
 import { FleetFairness } from './fleet-fairness.ts';
 import { FleetJobs, type JobEnvironment } from './fleet-jobs.ts';
 import { FleetMachines, type MachineEnvironment } from './fleet-machines.ts';
-import { jainIndex, servedBy, workFigures } from './fleet-outcome.ts';
-import type { Lib, Outcome, Setup } from './fleet-types.ts';
+import { jainIndex, outcomesBy, workFigures } from './fleet-outcome.ts';
+import type { Library, Outcome, Setup } from './fleet-types.ts';
 
-/** Controllers start so long after one another. */
+/** Delay between the starts of successive controllers. */
 const START_INTERVAL_MS = 7;
 const FIRST_ARRIVAL_MS = 2000;
 const SAMPLE_INTERVAL_MS = 5000;
 const RETRY_DELAY_MS = 1000;
-/** A controller that ended is back after this. */
-const RESTART_MS = 6000;
+/** Time after which a crashed controller is restarted. */
+const RESTART_DELAY_MS = 6000;
 
 type Environment = WorkerEnvironment & ControllerEnvironment & JobEnvironment & MachineEnvironment;
 
-/** Plays one day. */
+/** Runs one day. */
 export class FleetWorld implements Environment {
   /** The simulated time, in milliseconds. */
   now = 0;
@@ -50,23 +50,23 @@
   readonly workers = new Map<string, FakeWorker>();
   readonly state = new FakeStore(this);
   readonly cloud = new FakeCloud(this);
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   readonly random: Random;
   readonly controllers: FleetControllers;
   readonly jobs = new FleetJobs(this);
   readonly machines = new FleetMachines(this);
   private readonly fairness: FleetFairness;
-  /** All machines that were ever rented. */
+  /** All machines rented since the start, including released ones. */
   private readonly rented: FakeWorker[] = [];
 
   constructor(
-    lib: Lib,
+    library: Library,
     day: Day,
     private readonly setup: Setup,
   ) {
     const { machines, teams, seed, arriveS } = setup;
-    this.random = lib.seededRandom(seed);
-    this.controllers = new FleetControllers(this, lib, setup);
+    this.random = library.seededRandom(seed);
+    this.controllers = new FleetControllers(this, library, setup);
     this.fairness = new FleetFairness(this, arriveS * 1000);
     this.cloud.types = structuredClone(TYPES);
     this.cloud.room = (type, zone) => machinesToRent(machines, type, zone);
@@ -77,24 +77,24 @@
     });
     for (const arrival of arrivals(day, machines, teams, arriveS, this.random))
       this.events.add(FIRST_ARRIVAL_MS + arrival.atS * 1000, () => this.arrive(arrival));
-    for (const fault of day.troubles) this.events.add(fault.atS * 1000, () => this.inject(fault));
+    for (const fault of day.faults) this.events.add(fault.atS * 1000, () => this.inject(fault));
   }
 
-  /** Has something happen so many milliseconds from now. */
+  /** Schedules `run` to be called `ms` milliseconds from now. */
   after(ms: number, run: () => void): void {
     this.events.add(this.now + ms, run);
   }
 
-  /** Plays the day to its end. */
+  /** Runs the day to its end. */
   play(): Outcome {
     const end = (this.setup.arriveS + this.setup.drainS) * 1000;
     this.after(SAMPLE_INTERVAL_MS, () => this.sample());
-    const began = process.cpuUsage();
+    const cpuAtStart = process.cpuUsage();
     for (let event = this.events.next(end); event !== null; event = this.events.next(end)) {
       this.now = Math.max(this.now, event.at);
       event.run();
     }
-    const used = process.cpuUsage(began);
+    const used = process.cpuUsage(cpuAtStart);
     return this.outcome((used.user + used.system) / 1e6);
   }
 
@@ -154,22 +154,22 @@
 
   private inject(fault: DayFault): void {
     switch (fault.kind) {
-      case 'owner-ends':
-        return this.endLeader();
-      case 'store':
+      case 'leader-crash':
+        return this.crashLeader();
+      case 'store-outage':
         return this.state.outage(fault.forS);
-      case 'zone':
+      case 'zone-cut':
         return this.cutZone(ZONES[fault.zone]!, fault.forS);
       default:
         return this.injectMachineFault(fault);
     }
   }
 
-  private endLeader(): void {
+  private crashLeader(): void {
     const leader = this.controllers.leader;
-    if (leader === null) return this.after(RETRY_DELAY_MS, () => this.endLeader());
+    if (leader === null) return this.after(RETRY_DELAY_MS, () => this.crashLeader());
     this.controllers.crash(leader);
-    this.after(RESTART_MS, () => this.controllers.start(leader));
+    this.after(RESTART_DELAY_MS, () => this.controllers.start(leader));
   }
 
   private cutZone(zone: ZoneName, seconds: number): void {
@@ -177,12 +177,12 @@
     this.after(seconds * 1000, () => this.machines.cutZones.delete(zone));
   }
 
-  private injectMachineFault(fault: Extract<DayFault, { part: number }>): void {
+  private injectMachineFault(fault: Extract<DayFault, { fraction: number }>): void {
     const running = [...this.workers.values()].filter((worker) => worker.up && !worker.dead);
-    const count = Math.min(running.length, Math.round(running.length * fault.part));
+    const count = Math.min(running.length, Math.round(running.length * fault.fraction));
     for (let i = 0; i < count; i++) {
       const [worker] = running.splice(this.random.below(running.length), 1);
-      if (fault.kind === 'die') worker!.die();
+      if (fault.kind === 'crash') worker!.die();
       else if (fault.kind === 'hang') worker!.hang(fault.forS * 1000);
       else this.machines.slowdown.set(worker!.id, fault.factor);
     }
@@ -195,15 +195,15 @@
 
   private outcome(cpuS: number): Outcome {
     const { jobs, now } = this;
-    const teams = servedBy(jobs, (spec) => spec.team, now);
+    const teams = outcomesBy(jobs, (spec) => spec.team, now);
     return {
-      classes: servedBy(jobs, (spec) => spec.class, now),
+      classes: outcomesBy(jobs, (spec) => spec.class, now),
       teams,
       fair: this.fairness.meanShares(),
       jain: jainIndex(teams),
       ...workFigures(this.machines, jobs, now),
       killedByLease: this.rented.reduce((total, worker) => total + worker.lostByLease, 0),
-      broken: this.broken,
+      broken: this.violations,
       cpuS,
     };
   }
--- a/scripts/experiments/hotpath-lib.ts
+++ b/scripts/experiments/hotpath-lib.ts
@@ -1,4 +1,4 @@
-// What `hotpath` measures of a version of the program, and the figures that it takes.
+// Types of the experiment `hotpath`: the exports of the library that it measures, and the resulting figures.
 import type * as autoscaler from '../../src/core/autoscaling/autoscaler.ts';
 import type * as controller from '../../src/core/controller.ts';
 import type * as taskListDelta from '../../src/core/heartbeats/task-list-delta.ts';
@@ -10,8 +10,8 @@
 import type * as workerCodec from '../../src/protocol/worker.ts';
 import type * as random from '../../src/runtime/random.ts';
 
-/** What is measured of a bundle of the library. */
-export type Lib = Pick<typeof controller, 'Controller'> &
+/** Exports of a bundled library that are measured. */
+export type Library = Pick<typeof controller, 'Controller'> &
   Pick<typeof scheduler, 'Scheduler'> &
   Pick<typeof autoscaler, 'Autoscaler'> &
   Pick<typeof parser, 'HttpParser'> &
@@ -23,19 +23,23 @@
   Pick<typeof random, 'seededRandom'>;
 
 /**
- * What processor time is counted for: heartbeats, submissions, status requests and replies of the key-value
- * store and the cloud; scheduling cycles and the autoscaler's plans, wherever they are run; and timer ticks
- * without these.
+ * Categories of processor time: heartbeats (`report`), submissions (`submit`), status requests (`poll`),
+ * replies of the key-value store and the cloud (`write`), scheduling cycles (`pass`) and runs of the
+ * autoscaler (`plan`), whichever input starts them, and timer ticks without cycles and autoscaler runs
+ * (`tick`).
  */
-export type Kind = 'report' | 'submit' | 'poll' | 'write' | 'pass' | 'plan' | 'tick';
+export type InputKind = 'report' | 'submit' | 'poll' | 'write' | 'pass' | 'plan' | 'tick';
 
-/** Figures of one measurement; other revisions' runners write them by the same names. */
+/** Figures of one measurement. Runners of other revisions print them under the same names. */
 export interface Figures {
-  /** Microseconds of processor time an input of each kind. */
-  us: Record<Kind, number>;
-  /** Inputs of each kind. */
-  n: Record<Kind, number>;
-  /** Milliseconds of processor time from a new leader's term to all machines heard, and simulated seconds. */
+  /** Microseconds of processor time per input, by kind. */
+  us: Record<InputKind, number>;
+  /** Number of inputs, by kind. */
+  n: Record<InputKind, number>;
+  /**
+   * Time from the start of a new leader until it has received a heartbeat from all machines: processor time
+   * in milliseconds, and simulated time in seconds.
+   */
   takeoverMs: number;
   takeoverS: number;
   heapMb: number;
--- a/scripts/experiments/hotpath-load.ts
+++ b/scripts/experiments/hotpath-load.ts
@@ -1,12 +1,13 @@
-// The load that `hotpath` puts on a core: machines, a store and users on a simulated clock, as plain as can
-// be, so that what is measured is the core. Only time spent in it and in the codecs beside it is counted.
+// Generates the load of the experiment `hotpath`: machines, a key-value store and users on a simulated clock.
+// They are minimal, so that the core dominates the run. Only time spent in the core and in its codecs is
+// counted.
 import { defaults, schedulerOptions } from '../../src/cli/options.ts';
 import type { Effect, Input, Random } from '../../src/core/base/io.ts';
 import type { Settings, StoreReply, Team } from '../../src/core/base/model.ts';
 import type { Controller } from '../../src/core/controller.ts';
 import type { NodeId, TeamName, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
-import type { Figures, Kind, Lib } from './hotpath-lib.ts';
+import type { Figures, InputKind, Library } from './hotpath-lib.ts';
 import { HEARTBEAT_INTERVAL_MS, LoadMachines, type MachineEnvironment } from './hotpath-machines.ts';
 import { LoadStore, type StoreEnvironment, storeInput } from './hotpath-store.ts';
 import { InputTimer } from './hotpath-timer.ts';
@@ -17,12 +18,13 @@
 const STORE_MS = 4;
 const CLOUD_MS = 40;
 const PROBE_MS = 2;
-/** Before work arrives, and until machines run and work is spread over them. */
-const START_MS = 2000;
+/** Time for the controller to become the leader, before jobs arrive. */
+const ELECTION_MS = 2000;
+/** Time until machines run and jobs are spread over them. */
 const WARM_UP_MS = 50_000;
 const TAKEOVER_MAX_MS = 60_000;
-const TAKEOVER_LOOK_MS = 100;
-/** The leader's key, on the wire's terms. */
+const TAKEOVER_POLL_INTERVAL_MS = 100;
+/** The leader's key in the key-value store. */
 const LEADER_KEY = 'share/0';
 
 const team = (name: string): Team => ({
@@ -52,7 +54,7 @@
   ramMb: null,
 });
 
-/** Loads one controller, which leads, and then the one that takes over from it. */
+/** Puts load on one controller, the leader, and then on its successor. */
 export class Load implements MachineEnvironment, StoreEnvironment {
   /** The simulated time, in milliseconds. */
   now = 0;
@@ -67,21 +69,21 @@
   private controller: Controller;
 
   constructor(
-    readonly lib: Lib,
+    readonly library: Library,
     private readonly machines: number,
   ) {
-    this.random = lib.seededRandom(7);
+    this.random = library.seededRandom(7);
     this.cloudMachines = new LoadMachines(this, machines);
-    this.timer.timeMethod(lib.Scheduler.prototype, 'runCycle', 'pass');
-    this.timer.timeMethod(lib.Autoscaler.prototype, 'tick', 'plan');
+    this.timer.timeMethod(library.Scheduler.prototype, 'runCycle', 'pass');
+    this.timer.timeMethod(library.Autoscaler.prototype, 'tick', 'plan');
     this.controller = this.start('n-0');
   }
 
-  /** Measures so many simulated seconds, and then a takeover. */
-  day(seconds: number): Figures {
+  /** Measures the given number of simulated seconds, and then a leader failover. */
+  measure(seconds: number): Figures {
     const { timer } = this;
-    this.run(START_MS);
-    this.users.begin(this.machines);
+    this.run(ELECTION_MS);
+    this.users.start(this.machines);
     this.run(WARM_UP_MS);
     timer.isMeasuring = true;
     this.run(seconds * 1000);
@@ -93,7 +95,7 @@
     return { us, n, takeoverMs, takeoverS, heapMb: process.memoryUsage().heapUsed / 1e6 };
   }
 
-  // ---- for store, machines and users
+  // ---- interface for the store, the machines and the users
 
   at(ms: number, run: () => void): void {
     this.events.add(ms, run);
@@ -104,7 +106,7 @@
     return this.nextRequestId++;
   }
 
-  input(input: Input, kind: Kind): void {
+  input(input: Input, kind: InputKind): void {
     this.step(this.controller, input, kind);
   }
 
@@ -119,10 +121,10 @@
   // ---- the controller
 
   private start(node: string): Controller {
-    const controller = new this.lib.Controller(
+    const controller = new this.library.Controller(
       settingsFor(node),
       schedulerOptions(defaults(), HEARTBEAT_INTERVAL_MS / 1000),
-      this.lib.seededRandom(3),
+      this.library.seededRandom(3),
     );
     const tick = (): void => {
       if (!this.isCurrent(controller)) return;
@@ -133,7 +135,7 @@
     return controller;
   }
 
-  private step(controller: Controller, input: Input, kind: Kind): void {
+  private step(controller: Controller, input: Input, kind: InputKind): void {
     const now = this.now as never;
     const wallTime = (WALL_CLOCK_START_MS + this.now) as never;
     const effects = this.timer.timeInput(kind, () => controller.step(now, wallTime, input));
@@ -147,7 +149,7 @@
   }
 
   private carryOut(controller: Controller, effect: Effect): void {
-    const { timer, lib } = this;
+    const { timer, library } = this;
     switch (effect.kind) {
       case 'store':
         return this.callStore(controller, effect);
@@ -166,10 +168,10 @@
           reply: { kind: 'no-answer' },
         });
       case 'user-response':
-        timer.timeCodec('submit', () => lib.encodeUserResponse(effect.response));
+        timer.timeCodec('submit', () => library.encodeUserResponse(effect.response));
         return this.respond(effect.requestId, effect.response);
       case 'heartbeat-response': {
-        const response = timer.timeCodec('report', () => lib.encodeHeartbeatResponse(effect.response));
+        const response = timer.timeCodec('report', () => library.encodeHeartbeatResponse(effect.response));
         return this.respond(effect.requestId, response);
       }
     }
@@ -203,19 +205,20 @@
     }
   }
 
-  /** The leader is gone, and its key with it; a new controller takes over. */
+  /** Removes the leader and its key, and measures how a new controller takes over. */
   private takeOver(): { takeoverMs: number; takeoverS: number } {
     const { timer } = this;
     this.store.expire(LEADER_KEY);
     this.pendingResponses.clear();
-    this.cloudMachines.loseLeader();
+    this.cloudMachines.onLeaderLost();
     timer.resetTimes();
     this.controller = this.start('n-1');
-    const began = this.now;
+    const startedAt = this.now;
     timer.isMeasuring = true;
-    while (!this.hasTakenOver() && this.now - began < TAKEOVER_MAX_MS) this.run(TAKEOVER_LOOK_MS);
+    while (!this.hasTakenOver() && this.now - startedAt < TAKEOVER_MAX_MS)
+      this.run(TAKEOVER_POLL_INTERVAL_MS);
     timer.isMeasuring = false;
-    return { takeoverMs: timer.totalUs() / 1000, takeoverS: (this.now - began) / 1000 };
+    return { takeoverMs: timer.totalUs() / 1000, takeoverS: (this.now - startedAt) / 1000 };
   }
 
   private hasTakenOver(): boolean {
--- a/scripts/experiments/hotpath-machines.ts
+++ b/scripts/experiments/hotpath-machines.ts
@@ -1,5 +1,5 @@
-// The machines of the hotpath load, and the cloud that rents them: they speak the wire protocol, to the
-// leader itself or by way of another node that forwards their heartbeats.
+// Simulates the machines of the hotpath load and the cloud that rents them out. Machines use the wire
+// protocol and send their heartbeats to the leader or to another node, which forwards them.
 import type { Input, Random } from '../../src/core/base/io.ts';
 import type {
   CloudReply,
@@ -9,7 +9,7 @@
   PeerMessage,
 } from '../../src/core/base/model.ts';
 import type { NodeId } from '../../src/types/index.ts';
-import type { Kind, Lib } from './hotpath-lib.ts';
+import type { InputKind, Library } from './hotpath-lib.ts';
 import type { InputTimer } from './hotpath-timer.ts';
 import {
   heartbeatBody,
@@ -19,49 +19,49 @@
   type WireTask,
 } from './hotpath-wire.ts';
 
-/** What machines need of the load. */
+/** The simulated surroundings of the machines. */
 export interface MachineEnvironment {
   readonly now: number;
-  readonly lib: Lib;
+  readonly library: Library;
   readonly random: Random;
   readonly timer: InputTimer;
   at(ms: number, run: () => void): void;
-  /** The id of a new request; `onResponse` gets what the controller responds with. */
+  /** Returns the id of a new request; `onResponse` is called with the controller's response. */
   newRequest(onResponse: (response: never) => void): number;
-  /** Gives the controller an input. */
-  input(input: Input, kind: Kind): void;
+  /** Passes an input to the controller. */
+  input(input: Input, kind: InputKind): void;
 }
 
-/** How often machines send heartbeats when nothing changes. */
+/** Interval between the heartbeats of a machine whose tasks do not change. */
 export const HEARTBEAT_INTERVAL_MS = 5000;
-/** A change is reported no earlier than this after the last heartbeat. */
+/** Minimum time from one heartbeat to the next when a task has changed. */
 const CHANGE_INTERVAL_MS = 500;
 const BOOT_MS = 20_000;
 const BOOT_SPREAD_MS = 2000;
 const TASK_MS = 20_000;
 const TASK_SPREAD_MS = 40_000;
-/** With three controllers the leader keeps one machine in nine. */
-const DIRECT_EVERY = 9;
+/** One in this many machines sends its heartbeats to the leader itself, as with three controllers. */
+const MACHINES_PER_DIRECT = 9;
 const MAX_REQUEST_BYTES = 65_536;
 const FORWARDING_NODE = 'n-9' as NodeId;
 
-/** A machine that runs. */
+/** A running machine. */
 interface LoadMachine {
   id: string;
   type: string;
   zone: string;
   seq: number;
   fencingToken: number;
-  /** By task and attempt. */
+  /** Tasks by task id and attempt, as in `id@attempt`. */
   tasks: Map<string, WireTask>;
   sentAt: number;
   isAwaitingResponse: boolean;
   nextHeartbeatAt: number;
-  /** It speaks to another node, which forwards its heartbeats. */
+  /** Whether the machine sends its heartbeats to another node, which forwards them to the leader. */
   isForwarded: boolean;
-  /** What the leader has read of it through that node, and what it is being sent. */
-  lastRead: Heartbeat | null;
-  lastSent: Heartbeat | null;
+  /** The last heartbeat that the leader has accepted through that node, and the last one forwarded to it. */
+  lastAcknowledged: Heartbeat | null;
+  lastForwarded: Heartbeat | null;
 }
 
 const MACHINE_TYPE = {
@@ -78,18 +78,18 @@
 };
 const GPU_TYPE = { ...MACHINE_TYPE, name: 'gpu', gpus: 2, price: 4, spotPrice: 1.4 };
 
-/** Rents machines and plays them. */
+/** Rents out machines and simulates them. */
 export class LoadMachines {
   private readonly machines = new Map<string, LoadMachine>();
   private rented = 0;
 
   constructor(
     private readonly environment: MachineEnvironment,
-    /** How many machines there are to be rented. */
+    /** Number of machines that can be rented. */
     private readonly capacity: number,
   ) {}
 
-  /** Serves a request to the cloud. */
+  /** Returns the cloud's reply to a request. */
   serveCloud(request: CloudRequest): CloudReply {
     switch (request.kind) {
       case 'types':
@@ -104,31 +104,31 @@
   }
 
   /**
-   * Carries out what the leader sends a node that forwards heartbeats; `onResponse` gets the response on the
-   * wire.
+   * Handles a message of the leader to a node that forwards heartbeats; `onResponse` is called with the
+   * response that the node sends to the machine.
    */
   forwardResponse(
     message: PeerMessage,
     onResponse: (requestId: number, response: WireResponse) => void,
   ): void {
     if (message.kind !== 'forwarded-heartbeat-response') return;
-    const { lib, timer } = this.environment;
-    timer.timeCodec('report', () => lib.encodePeerMessage(message));
+    const { library, timer } = this.environment;
+    timer.timeCodec('report', () => library.encodePeerMessage(message));
     const { id, response } = message;
-    // The forwarding node writes the response for the machine: that is not counted.
-    if (response?.kind === 'commands') return onResponse(id, lib.encodeHeartbeatResponse(response));
+    // The forwarding node encodes the response for the machine, so that time is not counted.
+    if (response?.kind === 'commands') return onResponse(id, library.encodeHeartbeatResponse(response));
     onResponse(id, { status: response === null ? 421 : 409, body: '' });
   }
 
-  /** The leader is gone: what was on its way is lost, and what it has read. */
-  loseLeader(): void {
+  /** After the loss of the leader, drops pending requests and the heartbeats that the leader had accepted. */
+  onLeaderLost(): void {
     const { now, random } = this.environment;
     for (const machine of this.machines.values()) {
       if (!machine.isAwaitingResponse) continue;
       machine.isAwaitingResponse = false;
       this.scheduleHeartbeat(machine, now + random.below(4000));
     }
-    for (const machine of this.machines.values()) machine.lastRead = null;
+    for (const machine of this.machines.values()) machine.lastAcknowledged = null;
   }
 
   private rent(count: number, type: string, zone: string): CloudReply {
@@ -153,9 +153,9 @@
       sentAt: 0,
       isAwaitingResponse: false,
       nextHeartbeatAt: 0,
-      isForwarded: this.machines.size % DIRECT_EVERY !== 0,
-      lastRead: null,
-      lastSent: null,
+      isForwarded: this.machines.size % MACHINES_PER_DIRECT !== 0,
+      lastAcknowledged: null,
+      lastForwarded: null,
     };
     this.machines.set(id, machine);
     this.scheduleHeartbeat(machine, this.environment.now);
@@ -177,38 +177,36 @@
     const body = heartbeatBody(machine);
     const requestId = environment.newRequest((response: WireResponse) => this.onResponse(machine, response));
     if (machine.isForwarded) return this.forward(machine, requestId, JSON.parse(body));
-    const { lib, timer } = environment;
+    const { library, timer } = environment;
     const bytes = httpRequest(body);
     const heartbeat = timer.timeCodec('report', () => {
-      const request = new lib.HttpParser('request', MAX_REQUEST_BYTES).feed(bytes)[0]!;
-      return lib.parseHeartbeat(JSON.parse(request.body.toString('utf8')));
+      const request = new library.HttpParser('request', MAX_REQUEST_BYTES).feed(bytes)[0]!;
+      return library.parseHeartbeat(JSON.parse(request.body.toString('utf8')));
     });
     environment.input({ kind: 'heartbeat', requestId, heartbeat }, 'report');
   }
 
-  /**
-   * As the node that the machine speaks to does; only what the leader has to do with the frame is counted.
-   */
+  /** Forwards a heartbeat as another node would; only the leader's processing of the frame is counted. */
   private forward(machine: LoadMachine, id: number, body: unknown): void {
-    const { lib, timer } = this.environment;
-    const heartbeat = lib.parseHeartbeat(body);
-    const frame = lib.encodePeerMessage({
+    const { library, timer } = this.environment;
+    const heartbeat = library.parseHeartbeat(body);
+    const frame = library.encodePeerMessage({
       kind: 'forwarded-heartbeat',
       id,
-      heartbeat: this.forwardedForm(machine, heartbeat),
+      heartbeat: this.toForwardedHeartbeat(machine, heartbeat),
     });
-    const [message] = timer.timeCodec('report', () => new lib.PeerDecoder().feed(frame));
+    const [message] = timer.timeCodec('report', () => new library.PeerDecoder().feed(frame));
     this.environment.input({ kind: 'peer', node: FORWARDING_NODE, message: message! }, 'report');
   }
 
-  /** The whole heartbeat, or what has changed since the one that the leader has read. */
-  private forwardedForm(machine: LoadMachine, heartbeat: Heartbeat): ForwardedHeartbeat {
-    if (machine.lastRead === null) {
-      machine.lastSent = heartbeat;
+  /** The full heartbeat, or its difference to the last one that the leader has accepted. */
+  private toForwardedHeartbeat(machine: LoadMachine, heartbeat: Heartbeat): ForwardedHeartbeat {
+    if (machine.lastAcknowledged === null) {
+      machine.lastForwarded = heartbeat;
       return { kind: 'full', heartbeat };
     }
-    const diff = this.environment.lib.diffTaskLists(machine.lastRead.tasks, heartbeat.tasks);
-    machine.lastSent = { ...heartbeat, tasks: diff.tasks };
+    const diff = this.environment.library.diffTaskLists(machine.lastAcknowledged.tasks, heartbeat.tasks);
+    machine.lastForwarded = { ...heartbeat, tasks: diff.tasks };
     const { machine: id, agentEpoch, seq, fencingToken, preemptionNoticeS } = heartbeat;
     return {
       kind: 'delta',
@@ -217,7 +215,7 @@
       seq,
       fencingToken,
       preemptionNoticeS,
-      baseSeq: machine.lastRead.seq,
+      baseSeq: machine.lastAcknowledged.seq,
       ...diff,
     };
   }
@@ -225,7 +223,7 @@
   private onResponse(machine: LoadMachine, { status, body }: WireResponse): void {
     const isAccepted = status === 200;
     machine.isAwaitingResponse = false;
-    if (machine.isForwarded) machine.lastRead = isAccepted ? machine.lastSent : null;
+    if (machine.isForwarded) machine.lastAcknowledged = isAccepted ? machine.lastForwarded : null;
     const hasChanged = isAccepted && this.carryOut(machine, body);
     this.scheduleHeartbeat(
       machine,
@@ -237,7 +235,7 @@
     return Math.max(this.environment.now + 1, machine.sentAt + CHANGE_INTERVAL_MS);
   }
 
-  /** Whether anything has changed that the machine has to tell. */
+  /** Carries out the commands of a response; returns whether the machine has changes to report. */
   private carryOut(machine: LoadMachine, body: string): boolean {
     const { baton, orders } = JSON.parse(body) as WireResponseBody;
     const hasNewToken = baton > machine.fencingToken;
--- a/scripts/experiments/hotpath-store.ts
+++ b/scripts/experiments/hotpath-store.ts
@@ -1,4 +1,4 @@
-// The key-value store of the hotpath load, as plain as can be.
+// A minimal key-value store for the hotpath load.
 import type { Input } from '../../src/core/base/io.ts';
 import type { StoreItem, StoreReply, StoreRequest } from '../../src/core/base/model.ts';
 import type { Controller } from '../../src/core/controller.ts';
@@ -8,12 +8,12 @@
 
 interface Watch {
   prefix: string;
-  /** Changes after this revision are reported. */
+  /** Only changes after this revision are reported. */
   after: number;
   tag: number;
   controller: Controller;
-  /** Its time is over. */
-  hasEnded: boolean;
+  /** Whether its waiting time has elapsed. */
+  hasTimedOut: boolean;
 }
 
 interface Change {
@@ -21,20 +21,20 @@
   revision: number;
 }
 
-/** What the store needs of the load. */
+/** The simulated surroundings of the store. */
 export interface StoreEnvironment {
   readonly now: number;
   at(ms: number, run: () => void): void;
-  /** Gives the controller a reply, unless another one has taken its place. */
+  /** Passes a reply to the controller, unless another controller has replaced it. */
   reply(controller: Controller, tag: number, reply: StoreReply): void;
   isCurrent(controller: Controller): boolean;
 }
 
 const FIRST_REVISION = 100;
 const PAGE_SIZE = 500;
-/** Changes of so many revisions are kept for watches. */
-const HISTORY = 500;
-const NOTICE_MS = 1;
+/** Number of the latest revisions whose changes are kept for watches. */
+const HISTORY_REVISIONS = 500;
+const WATCH_DELAY_MS = 1;
 
 /** Serves the requests of one controller at a time. */
 export class LoadStore {
@@ -47,36 +47,36 @@
 
   constructor(private readonly environment: StoreEnvironment) {}
 
-  /** Opens a watch, which ends with the first changes that it reports, or when its time is over. */
+  /** Opens a watch, which ends with its first report of changes, or when its waiting time has elapsed. */
   watch(controller: Controller, tag: number, { prefix, after, waitMs }: WatchRequest): void {
-    const watch: Watch = { prefix, after, tag, controller, hasEnded: false };
+    const watch: Watch = { prefix, after, tag, controller, hasTimedOut: false };
     this.watches.push(watch);
     this.environment.at(this.environment.now + waitMs, () => {
-      watch.hasEnded = true;
+      watch.hasTimedOut = true;
       this.notifyWatches();
     });
     this.notifyWatches();
   }
 
-  /** Reports changes to watches. */
+  /** Replies to the watches that have changes to report or have timed out. */
   notifyWatches(): void {
     const { environment } = this;
     for (const watch of [...this.watches]) {
-      const news = this.changes.filter(
+      const matching = this.changes.filter(
         (change) => change.revision > watch.after && change.key.startsWith(watch.prefix),
       );
-      if (news.length === 0 && !watch.hasEnded) continue;
+      if (matching.length === 0 && !watch.hasTimedOut) continue;
       this.watches.splice(this.watches.indexOf(watch), 1);
       if (!environment.isCurrent(watch.controller)) continue;
-      const reply = this.changesReply([...new Set(news.map((change) => change.key))]);
-      environment.at(environment.now + NOTICE_MS, () =>
+      const reply = this.changesReply([...new Set(matching.map((change) => change.key))]);
+      environment.at(environment.now + WATCH_DELAY_MS, () =>
         environment.reply(watch.controller, watch.tag, reply),
       );
     }
-    this.changes = this.changes.filter((change) => change.revision > this.revision - HISTORY);
+    this.changes = this.changes.filter((change) => change.revision > this.revision - HISTORY_REVISIONS);
   }
 
-  /** Serves a request that is answered at once. */
+  /** Serves a request other than a watch. */
   serve(request: Exclude<StoreRequest, WatchRequest>): StoreReply {
     switch (request.kind) {
       case 'get':
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Deletes a key without a revision of its own, as when its lease has ended. */
+  /** Deletes a key without a new revision, as on the expiry of its lease. */
   expire(key: string): void {
     this.change(key, undefined);
   }
@@ -140,5 +140,5 @@
   }
 }
 
-/** The input that gives a controller a reply of the store. */
+/** The input that passes a reply of the store to a controller. */
 export const storeInput = (tag: number, reply: StoreReply): Input => ({ kind: 'store', tag, reply });
--- a/scripts/experiments/hotpath-timer.ts
+++ b/scripts/experiments/hotpath-timer.ts
@@ -1,7 +1,7 @@
-// Counts the processor time that inputs take, by kind, while it is measuring.
-import type { Kind } from './hotpath-lib.ts';
+// Measures the processor time that inputs take, by kind.
+import type { InputKind } from './hotpath-lib.ts';
 
-const noTimes = (): Record<Kind, number> => ({
+const noTimes = (): Record<InputKind, number> => ({
   report: 0,
   submit: 0,
   poll: 0,
@@ -13,26 +13,27 @@
 
 const microsecondsSince = (begin: bigint): number => Number(process.hrtime.bigint() - begin) / 1000;
 
-/** Times inputs, and methods within them that are counted for themselves. */
+/** Times inputs, and separately some methods that are called while inputs are processed. */
 export class InputTimer {
+  /** Time is only counted while this is true. */
   isMeasuring = false;
-  /** Microseconds by kind. */
+  /** Microseconds spent, by kind. */
   readonly spentUs = noTimes();
   readonly inputs = noTimes();
-  /** Microseconds of all methods that are counted for themselves. */
+  /** Microseconds spent in all methods that are counted separately. */
   private nestedUs = 0;
 
-  /** Times an input, without the methods that are counted for themselves. */
-  timeInput<T>(kind: Kind, work: () => T): T {
-    const nestedBefore = this.nestedUs;
+  /** Times an input, excluding the methods that are counted separately. */
+  timeInput<T>(kind: InputKind, work: () => T): T {
+    const nestedUsBefore = this.nestedUs;
     const begin = process.hrtime.bigint();
     const result = work();
-    this.count(kind, microsecondsSince(begin) - (this.nestedUs - nestedBefore));
+    this.count(kind, microsecondsSince(begin) - (this.nestedUs - nestedUsBefore));
     return result;
   }
 
-  /** Times work of a codec, which belongs to an input that is counted already. */
-  timeCodec<T>(kind: Kind, work: () => T): T {
+  /** Times a codec call; its time is added to the kind without counting another input. */
+  timeCodec<T>(kind: InputKind, work: () => T): T {
     const begin = process.hrtime.bigint();
     const result = work();
     if (this.isMeasuring) this.spentUs[kind] += microsecondsSince(begin);
@@ -40,9 +41,10 @@
   }
 
   /**
-   * Time spent in a method is counted for itself, not for the input that led to it; nor if it returns false.
+   * Patches a method so that its time is counted under `kind` instead of under the input that calls it. Calls
+   * that return false are counted under neither.
    */
-  timeMethod<T extends object>(prototype: T, name: keyof T & string, kind: Kind): void {
+  timeMethod<T extends object>(prototype: T, name: keyof T & string, kind: InputKind): void {
     const methods = prototype as unknown as Record<string, (...args: unknown[]) => unknown>;
     const method = methods[name]!;
     const timer = this;
@@ -56,25 +58,25 @@
     };
   }
 
-  /** Microseconds an input of each kind. */
-  usPerInput(): Record<Kind, number> {
+  /** Microseconds per input, by kind. */
+  usPerInput(): Record<InputKind, number> {
     const us = noTimes();
-    for (const kind of Object.keys(us) as Kind[])
+    for (const kind of Object.keys(us) as InputKind[])
       us[kind] = this.spentUs[kind] / Math.max(1, this.inputs[kind]);
     return us;
   }
 
-  /** Microseconds of all kinds together. */
+  /** Microseconds spent, over all kinds. */
   totalUs(): number {
     return Object.values(this.spentUs).reduce((total, us) => total + us, 0);
   }
 
-  /** Forgets the time that was spent. */
+  /** Resets the times spent to 0; the numbers of inputs stay. */
   resetTimes(): void {
     Object.assign(this.spentUs, noTimes());
   }
 
-  private count(kind: Kind, us: number): void {
+  private count(kind: InputKind, us: number): void {
     if (!this.isMeasuring) return;
     this.spentUs[kind] += us;
     this.inputs[kind]++;
--- a/scripts/experiments/hotpath-users.ts
+++ b/scripts/experiments/hotpath-users.ts
@@ -1,10 +1,11 @@
-// The users of the hotpath load: they submit jobs of three kinds and ask about them, on the wire's terms.
+// Simulates the users of the hotpath load: they submit jobs of three kinds in wire format and poll their
+// status.
 import type { MachineEnvironment } from './hotpath-machines.ts';
 
-/** What users need of the load: as much as machines do. */
+/** The simulated surroundings of the users, the same as those of the machines. */
 export type UserEnvironment = MachineEnvironment;
 
-/** What every job on the wire has. */
+/** Fields of the wire format that are equal in all jobs. */
 const COMMON = {
   urgency: 'normal',
   sizeGb: 2.5,
@@ -46,35 +47,37 @@
   accelerators: 1.0,
   memoryGb: 48.0,
 };
-/** Kinds of jobs, which are submitted in turn. */
+/** Kinds of jobs, submitted in rotation. */
 const KINDS = [ARRAY, GANG, GPU_ARRAY];
 const IMAGES = 12;
-/** Jobs and status requests come so often for each machine: as much of each is busy at any size. */
+/**
+ * Intervals of submissions and status requests per machine, so that utilization does not depend on the size.
+ */
 const SUBMIT_MS_PER_MACHINE = 1_200_000;
 const POLL_MS_PER_MACHINE = 60_000;
-/** At first there is a job for so many machines. */
+/** One job is submitted at the start for this many machines. */
 const MACHINES_PER_FIRST_JOB = 8;
 
-/** Submits jobs and asks about them. */
+/** Submits jobs and polls their status. */
 export class LoadUsers {
   private submitted = 0;
   private readonly openJobs: string[] = [];
 
   constructor(private readonly environment: UserEnvironment) {}
 
-  /** Work arrives in step with the number of machines from now on. */
-  begin(machines: number): void {
+  /** Starts the arrivals, at a rate proportional to the number of machines. */
+  start(machines: number): void {
     for (let i = 0; i < machines / MACHINES_PER_FIRST_JOB; i++) this.submit();
     this.repeat(SUBMIT_MS_PER_MACHINE / machines, () => this.submit());
     this.repeat(POLL_MS_PER_MACHINE / machines, () => this.poll());
   }
 
-  private repeat(everyMs: number, action: () => void): void {
-    const again = (): void => {
+  private repeat(intervalMs: number, action: () => void): void {
+    const runAndReschedule = (): void => {
       action();
-      this.environment.at(this.environment.now + everyMs, again);
+      this.environment.at(this.environment.now + intervalMs, runAndReschedule);
     };
-    again();
+    runAndReschedule();
   }
 
   private submit(): void {
@@ -90,7 +93,7 @@
     };
     const bytes = Buffer.from(JSON.stringify(body));
     const spec = environment.timer.timeCodec('submit', () =>
-      environment.lib.parseJob(JSON.parse(bytes.toString('utf8'))),
+      environment.library.parseJob(JSON.parse(bytes.toString('utf8'))),
     );
     const requestId = environment.newRequest(() => this.openJobs.push(nameId));
     environment.input({ kind: 'user', requestId, request: { op: 'submit', spec } }, 'submit');
--- a/scripts/experiments/hotpath-wire.ts
+++ b/scripts/experiments/hotpath-wire.ts
@@ -1,6 +1,6 @@
-// Heartbeats and their responses in the words of the wire, as machines of the hotpath load write and read them.
+// Wire format of heartbeats and their responses, as machines of the hotpath load write and read them.
 
-/** A task as it stands on the wire. */
+/** A task in wire format. */
 export interface WireTask {
   piece: string;
   try: number;
@@ -8,26 +8,26 @@
   cause?: string;
 }
 
-/** A command as it stands on the wire. */
+/** A command in wire format. */
 export interface WireCommand {
   verb: string;
   piece: string;
   try: number;
 }
 
-/** The body of a heartbeat's response, with the token of the leader. */
+/** The body of a heartbeat response: the leader's fencing token (`baton`) and the commands (`orders`). */
 export interface WireResponseBody {
   baton: number;
   orders: WireCommand[];
 }
 
-/** A heartbeat's response as it stands on the wire. */
+/** A heartbeat response in wire format. */
 export interface WireResponse {
   status: number;
   body: string;
 }
 
-/** What a heartbeat says of its machine. */
+/** The state of a machine that a heartbeat reports. */
 export interface WireMachine {
   id: string;
   type: string;
@@ -37,7 +37,7 @@
   tasks: ReadonlyMap<string, WireTask>;
 }
 
-/** A heartbeat in the words of the wire. */
+/** The body of a heartbeat in wire format. */
 export function heartbeatBody(machine: WireMachine): string {
   return JSON.stringify({
     berth: machine.id,
@@ -53,7 +53,7 @@
   });
 }
 
-/** The bytes of the HTTP request that a machine sends. */
+/** The bytes of a heartbeat's HTTP request. */
 export function httpRequest(body: string): Buffer {
   const head = `POST /checkin HTTP/1.1\r\nHost: 10.0.0.1:80\r\nContent-Type: application/json\r\nContent-Length: ${body.length}\r\n\r\n`;
   return Buffer.from(head + body);
--- a/scripts/experiments/plot.ts
+++ b/scripts/experiments/plot.ts
@@ -1,24 +1,25 @@
-// The fleet experiment's outcome as an SVG: for each day, each class's wait at the 90th percentile and each
-// team's part of its fair share, side by side.
+// Plots the results of the fleet experiment as an SVG: for each day, the 90th percentile of each class's wait
+// and the fraction of its fair share that each team used, with the compared sides in different colours.
 import { parse, type Spec, View } from 'vega';
-import type { Played } from './fleet-types.ts';
+import type { DayResult } from './fleet-types.ts';
 
-/** The plot of all days that were played, as an SVG. */
-export async function plot(played: Played[]): Promise<string> {
-  const waits = played.flatMap(({ day, machines, side, out }) =>
-    Object.entries(out.classes).map(([name, { wait }]) => ({
+/** Plots the given results as an SVG. */
+export async function plot(results: DayResult[]): Promise<string> {
+  const waits = results.flatMap(({ day, machines, side, outcome }) =>
+    Object.entries(outcome.classes).map(([name, { wait }]) => ({
       at: `${day} ${machines}, ${name}`,
       side,
       value: wait.p90,
     })),
   );
-  const shares = played.flatMap(({ day, machines, side, out }) =>
-    Object.values(out.fair).map((value) => ({ at: `${day} ${machines}`, side, value })),
+  const shares = results.flatMap(({ day, machines, side, outcome }) =>
+    Object.values(outcome.fair).map((value) => ({ at: `${day} ${machines}`, side, value })),
   );
   const view = new View(parse(spec(waits, shares)), { renderer: 'none' });
   return view.toSVG();
 }
 
+/** A point of a plot; `at` is its row on the vertical axis. */
 interface Value {
   at: string;
   side: string;
@@ -27,7 +28,7 @@
 
 const PANEL_SIZE = 420;
 
-/** Scales of a panel: the value, and what it is of. */
+/** Scales of a panel: the value horizontally, the row vertically. */
 function scalesOf(data: string) {
   const range = [0, PANEL_SIZE];
   return [
@@ -36,7 +37,7 @@
   ];
 }
 
-/** Points of a data set, by what they are of and by side. */
+/** A panel with the points of a data set, coloured by side. */
 function panel(data: string, title: string, shape: string) {
   return {
     type: 'group' as const,
@@ -86,7 +87,7 @@
     legends: [{ fill: 'side', title: 'version', orient: 'right' }],
     marks: [
       panel('waits', 'wait of a class, 90th percentile (s)', 'circle'),
-      panel('shares', "a team's part of its fair share", 'diamond'),
+      panel('shares', "fraction of a team's fair share", 'diamond'),
     ],
   };
 }
