--- a/test/architecture.test.ts
+++ b/test/architecture.test.ts
@@ -1,24 +1,24 @@
-// docs/architecture.md says who may import whom; this holds it against the imports.
+// Checks the imports of all source files against the tables of allowed imports in docs/architecture.md.
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { dirname, join, normalize } from 'node:path';
 import { test } from 'node:test';
 
-/** Rows of the tables whose first column has this heading: name to what it may import. */
-function table(page: string, heading: string): Map<string, Set<string>> {
-  const lines = page.split('\n');
-  const from = lines.findIndex((l) => l.startsWith(`| ${heading} |`));
-  const out = new Map<string, Set<string>>();
-  for (const line of lines.slice(from + 2)) {
+/** Reads the table whose first column is headed `heading`: each name, with the names that it may import. */
+function allowedImports(markdown: string, heading: string): Map<string, Set<string>> {
+  const lines = markdown.split('\n');
+  const headingIndex = lines.findIndex((line) => line.startsWith(`| ${heading} |`));
+  const allowed = new Map<string, Set<string>>();
+  for (const line of lines.slice(headingIndex + 2)) {
     if (!line.startsWith('|')) break;
-    const [name, , may] = line.split('|').slice(1, -1);
-    const names = may!
+    const [name, , imported] = line.split('|').slice(1, -1);
+    const names = imported!
       .split(',')
       .map((n) => n.trim())
       .filter((n) => n !== '');
-    out.set(name!.trim(), new Set(names));
+    allowed.set(name!.trim(), new Set(names));
   }
-  return out;
+  return allowed;
 }
 
 const sources = (dir: string): string[] =>
@@ -31,31 +31,31 @@
     normalize(join(dirname(file), m[1]!)),
   );
 
-/** A way from a node back to itself, or null. */
-function circle(graph: Map<string, string[]>): string[] | null {
-  const state = new Map<string, 'open' | 'closed'>();
+/** A cycle of the graph, as a path that begins and ends at the same node; null if there is none. */
+function findCycle(graph: Map<string, string[]>): string[] | null {
+  const state = new Map<string, 'visiting' | 'visited'>();
   const path: string[] = [];
-  const visit = (n: string): string[] | null => {
-    if (state.get(n) === 'closed') return null;
-    if (state.get(n) === 'open') return [...path.slice(path.indexOf(n)), n];
-    state.set(n, 'open');
-    path.push(n);
-    for (const next of graph.get(n) ?? []) {
-      const found = visit(next);
-      if (found !== null) return found;
+  const visit = (node: string): string[] | null => {
+    if (state.get(node) === 'visited') return null;
+    if (state.get(node) === 'visiting') return [...path.slice(path.indexOf(node)), node];
+    state.set(node, 'visiting');
+    path.push(node);
+    for (const next of graph.get(node) ?? []) {
+      const cycle = visit(next);
+      if (cycle !== null) return cycle;
     }
     path.pop();
-    state.set(n, 'closed');
+    state.set(node, 'visited');
     return null;
   };
-  for (const n of graph.keys()) {
-    const found = visit(n);
-    if (found !== null) return found;
+  for (const node of graph.keys()) {
+    const cycle = visit(node);
+    if (cycle !== null) return cycle;
   }
   return null;
 }
 
-const page = readFileSync('docs/architecture.md', 'utf8');
+const architectureDoc = readFileSync('docs/architecture.md', 'utf8');
 const files = [...sources('src'), ...sources('packages').filter((f) => f.includes('/src/'))];
 const graph = new Map(files.map((f) => [f, imports(f)]));
 
@@ -63,32 +63,33 @@
 const folderOf = (f: string): string =>
   f.startsWith('packages/') ? 'packages' : f.split('/').slice(0, 2).join('/');
 
-test('no file imports itself by way of others', () => {
-  assert.equal(circle(graph)?.join(' -> ') ?? null, null);
+test('no file imports itself, directly or through other files', () => {
+  assert.equal(findCycle(graph)?.join(' -> ') ?? null, null);
 });
 
-test('modules and folders import what the page allows them, and the page names all of them', () => {
-  const modules = table(page, 'module');
-  const folders = table(page, 'folder');
-  const wrong: string[] = [];
+test('modules and folders import only what docs/architecture.md allows, and it lists all of them', () => {
+  const modules = allowedImports(architectureDoc, 'module');
+  const folders = allowedImports(architectureDoc, 'folder');
+  const forbidden: string[] = [];
   for (const [file, targets] of graph) {
-    for (const to of targets) {
-      const [a, b] = [folderOf(file), folderOf(to)];
-      if (a !== b && folders.get(a)?.has(b) !== true) wrong.push(`${file} imports ${to}`);
-      const [r, s] = [moduleOf(file), moduleOf(to)];
+    for (const target of targets) {
+      const [fromFolder, toFolder] = [folderOf(file), folderOf(target)];
+      if (fromFolder !== toFolder && folders.get(fromFolder)?.has(toFolder) !== true)
+        forbidden.push(`${file} imports ${target}`);
+      const [fromModule, toModule] = [moduleOf(file), moduleOf(target)];
       if (
-        r !== null &&
-        r !== s &&
-        to.startsWith('src/core/') &&
-        (s === null || modules.get(r)?.has(s) !== true)
+        fromModule !== null &&
+        fromModule !== toModule &&
+        target.startsWith('src/core/') &&
+        (toModule === null || modules.get(fromModule)?.has(toModule) !== true)
       )
-        wrong.push(`${file} imports ${to}`);
+        forbidden.push(`${file} imports ${target}`);
     }
   }
-  assert.deepEqual(wrong, []);
-  const used = new Set(files.map(moduleOf).filter((r) => r !== null));
-  assert.deepEqual([...used].sort(), [...modules.keys()].sort());
+  assert.deepEqual(forbidden, []);
+  const usedModules = new Set(files.map(moduleOf).filter((name) => name !== null));
+  assert.deepEqual([...usedModules].sort(), [...modules.keys()].sort());
   assert.deepEqual([...new Set(files.map(folderOf))].sort(), [...folders.keys()].sort());
-  const asGraph = new Map([...modules].map(([r, may]) => [r, [...may]]));
-  assert.equal(circle(asGraph)?.join(' -> ') ?? null, null);
+  const moduleGraph = new Map([...modules].map(([name, allowed]) => [name, [...allowed]]));
+  assert.equal(findCycle(moduleGraph)?.join(' -> ') ?? null, null);
 });
--- a/test/behaviour.test.ts
+++ b/test/behaviour.test.ts
@@ -1,5 +1,5 @@
-// What proves that a change of the sources leaves behaviour alone: digests of drawn histories, and records
-// and messages as version 0.9.0 writes them.
+// Checks that a change of the sources leaves the behaviour as it is. Digests of random histories of faults
+// are compared with stored digests, and records and messages with those that version 0.9.0 writes.
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { describe, it } from 'node:test';
@@ -18,7 +18,7 @@
 const fixture = (name: string): unknown =>
   JSON.parse(readFileSync(new URL(`./fixtures/${name}`, import.meta.url), 'utf8'));
 
-/** Of the seeds that `npm run behaviour` checks, those that every test run does. */
+/** The seeds that every test run checks, out of those that `npm run behaviour` checks. */
 const SEEDS = ['1', '2', '3'];
 
 interface Golden {
@@ -29,26 +29,26 @@
 const golden = fixture('golden-0.9.0.json') as Golden;
 
 describe('digest of behaviour', () => {
-  const kept = fixture('behaviour-digests.json') as Record<string, string>;
+  const storedDigests = fixture('behaviour-digests.json') as Record<string, string>;
 
   for (const seed of SEEDS)
-    it(`is the one that was kept for the histories of seed ${seed}`, () => {
-      assert.equal(digestOfSeed(Number(seed)), kept[seed]);
+    it(`equals the stored digest for the histories of seed ${seed}`, () => {
+      assert.equal(digestOfSeed(Number(seed)), storedDigests[seed]);
     });
 
-  it('covers twenty seeds', () => {
-    assert.equal(Object.keys(kept).length, 20);
+  it('is stored for twenty seeds', () => {
+    assert.equal(Object.keys(storedDigests).length, 20);
   });
 
-  it('sees one changed byte, two messages in another order, another time and another sender', () => {
+  it('changes with one byte, the order of two messages, the time of a message or its sender', () => {
     const messages: { nowMs: number; node: string; bytes: Buffer }[] = [];
     listenToHistory(drawHistories(1)[0]!, (nowMs, node, bytes) => messages.push({ nowMs, node, bytes }));
     const digest = (): string => {
-      const d = new BehaviourDigest();
-      for (const m of messages) d.add(m.nowMs, m.node, m.bytes);
-      return d.hex();
+      const behaviour = new BehaviourDigest();
+      for (const { nowMs, node, bytes } of messages) behaviour.add(nowMs, node, bytes);
+      return behaviour.hex();
     };
-    const whole = digest();
+    const original = digest();
     const middle = Math.floor(messages.length / 2);
     const changes: ((m: { nowMs: number; node: string; bytes: Buffer }) => object)[] = [
       (m) => ({ ...m, bytes: Buffer.from(m.bytes.map((b, i) => (i === m.bytes.length - 1 ? b ^ 1 : b))) }),
@@ -56,18 +56,18 @@
       (m) => ({ ...m, node: `${m.node}0` }),
     ];
     for (const change of changes) {
-      const before = messages[middle]!;
-      messages[middle] = { ...before, ...change(before) };
-      assert.notEqual(digest(), whole);
-      messages[middle] = before;
+      const message = messages[middle]!;
+      messages[middle] = { ...message, ...change(message) };
+      assert.notEqual(digest(), original);
+      messages[middle] = message;
     }
-    const at = messages.findIndex((m, i) => i >= middle && !m.bytes.equals(messages[i + 1]!.bytes));
-    messages.splice(at, 2, messages[at + 1]!, messages[at]!);
-    assert.notEqual(digest(), whole);
+    const index = messages.findIndex((m, i) => i >= middle && !m.bytes.equals(messages[i + 1]!.bytes));
+    messages.splice(index, 2, messages[index + 1]!, messages[index]!);
+    assert.notEqual(digest(), original);
   });
 
-  it('sees one more random draw in a controller', () => {
-    const play = (drawsMore: boolean): string => {
+  it('changes with one more random draw in a controller', () => {
+    const play = (hasExtraDraw: boolean): string => {
       const digest = new BehaviourDigest();
       const world = new SimulatedWorld(
         {},
@@ -78,7 +78,7 @@
       const leader = world.nodes.get(world.owner!)! as unknown as {
         io: { random: ReturnType<typeof seededRandom> };
       };
-      if (drawsMore) leader.io.random.below(2);
+      if (hasExtraDraw) leader.io.random.below(2);
       for (let i = 0; i < 30; i++) world.submit(job(`run-${i}`));
       world.run(30);
       return digest.hex();
@@ -89,7 +89,7 @@
 });
 
 describe('golden bytes of version 0.9.0', () => {
-  it('holds every kind of record', () => {
+  it('hold a record of every kind', () => {
     const kinds = new Set(
       golden.stored.map((line) => (JSON.parse(line) as [string])[0].replace(/[^/]*$/, '')),
     );
@@ -109,15 +109,15 @@
     assert.ok(kinds.has('a/run-waiting/'));
   });
 
-  it('are what is written to the key-value store', () => {
+  it('equal the records that are written to the key-value store', () => {
     assert.deepEqual(writeEveryKindOfRecord(), golden.stored);
   });
 
-  it('are read as they were: new controllers that begin with these records send the same', () => {
+  it('are read correctly: new controllers that start from these records send the expected messages', () => {
     assert.deepEqual(digestAfterReading(golden.stored), golden.afterReading);
   });
 
-  it('are what controllers send to each other, and are read and written again byte for byte', () => {
+  it('equal the messages between controllers, and stay the same bytes after decoding and encoding', () => {
     const frames = PEER_MESSAGES.map((m) => encodePeerMessage(m).toString('hex'));
     assert.deepEqual(frames, golden.peer);
     for (const frame of golden.peer) {
--- a/test/documentation.test.ts
+++ b/test/documentation.test.ts
@@ -1,10 +1,11 @@
-// Public parts are documented: every export of the sources has a doc comment, and every module begins with one on its job.
+// Checks that every export of the sources has a doc comment, and that every module begins with a comment on
+// its purpose.
 import assert from 'node:assert/strict';
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { describe, it } from 'node:test';
 
-/** Folders in which everything is documented. A folder joins this list when it is whole, and never leaves it. */
+/** The folders that are checked. A folder is added once all of it is documented, and is never removed. */
 const DOCUMENTED = ['src', 'packages/client/src', 'packages/local-cluster/src', 'scripts', 'test/support'];
 
 const sources = (folder: string): string[] =>
@@ -12,18 +13,21 @@
     .filter((file) => file.endsWith('.ts') && !file.endsWith('.d.ts') && !file.includes('generated'))
     .map((file) => join(folder, file));
 
-/** A declaration that is exported where it stands; lists of re-exported names have their comments at the source. */
+/**
+ * Matches an exported declaration. Re-exported names are not matched: they are documented at their
+ * declaration.
+ */
 const EXPORTED =
   /^export (?:default )?(?:abstract |async |declare )*(?:class|const enum|const|enum|function\*?|interface|let|type(?! [{*])) /;
 
-/** Lines that begin an export without a doc comment right before them, as `file:line`. */
+/** Exported declarations without a doc comment on the line before, each as `file:line` and its text. */
 function undocumented(file: string): string[] {
   const lines = readFileSync(file, 'utf8').split('\n');
   const missing: string[] = [];
   lines.forEach((line, index) => {
     if (!EXPORTED.test(line)) return;
-    const before = lines[index - 1]?.trimEnd() ?? '';
-    if (!before.endsWith('*/')) missing.push(`${file}:${index + 1} ${line}`);
+    const previousLine = lines[index - 1]?.trimEnd() ?? '';
+    if (!previousLine.endsWith('*/')) missing.push(`${file}:${index + 1} ${line}`);
   });
   return missing;
 }
@@ -34,11 +38,11 @@
       assert.deepEqual(sources(folder).flatMap(undocumented), []);
     });
 
-    it(`has a comment on its job at the top of each module of ${folder}`, () => {
-      const bare = sources(folder).filter(
+    it(`has a comment on its purpose at the top of each module of ${folder}`, () => {
+      const uncommented = sources(folder).filter(
         (file) => !/^(#!.*\n)?\s*(\/\/|\/\*)/.test(readFileSync(file, 'utf8')),
       );
-      assert.deepEqual(bare, []);
+      assert.deepEqual(uncommented, []);
     });
   }
 });
--- a/test/fleet-experiment.test.ts
+++ b/test/fleet-experiment.test.ts
@@ -1,5 +1,5 @@
-// The fleet experiment's world at a size that CI can play: whole days with failures, and nothing broken, lost
-// or unserved.
+// Plays the days of the fleet experiment, with their failures, on a fleet small enough for CI: no rule is
+// broken, every job is accepted, and at least half the jobs of every class and team are done.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { arrivals } from '../scripts/experiments/fleet-arrivals.ts';
@@ -21,14 +21,14 @@
 
 describe('the fleet experiment', () => {
   for (const day of DAYS)
-    it(`a day of a whole fleet, ${day.name}: ${day.about}`, () => {
+    it(`breaks no rule and serves every class and team on the day ${day.name}: ${day.about}`, () => {
       const outcome = new FleetWorld({ Controller, seededRandom }, day, setup).play();
       assert.deepEqual(outcome.broken, []);
       for (const [name, served] of [...Object.entries(outcome.classes), ...Object.entries(outcome.teams)])
         assert.ok(served.done >= served.jobs * 0.5, `${name}: ${served.done} of ${served.jobs}`);
       const accepted = Object.values(outcome.classes).reduce((total, served) => total + served.jobs, 0);
       const { machines, teams, arriveS, seed } = setup;
-      const drawn = arrivals(day, machines, teams, arriveS, seededRandom(seed));
-      assert.equal(accepted, drawn.length, 'a job was never accepted');
+      const arrived = arrivals(day, machines, teams, arriveS, seededRandom(seed));
+      assert.equal(accepted, arrived.length, `${accepted} of ${arrived.length} jobs were accepted`);
     });
 });
--- a/test/production-version.test.ts
+++ b/test/production-version.test.ts
@@ -1,5 +1,5 @@
-// The version in production beside configuration documents: it must not be elected once there are any. Its
-// program is built from this repository's history.
+// Tests a controller of the version in production beside controllers of this version: it must not be elected
+// once configuration documents are stored. Its program is built from this repository's history.
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFileSync, spawn } from 'node:child_process';
 import { mkdirSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -13,29 +13,27 @@
 import { parseSettings } from '../src/protocol/settings.ts';
 import { team } from './support/operator.ts';
 
-const WORK = 'target/production';
-/**
- * Longer than the lease of a controller that stands still, and than the election of the next leader takes.
- */
+const BUILD_DIR = 'target/production';
+/** Long enough for the lease of a suspended controller to expire, and for the next leader to be elected. */
 const FAILOVER_MS = 7000;
 
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Builds the program of the version in production; its path. */
+/** Builds the program of the version in production; returns its path. */
 async function buildProductionVersion(): Promise<string> {
   const revision = /^production = "([0-9a-f]{40})"$/m.exec(readFileSync('deploy/service.toml', 'utf8'))![1]!;
-  rmSync(WORK, { recursive: true, force: true });
-  mkdirSync(WORK, { recursive: true });
+  rmSync(BUILD_DIR, { recursive: true, force: true });
+  mkdirSync(BUILD_DIR, { recursive: true });
   const archive = execFileSync('git', ['archive', revision, 'src', 'package.json'], { maxBuffer: 64 << 20 });
-  execFileSync('tar', ['-x', '-C', WORK], { input: archive });
-  const outfile = join(WORK, 'main.js');
+  execFileSync('tar', ['-x', '-C', BUILD_DIR], { input: archive });
+  const outfile = join(BUILD_DIR, 'main.js');
   await build({
     bundle: true,
     platform: 'node',
     target: 'node20',
     format: 'esm',
     banner: { js: "import{createRequire}from'node:module';const require=createRequire(import.meta.url);" },
-    entryPoints: [join(WORK, 'src/cli/main.ts')],
+    entryPoints: [join(BUILD_DIR, 'src/cli/main.ts')],
     outfile,
     external: ['./hcl-parser.js'],
     logLevel: 'silent',
@@ -43,7 +41,7 @@
   return outfile;
 }
 
-/** Makes a first change of the configuration, as an operator. */
+/** Makes the first change of the configuration, as an operator does. */
 async function limitTeam(settingsFile: string): Promise<void> {
   const settings = parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'));
   const http = storeClient(settings);
@@ -53,7 +51,7 @@
   http.close();
 }
 
-/** The settings of a controller of the version in production beside the others; their path. */
+/** Writes the settings of a controller of the version in production; returns the path of the file. */
 async function writeOldSettings(dir: string, settingsFile: string): Promise<string> {
   const addresses = {
     bind: `127.0.0.1:${await freePort()}`,
@@ -87,7 +85,7 @@
     const settingsFile = join(dir, 'node-0.json');
     await limitTeam(settingsFile);
     assert.deepEqual(lab.recorded(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
-    // All controllers of this version stand still, and their leases expire.
+    // Suspends all controllers of this version, so that their leases expire.
     for (const controller of lab.controllers) endGroup(controller.process!.pid!, 'SIGSTOP');
     const oldSettingsFile = await writeOldSettings(dir, settingsFile);
     oldController = spawn(process.execPath, [program, 'serve', '--config', oldSettingsFile], {
--- a/test/regression-levels.test.ts
+++ b/test/regression-levels.test.ts
@@ -1,4 +1,4 @@
-// What `npm run regress` calls a failure, told from the bench's journal.
+// Tests which results in the bench's journal `npm run regress` reports as failures or as suspected falls.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import {
@@ -9,45 +9,46 @@
   type PlayedSite,
 } from '../scripts/regression-levels.ts';
 
-const day = (over: Partial<PlayedDay> = {}): PlayedDay => ({
+const playedDay = (overrides: Partial<PlayedDay> = {}): PlayedDay => ({
   name: 'rough',
   seed: 7,
   score: 0.6,
   rules: {},
   fault: null,
-  ...over,
+  ...overrides,
 });
-const played = (over: Partial<PlayedSite> = {}): PlayedSite => ({
+const playedSite = (overrides: Partial<PlayedSite> = {}): PlayedSite => ({
   site: 'a',
   score: 0.6,
   error: null,
-  days: [day()],
-  ...over,
+  days: [playedDay()],
+  ...overrides,
 });
 
 describe('regression levels', () => {
-  it('a broken rule, a failed day and an empty run fail whatever the figure; a fall beyond noise is a suspicion', () => {
-    assert.deepEqual(findingsOf(played(), 0.62), []);
-    assert.deepEqual(findingsOf(played(), null), []);
+  it('a broken rule, a failed day and an empty run fail at any score; a score below the level by more than noise is a suspected fall', () => {
+    assert.deepEqual(findingsOf(playedSite(), 0.62), []);
+    assert.deepEqual(findingsOf(playedSite(), null), []);
     assert.match(
-      JSON.stringify(findingsOf(played({ days: [day({ rules: { quota: 2 } })] }), 0.1)),
+      JSON.stringify(findingsOf(playedSite({ days: [playedDay({ rules: { quota: 2 } })] }), 0.1)),
       /rough.*quota 2/,
     );
     assert.match(
-      JSON.stringify(findingsOf(played({ days: [day({ fault: 'no answers' })] }), 0.1)),
+      JSON.stringify(findingsOf(playedSite({ days: [playedDay({ fault: 'no answers' })] }), 0.1)),
       /no answers/,
     );
-    assert.equal(findingsOf(played({ days: [day({ score: 0 })] }), 0.1).length, 1);
-    const served = (part: number) => played({ days: [day({ served: [['team red', 0.3, part]] })] });
-    assert.match(JSON.stringify(findingsOf(served(0.49), 0.1)), /team red served 0.49/);
-    assert.deepEqual(findingsOf(served(0.5), 0.6), []);
-    assert.equal(findingsOf(played({ error: 'not built', days: [] }), 0.1).length, 2);
-    assert.deepEqual(findingsOf(played({ score: 0.58 }), 0.62), [
+    assert.equal(findingsOf(playedSite({ days: [playedDay({ score: 0 })] }), 0.1).length, 1);
+    const withStarted = (started: number) =>
+      playedSite({ days: [playedDay({ served: [['team red', 0.3, started]] })] });
+    assert.match(JSON.stringify(findingsOf(withStarted(0.49), 0.1)), /team red served 0.49/);
+    assert.deepEqual(findingsOf(withStarted(0.5), 0.6), []);
+    assert.equal(findingsOf(playedSite({ error: 'not built', days: [] }), 0.1).length, 2);
+    assert.deepEqual(findingsOf(playedSite({ score: 0.58 }), 0.62), [
       { kind: 'lower', site: 'a', score: 0.58, level: 0.62 },
     ]);
   });
 
-  it('a suspected fall is judged by the fixed plays that have a level, and by nothing when none has', () => {
+  it('a suspected fall is measured on the fixed days that have a level, and is null if none has one', () => {
     const level: Level = {
       file: 'a.toml',
       quick: null,
@@ -58,8 +59,11 @@
         { day: 'zone', seed: 9, score: null },
       ],
     };
-    const fall = fixedFall(level, [day({ score: 0.5 }), day({ name: 'calm', seed: 8, score: 0.78 })]);
+    const fall = fixedFall(level, [
+      playedDay({ score: 0.5 }),
+      playedDay({ name: 'calm', seed: 8, score: 0.78 }),
+    ]);
     assert.ok(fall !== null && Math.abs(fall - 0.06) < 1e-9);
-    assert.equal(fixedFall(level, [day({ name: 'zone', seed: 9 })]), null);
+    assert.equal(fixedFall(level, [playedDay({ name: 'zone', seed: 9 })]), null);
   });
 });
--- a/test/scale-experiment.test.ts
+++ b/test/scale-experiment.test.ts
@@ -1,5 +1,5 @@
-// The scale experiment: its index of placements, its lines, what it refuses, and that it leaves nothing
-// behind.
+// Tests the scale experiment: its index of placements, its line fit, the runs and options that it rejects,
+// and that it leaves no process running.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { readdirSync, readFileSync } from 'node:fs';
@@ -16,10 +16,10 @@
 import { job } from './support/simulated-world.ts';
 
 const RUN = ['--import', 'tsx', 'scripts/experiments/run.ts', 'scale'];
-const place = (id: string): Place => ({ id, type: 'plain', zone: 'zone-0', spot: false });
-const machines = new Map(['i-1', 'i-2'].map((id) => [id, place(id)]));
+const createMachine = (id: string): Place => ({ id, type: 'plain', zone: 'zone-0', spot: false });
+const machines = new Map(['i-1', 'i-2'].map((id) => [id, createMachine(id)]));
 
-function checkedWorkers(limitCpus: number, rooms: () => Room[] = () => []) {
+function createFixture(limitCpus: number, freeCapacity: () => Room[] = () => []) {
   const specs = new Map<string, JobSpec>([
     ['run-1', job('run-1', { team: 'small' as TeamName, tasks: 3, cpus: 2 })],
   ]);
@@ -27,7 +27,11 @@
     (id) => machines.get(id),
     (id) => specs.get(id),
   );
-  const limits = { cancelMs: 40_000, limitOf: () => ({ ...UNLIMITED, cpus: limitCpus }), rooms };
+  const limits = {
+    cancelMs: 40_000,
+    limitOf: () => ({ ...UNLIMITED, cpus: limitCpus }),
+    rooms: freeCapacity,
+  };
   const rules = new RuleChecker(limits, placements);
   const observations = new ObservationQueue(rules, placements, (id) => machines.get(id));
   const request = { op: 'submit' as const, spec: specs.get('run-1')! };
@@ -38,29 +42,29 @@
   return { rules, observations, placements };
 }
 
-/** Processes that descend from this one, by their command lines. */
+/** The ids of all processes that descend from the process `pid`. */
 function descendants(pid: number): number[] {
-  const parents = new Map<number, number[]>();
+  const childrenByParent = new Map<number, number[]>();
   for (const name of readdirSync('/proc').filter((n) => /^\d+$/.test(n)))
     try {
       const stat = readFileSync(`/proc/${name}/stat`, 'utf8');
       const parent = Number(stat.slice(stat.lastIndexOf(')') + 2).split(' ')[1]);
-      parents.set(parent, [...(parents.get(parent) ?? []), Number(name)]);
+      childrenByParent.set(parent, [...(childrenByParent.get(parent) ?? []), Number(name)]);
     } catch {
-      // It has ended meanwhile.
+      // The process ended after the directory was listed.
     }
   const found: number[] = [];
-  for (const todo = [pid]; todo.length > 0; ) {
-    const children = parents.get(todo.pop()!) ?? [];
+  for (const unvisited = [pid]; unvisited.length > 0; ) {
+    const children = childrenByParent.get(unvisited.pop()!) ?? [];
     found.push(...children);
-    todo.push(...children);
+    unvisited.push(...children);
   }
   return found;
 }
 
 describe('the scale experiment', () => {
-  it('what the workers of the experiment say is judged in the order of its times, however its batches come', () => {
-    const { rules, observations, placements } = checkedWorkers(4);
+  it('observations of workers are checked in the order of their times, in whatever order their batches arrive', () => {
+    const { rules, observations, placements } = createFixture(4);
     observations.add([{ at: 300, kind: 'on', task: 'run-1/0', machine: 'i-2' }]);
     observations.add([
       { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
@@ -69,11 +73,11 @@
     observations.advance(5000);
     assert.deepEqual(rules.broken, []);
     assert.deepEqual([placements.size, placements.usedBy('small').cpus], [1, 2]);
-    assert.equal(placements.room(place('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
+    assert.equal(placements.room(createMachine('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
   });
 
-  it('a task on two machines and a team above its limit are seen', () => {
-    const { rules, observations } = checkedWorkers(4);
+  it('a task on two machines and a team above its limit are reported', () => {
+    const { rules, observations } = createFixture(4);
     observations.add([
       { at: 100, kind: 'on', task: 'run-1/0', machine: 'i-1' },
       { at: 200, kind: 'on', task: 'run-1/0', machine: 'i-2' },
@@ -84,27 +88,32 @@
     assert.match(rules.broken.join('\n'), /quota: small uses 6 of 4 CPUs/);
   });
 
-  it('room counts that a machine has had for several reports, and not what comes and goes', () => {
-    const lasting = new LastingRooms();
-    const room = (id: string, cpus: number) => ({ machine: place(id), cpus, gpus: 0, memoryGb: 8 });
+  it('capacity of a machine counts as free only if it has been free at several checks in a row', () => {
+    const lastingCapacity = new LastingRooms();
+    const freeCapacity = (id: string, cpus: number) => ({
+      machine: createMachine(id),
+      cpus,
+      gpus: 0,
+      memoryGb: 8,
+    });
     let found: string[] = [];
-    for (let look = 0; look < 20; look++)
-      found = [...lasting.look([room('i-1', 4), room('i-2', look % 5 === 0 ? 4 : 0)])].map(
-        (free) => `${free.machine.id} ${free.cpus}`,
-      );
+    for (let check = 0; check < 20; check++)
+      found = [
+        ...lastingCapacity.look([freeCapacity('i-1', 4), freeCapacity('i-2', check % 5 === 0 ? 4 : 0)]),
+      ].map((free) => `${free.machine.id} ${free.cpus}`);
     assert.deepEqual(found, ['i-1 4', 'i-2 0']);
   });
 
-  it('a job left beside room that lasts is seen', () => {
-    const { rules, observations } = checkedWorkers(4, () => [
-      { machine: place('i-1'), cpus: 8, gpus: 0, memoryGb: 8 },
+  it('a job that waits though a machine has lasting free capacity is reported', () => {
+    const { rules, observations } = createFixture(4, () => [
+      { machine: createMachine('i-1'), cpus: 8, gpus: 0, memoryGb: 8 },
     ]);
     observations.add([{ at: 2, kind: 'over' }]);
     for (let seconds = 2; seconds < 120; seconds++) observations.advance(seconds * 1000);
     assert.match(rules.broken.join('\n'), /left_waiting: run-1/);
   });
 
-  it('a line through what was measured has its slope, and says how far off it is', () => {
+  it('a fitted line has the slope and intercept of the points, and a residual that shows how well it fits', () => {
     const straight = fitLine([1, 2, 3].map((x) => ({ x, y: 5 + 2 * x })));
     assert.deepEqual(
       [straight.slope, straight.intercept, straight.residual].map((n) => Math.round(n * 1e9)),
@@ -127,7 +136,7 @@
       assert.ok(cpus_max === 0 || cpus <= cpus_max, name);
   });
 
-  it('what the machine cannot carry, and wrong options, end in one line and exit 2', async () => {
+  it('a run that exceeds the resources of the machine is rejected with a reason, invalid options with exit code 2', async () => {
     assert.match(lacking(40_000, 15) ?? '', /processes|MB/);
     const { code, text } = await new Promise<{ code: number | null; text: string }>((resolve) => {
       const child = spawn(process.execPath, [...RUN, '--workers', 'many']);
@@ -141,14 +150,14 @@
     assert.match(text, /a whole number from 10 to 4000 is expected/);
   });
 
-  it('interrupted, the experiment takes all that it started with it', async (t) => {
+  it('an interrupted experiment ends all processes that it started', async (t) => {
     const child = spawn(process.execPath, [...RUN, '--workers', '20', '--controllers', '2', '--quick'], {
       stdio: 'ignore',
     });
     t.after(() => child.kill('SIGINT'));
-    const until = Date.now() + 30_000;
-    // Two controllers, the services, a host, and the guard of the processes.
-    while (descendants(child.pid!).length < 5 && Date.now() < until) await sleep(100);
+    const deadline = Date.now() + 30_000;
+    // Expected: two controllers, the services, a host of simulated workers, and the process guard.
+    while (descendants(child.pid!).length < 5 && Date.now() < deadline) await sleep(100);
     const started = descendants(child.pid!);
     assert.ok(started.length >= 5, `${started.length} processes`);
     const ended = new Promise<void>((resolve) => child.once('exit', () => resolve()));
