--- a/test/fault-histories.test.ts
+++ b/test/fault-histories.test.ts
@@ -1,5 +1,5 @@
-// Histories of concurrent faults (docs/safety.md, point 15): those that once broke a rule, random ones, and the command that
-// searches for more.
+// Plays histories of concurrent faults (docs/safety.md, point 15): some that once broke a rule, and random
+// ones. Tests the command that searches for more of them.
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { describe, it } from 'node:test';
@@ -14,8 +14,9 @@
 } from './support/fault-history.ts';
 
 /**
- * Shrunk by the search: no leader was ever elected again, twice; a gang that was done on one machine and waited on another; a
- * former leader that heard from its peers again, but not that one of them was the leader, and started what was cancelled.
+ * Histories that once failed, shrunk by the search. In the first two no leader was elected again. In the
+ * third a gang was done on one machine and waited on another. In the fourth a former leader received messages
+ * of its peers again, but none saying that one of them was the leader, and started tasks of a cancelled job.
  */
 const formerFailures = [
   `{"seed":1,"nodes":2,"jobs":[{"atS":0,"kind":"array","tasks":1,"runS":30,"limited":false,"chained":false,"cancelAtS":null}],"troubles":[{"kind":"crash-all","backS":0.1,"atS":31.6,"forS":5},{"kind":"late-writes","share":0.9,"atS":34,"forS":1.1},{"kind":"crash-all","backS":0.1,"atS":4,"forS":0.5}]}`,
@@ -30,44 +31,46 @@
       assert.deepEqual(playHistory(JSON.parse(history) as History).broken, []);
   });
 
-  it('no random history of concurrent faults breaks a rule or loses an accepted job, and the faults do coincide', () => {
-    const met = new Set<string>();
+  it('no random history breaks a rule or loses an accepted job, and every frequent combination of faults occurs', () => {
+    const covered = new Set<string>();
     fc.assert(
       fc.property(historyArbitrary, (history) => {
-        const verdict = playHistory(history);
-        for (const combination of FAULT_COMBINATIONS) if (verdict.met[combination] > 0) met.add(combination);
-        assert.deepEqual(verdict.broken, []);
+        const result = playHistory(history);
+        for (const combination of FAULT_COMBINATIONS)
+          if (result.met[combination] > 0) covered.add(combination);
+        assert.deepEqual(result.broken, []);
       }),
       { ...SAMPLING, numRuns: 220, seed: 11 },
     );
-    const frequent = FAULT_COMBINATIONS.filter((m) => !RARE_COMBINATIONS.includes(m));
+    const frequent = FAULT_COMBINATIONS.filter((name) => !RARE_COMBINATIONS.includes(name));
     assert.deepEqual(
-      frequent.filter((m) => !met.has(m)),
+      frequent.filter((name) => !covered.has(name)),
       [],
     );
   });
 });
 
 describe('the experiment command', () => {
-  it('a wrong option or file is reported with exit code 2, and a history that breaks no rule exits with 0', async () => {
+  it('an invalid option or file is reported with exit code 2, and a run without broken rules exits with 0', async () => {
     const runExperiment = (...args: string[]): Promise<{ code: number; text: string }> =>
       new Promise((done) =>
         execFile(
           'node',
           ['--import', 'tsx', 'scripts/experiments/run.ts', 'meetings', ...args],
-          (e, out, err) => done({ code: e === null ? 0 : Number(e.code), text: out + err }),
+          (error, stdout, stderr) =>
+            done({ code: error === null ? 0 : Number(error.code), text: stdout + stderr }),
         ),
       );
-    const [flag, number, file, good] = await Promise.all([
+    const [unknownOption, invalidNumber, invalidFile, success] = await Promise.all([
       runExperiment('--sooner'),
       runExperiment('--histories', 'many'),
       runExperiment('--replay', 'package.json'),
       runExperiment('--histories', '1'),
     ]);
-    assert.deepEqual([flag.code, number.code, file.code, good.code], [2, 2, 2, 0]);
-    assert.match(flag.text, /unknown option '--sooner'/);
-    assert.match(number.text, /a whole number/);
-    assert.match(file.text, /^meetings: package.json is no history: .*\n$/);
-    assert.match(good.text, /\nmeetings: histories=1 met=\d+ rules_broken=0 not_played=\d\n$/);
+    assert.deepEqual([unknownOption.code, invalidNumber.code, invalidFile.code, success.code], [2, 2, 2, 0]);
+    assert.match(unknownOption.text, /unknown option '--sooner'/);
+    assert.match(invalidNumber.text, /a whole number/);
+    assert.match(invalidFile.text, /^meetings: package.json is no history: .*\n$/);
+    assert.match(success.text, /\nmeetings: histories=1 met=\d+ rules_broken=0 not_played=\d\n$/);
   });
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,5 +1,5 @@
-// What must hold at a thousand machines: sums agree with a recount, work per input is bounded, stored records
-// are shared.
+// Tests that a large fleet scales: incrementally updated sums agree with a recount, the work for each input
+// is bounded at a thousand machines, and jobs share stored records.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { LeaderTerm } from '../src/core/leader/leader-term.ts';
@@ -12,11 +12,11 @@
 const keysWithPrefix = (world: SimulatedWorld, prefix: string): string[] =>
   [...world.state.keys.keys()].filter((key) => key.startsWith(prefix));
 
-function assertClose(actual: number, recounted: number, what: string): void {
-  assert.ok(Math.abs(actual - recounted) < 1e-6, `${what}: ${actual}, recounted ${recounted}`);
+function assertClose(actual: number, recounted: number, quantity: string): void {
+  assert.ok(Math.abs(actual - recounted) < 1e-6, `${quantity}: ${actual}, recounted ${recounted}`);
 }
 
-/** Checks a machine's own sums and its place in the capacity index. */
+/** Checks a machine's own sums and its position in the capacity index. */
 function checkMachine(machine: Machine): void {
   const assigned = [...machine.assignments.values()].map((assignment) => assignment.job.spec);
   const queued = machine.queue.map((task) => task.job.spec);
@@ -31,8 +31,11 @@
   }
 }
 
-/** Everything that is kept up to date, counted anew from the assignments and queues of the machines. */
-function recount(term: LeaderTerm): void {
+/**
+ * Compares all incrementally updated sums and indexes with a recount of the assignments and queues of
+ * machines.
+ */
+function checkAgainstRecount(term: LeaderTerm): void {
   const cpusByTeam = new Map<string, number>();
   const tasksByJobAndZone = new Map<string, number>();
   let uncertainCpus = 0;
@@ -68,32 +71,34 @@
     const world = new SimulatedWorld();
     world.runS = 7;
     let seed = 5;
-    const below = (limit: number) => {
+    const randomBelow = (limit: number) => {
       seed = (seed * 1103515245 + 12345) % 2147483648;
       return Math.floor((seed / 2147483648) * limit);
     };
     for (let i = 0; i < 60; i++) {
-      const team = (below(3) === 0 ? 'small' : 'open') as TeamName;
-      const isGang = below(4) === 0;
+      const team = (randomBelow(3) === 0 ? 'small' : 'open') as TeamName;
+      const isGang = randomBelow(4) === 0;
       const spec = {
         team,
-        tasks: 1 + below(isGang ? 3 : 9),
-        cpus: 0.7 + below(2),
+        tasks: 1 + randomBelow(isGang ? 3 : 9),
+        cpus: 0.7 + randomBelow(2),
         imageGb: 1,
-        image: `img-${below(4)}`,
+        image: `img-${randomBelow(4)}`,
       };
-      world.ask(`node-${below(3)}`, {
+      world.ask(`node-${randomBelow(3)}`, {
         op: 'submit',
         spec: job(`run-${i}`, isGang ? { ...spec, kind: 'gang', oneZone: true } : spec),
       });
-      world.run(1 + below(3));
-      if (below(9) === 0) world.ask(`node-${below(3)}`, { op: 'cancel', id: `run-${below(i + 1)}` as never });
+      world.run(1 + randomBelow(3));
+      if (randomBelow(9) === 0)
+        world.ask(`node-${randomBelow(3)}`, { op: 'cancel', id: `run-${randomBelow(i + 1)}` as never });
       const workers = [...world.workers.values()];
-      if (below(8) === 0) workers[below(workers.length)]?.die();
+      if (randomBelow(8) === 0) workers[randomBelow(workers.length)]?.die();
       if (i === 30) world.crash(world.owner!);
       if (i === 40)
         for (const node of ['node-0', 'node-1', 'node-2']) if (!world.nodes.has(node)) world.start(node);
-      if (world.owner !== undefined && leaderTermOf(world).failover.isLoaded) recount(leaderTermOf(world));
+      if (world.owner !== undefined && leaderTermOf(world).failover.isLoaded)
+        checkAgainstRecount(leaderTermOf(world));
     }
     assert.deepEqual(world.broken, []);
   });
@@ -103,11 +108,11 @@
     world.cloud.capacity = 1000;
     world.runS = 30;
     for (let i = 0; i < 20; i++) world.submit(job(`run-${i}`, { tasks: 50, cpus: 8 }));
-    const manyAreUp = () =>
+    const areManyUsable = () =>
       [...world.nodes.values()].some(
         (node) => (node.leaderTerm?.capacityIndex.pools.values().next().value?.usable.length ?? 0) > 400,
       );
-    assert.ok(world.until(manyAreUp, 20), 'machines are up');
+    assert.ok(world.until(areManyUsable, 20), 'more than 400 machines usable within 20 s');
     world.run(5);
     const term = leaderTermOf(world);
     assert.ok(term.machines.byId.size >= 900, `${term.machines.byId.size} machines`);
@@ -141,15 +146,15 @@
     assert.ok(bitmapRecords.length >= 1 && bitmapRecords.length <= 2, bitmapRecords.join());
     world.crash(world.owner!);
     assert.ok(world.until(() => world.owner !== undefined && leaderTermOf(world).failover.isLoaded, 20));
-    const asker = [...world.nodes.keys()][0]!;
-    for (let i = 0; i < 12; i++) assert.ok(world.until(() => world.isDone(`run-${i}`, asker), 200));
-    // Results that machines were told to forget are known by the bitmaps alone: without them they would run
-    // again.
+    const controller = [...world.nodes.keys()][0]!;
+    for (let i = 0; i < 12; i++) assert.ok(world.until(() => world.isDone(`run-${i}`, controller), 200));
+    // The bitmaps alone hold results that machines have been told to delete: without the bitmaps these tasks
+    // would run again.
     assert.equal(totalStarts(), 12 * 8);
     assert.deepEqual(world.broken, []);
   });
 
-  it('refuses a record of an unknown version with one log line and serves nothing', () => {
+  it('refuses to serve with a stored record of an unknown version, and logs that once', () => {
     const world = new SimulatedWorld({}, []);
     world.state.keys.set('m/i-7', {
       value: { t: 'box', z: 'north', s: 0, w: '1.1' },
--- a/test/rule-checker.test.ts
+++ b/test/rule-checker.test.ts
@@ -1,4 +1,4 @@
-// The checker that judges histories of faults by the rules of the users: each rule by a history that breaks it.
+// Tests the checker of the rules that users rely on: each rule with a history that breaks it.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, UserResponse } from '../src/core/base/model.ts';
@@ -27,11 +27,11 @@
   const limits = {
     cancelMs: CANCEL_MS,
     limitOf,
-    unfit: (s: JobSpec) => unfit(world, s),
+    unfit: (spec: JobSpec) => unfit(world, spec),
     rooms: () => freeCapacity,
   };
   const checker = new RuleChecker(limits, new ScannedPlacements(() => running));
-  const respond = (a: UserResponse, at = 1000) => checker.told(at, at, { op: 'status', id }, a);
+  const respond = (response: UserResponse, at = 1000) => checker.told(at, at, { op: 'status', id }, response);
   const accept = (spec: JobSpec) => {
     checker.asked(0, { op: 'submit', spec });
     checker.told(1, 0, { op: 'submit', spec }, { kind: 'accepted', id: spec.id });
@@ -130,7 +130,8 @@
       accept(job(id));
       checker.completed(`${id}/0`);
       respond(endedResponse('done'));
-      // An older response to a request from before that one is allowed.
+      // An earlier status is allowed as the response to a request that was sent before the job was reported
+      // as done.
       checker.told(2000, 900, { op: 'status', id }, queuedResponse);
       assert.deepEqual(checker.broken, []);
       respond(queuedResponse, 2000);
@@ -149,7 +150,7 @@
       accept(job(id));
       checker.asked(900, { op: 'cancel', id });
       respond(endedResponse('cancelled'));
-      // A start command that was on its way at that moment is allowed.
+      // A start command sent before the cancellation was confirmed may still arrive for a few seconds.
       checker.placing(5000, `${id}/0`, northMachine);
       assert.deepEqual(checker.broken, []);
       checker.placing(5200, `${id}/0`, northMachine);
@@ -162,7 +163,7 @@
       checker.asked(900, { op: 'cancel', id });
       running.push({ task: `${id}/0`, machine: northMachine });
       respond(endedResponse('cancelled'));
-      // Its machine hangs, so that nothing is seen of it, and goes on.
+      // The machine hangs, so that its task is not observed, and then resumes.
       running.pop();
       checker.look(1000 + CANCEL_MS + 2000);
       assert.deepEqual(checker.broken, []);
@@ -175,7 +176,7 @@
     ({ checker, accept, freeCapacity }) => {
       accept(job(id, { team: 'small' as TeamName, cpus: 4 }));
       checker.troublesOver(10_000);
-      // No capacity, then capacity that is gone in between: it does not wait needlessly.
+      // Without free capacity, or with an interruption of it, the job does not count as left waiting.
       for (let at = 10_000; at < 60_000; at += 1000) checker.look(at);
       freeCapacity.push({ machine: northMachine, cpus: 4, gpus: 0, memoryGb: 8 });
       for (let at = 60_000; at < 120_000; at += 1000) checker.look(at);
@@ -210,10 +211,10 @@
 ];
 
 describe('the rule checker', () => {
-  it('the rule checker reports each rule that a history breaks, and nothing for a history that breaks none', () => {
-    for (const [rule, history] of violations) {
+  it('reports each rule that a history breaks, and nothing for a history that breaks none', () => {
+    for (const [rule, breakRule] of violations) {
       const fixture = createFixture();
-      history(fixture);
+      breakRule(fixture);
       assert.equal(fixture.checker.broken.length, 1, rule);
       assert.match(fixture.checker.broken[0]!, new RegExp(` ${rule}: `));
     }
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -1,4 +1,5 @@
-// The rules that users rely on, each by a scenario: jobs are accepted once, run once, and end once (docs/safety.md).
+// Tests the guarantees of docs/safety.md with a scenario for each: jobs are accepted once, run once and end
+// once.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { ControllerIo } from '../src/core/base/io.ts';
@@ -19,13 +20,13 @@
     assert.ok(world.until(() => world.isDone('run-1', 'node-1')));
     for (const node of ['node-0', 'node-1', 'node-2']) assert.ok(world.isDone('run-1', node));
     assert.equal(
-      [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
+      [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0),
       5,
     );
     assertUnbroken(world);
   });
 
-  it('a repeated submission is known, also after the job is over and all controllers have crashed', () => {
+  it('a repeated submission is answered as known, even after the job has ended and all controllers have crashed', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     assert.deepEqual(world.submit(job('run-1'), 'node-1'), { kind: 'known', id: 'run-1', status: 'queued' });
@@ -49,23 +50,23 @@
     );
   });
 
-  it('without the store a submission is told to retry at once, and is accepted when the store is back', () => {
+  it('during an outage of the store a submission gets a retry response at once; after it the submission is accepted', () => {
     const world = new SimulatedWorld();
     assert.equal(world.submit(job('run-1'))?.kind, 'accepted');
     world.state.outage(10);
     world.run(1);
     world.ask('node-0', { op: 'submit', spec: job('run-2') });
     world.run(4);
-    const asked = world.now;
+    const submittedAt = world.now;
     const pending = world.ask('node-0', { op: 'submit', spec: job('run-3') });
     assert.ok(world.until(() => pending.answer !== null, 1));
     assert.equal(pending.answer?.kind, 'retry');
-    assert.ok(world.now - asked <= 400);
+    assert.ok(world.now - submittedAt <= 400);
     assert.equal(world.submit(job('run-3'))?.kind, 'accepted');
     assertUnbroken(world);
   });
 
-  it('an acceptance whose response is lost is the same acceptance when the submission is repeated', () => {
+  it('a job is accepted once if the answer of the store to the write of its acceptance is lost', () => {
     const world = new SimulatedWorld();
     world.run(2);
     world.state.loseNextAnswer = true;
@@ -87,17 +88,17 @@
     world.run(0.5);
     assert.equal(world.owner, undefined);
     assert.equal(pending.answer?.kind, 'accepted');
-    // The same submission at another controller is known, whoever is the leader by then.
+    // Another controller recognises the same submission, whichever controller is the leader by then.
     assert.equal(world.submit(job('run-2', { tasks: 3 }), secondNode)?.kind, 'known');
     for (const id of ['run-1', 'run-2']) assert.ok(world.until(() => world.isDone(id, firstNode), 100));
     assert.equal(
-      [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
+      [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0),
       4,
     );
     assertUnbroken(world);
   });
 
-  it('a leader out of reach of its peers finds the jobs that they accept by watching the records', () => {
+  it('a leader cut off from its peers finds the jobs that they accept by watching the job records', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     const leader = world.owner!;
@@ -109,47 +110,48 @@
     assertUnbroken(world);
   });
 
-  it('a leader whose lease has run out adopts no job that others accepted, and reads again once it holds the lease', () => {
+  it('a leader whose lease has expired adopts no job accepted by others, and lists the records again with a valid lease', () => {
     const io = new ControllerIo(seededRandom(1));
     const jobs = new JobTable(io, {} as FencedWriter, {} as ArrayProgress);
-    let current = true;
-    const acceptedJobs = new AcceptedJobsWatch(io, jobs, 5 as Revision, () => current);
-    const asked = () => io.takeEffects().flatMap((e) => (e.kind === 'store' ? [e] : []))[0]!;
+    let isLeaseHeld = true;
+    const acceptedJobs = new AcceptedJobsWatch(io, jobs, 5 as Revision, () => isLeaseHeld);
+    const takeStoreRequest = () =>
+      io.takeEffects().flatMap((effect) => (effect.kind === 'store' ? [effect] : []))[0]!;
     const item = {
       key: 'o/run-9',
       value: { s: encodeJobSpec(job('run-9')), t: 0, w: 'x' },
       revision: 7 as Revision,
     };
     acceptedJobs.tick();
-    current = false;
-    io.resolve(asked().tag, { kind: 'changes', revision: 7, puts: [item], drops: [] });
+    isLeaseHeld = false;
+    io.resolve(takeStoreRequest().tag, { kind: 'changes', revision: 7, puts: [item], drops: [] });
     assert.equal(jobs.openJobs.size, 0);
-    current = true;
+    isLeaseHeld = true;
     io.beginStep(1000 as Instant, 0 as WallTime);
     acceptedJobs.tick();
-    const again = asked();
-    assert.equal(again.request.kind, 'list');
-    io.resolve(again.tag, { kind: 'items', items: [item], more: false, revision: 8 });
+    const secondRequest = takeStoreRequest();
+    assert.equal(secondRequest.request.kind, 'list');
+    io.resolve(secondRequest.tag, { kind: 'items', items: [item], more: false, revision: 8 });
     assert.equal(jobs.openJobs.size, 1);
   });
 });
 
 describe('execution and end of jobs', () => {
-  it('work goes on under a new term when the leader crashes, and nothing runs twice', () => {
+  it('running tasks continue under the next leader when the leader crashes, and no task runs twice', () => {
     const world = new SimulatedWorld();
     world.runS = 20;
     world.submit(job('run-1', { tasks: 12 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(3);
-    const first = world.owner!;
-    world.crash(first);
+    const crashedLeader = world.owner!;
+    world.crash(crashedLeader);
     world.run(6);
-    world.start(first);
-    const controller = first === 'node-0' ? 'node-1' : 'node-0';
+    world.start(crashedLeader);
+    const controller = crashedLeader === 'node-0' ? 'node-1' : 'node-0';
     assert.ok(world.until(() => world.isDone('run-1', controller), 200));
     assert.notEqual(world.owner, undefined);
     assert.equal(
-      [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
+      [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0),
       12,
     );
     assertUnbroken(world);
@@ -166,7 +168,7 @@
     for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
     assert.ok(world.until(() => world.isDone('run-1'), 200));
     assert.equal(
-      [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
+      [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0),
       8,
     );
     assertUnbroken(world);
@@ -179,25 +181,30 @@
     world.submit(job('run-1', { tasks: 40 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(3);
-    const before = [...world.workers.values()].reduce((n, x) => n + x.starts, 0);
+    const startsBefore = [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0);
     world.state.outage(15);
-    // Longer than the leader lease: what follows rests on the tokens and on the bound of docs/safety.md.
+    // Longer than the leader lease: further starts rely on the fencing tokens and on the bound of
+    // docs/safety.md.
     world.run(6);
-    const afterLease = [...world.workers.values()].reduce((n, x) => n + x.starts, 0);
+    const startsAfterLease = [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0);
     world.run(8);
-    const during = [...world.workers.values()].reduce((n, x) => n + x.starts, 0);
-    assert.ok(during > afterLease && afterLease > before, `${before}, ${afterLease}, ${during} starts`);
+    const startsAtEnd = [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0);
+    assert.ok(
+      startsAtEnd > startsAfterLease && startsAfterLease > startsBefore,
+      `${startsBefore}, ${startsAfterLease}, ${startsAtEnd} starts`,
+    );
     assert.ok(world.until(() => world.isDone('run-1'), 200));
     assertUnbroken(world);
   });
 
-  it('a cancelled job is gone everywhere in time, even from machines of a leader that is cut off', () => {
+  it('tasks of a cancelled job end in time on all machines, even on those in reach of only a cut-off former leader', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1', { kind: 'service', tasks: 3 }));
     assert.ok(world.until(() => world.holders('run-1').length > 0));
     world.run(3);
     const formerLeader = world.owner!;
-    // Cut off from all but its agents: they go on sending it heartbeats. The cloud is down, so none can be released.
+    // The leader is cut off from all but its agents, which continue to send it heartbeats. The cloud is down,
+    // so no machine can be released.
     world.cloud.down = true;
     world.state.refused.add(formerLeader);
     for (const node of world.nodes.keys()) if (node !== formerLeader) world.cut(formerLeader, node, 'drop');
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -1,4 +1,5 @@
-// Services beside gangs and arrays, machines that are up before any submission, and teams whose guarantee is in GPUs.
+// Tests services beside gangs and arrays, machines that are up before any submission, and teams whose
+// guarantee is in GPUs.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import { Job } from '../src/core/jobs/job.ts';
@@ -9,7 +10,7 @@
 const BOX = 'box' as TypeName;
 const NORTH = 'north' as ZoneName;
 const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
-/** Boots machines that no request on record asked for. */
+/** Boots machines for which no request to the cloud is recorded. */
 const bootUnrequested = (world: SimulatedWorld, count: number, zones: ZoneName[] = [NORTH]): void => {
   for (let i = 0; i < count; i++)
     world.machine(`i-${900_000 + i}` as never, BOX, zones[i % zones.length]!, false).boot();
@@ -34,13 +35,14 @@
     );
     for (let i = 0; i < 60; i++) world.ask(world.owner!, { op: 'submit', spec: job(`run-${i}`) });
     world.run(2.5);
-    // Registered only after all acceptances, the machines could start nothing before those are written.
+    // If machines were registered only after all acceptances are written, they could start no task until
+    // then.
     assert.ok(world.nodes.get(world.owner!)!.leaderTerm!.writer.backlog > 0);
-    assert.ok(liveTasks(world) >= 4, `${liveTasks(world)}`);
+    assert.ok(liveTasks(world) >= 4, `${liveTasks(world)} live tasks`);
     assertNoRuleBroken(world);
   });
 
-  it('knows machines that were up before any submission after a crash in the first seconds, and releases them idle', () => {
+  it('uses machines that were up before any submission after a crash in the first seconds, and releases them when idle', () => {
     const world = new SimulatedWorld();
     bootUnrequested(world, 4);
     world.run(1);
@@ -52,18 +54,18 @@
     assert.ok(world.until(() => world.isDone('run-1'), 60));
     assert.ok(
       world.until(() => world.cloud.released.length === 4, 150),
-      `${world.cloud.released.length}`,
+      `${world.cloud.released.length} machines released`,
     );
     assertNoRuleBroken(world);
   });
 
-  it('places a service on an idle machine, though gangs of a lower priority wait that would need all of it', () => {
+  it('places a service on an idle machine even if gangs of a lower priority wait for the whole machine', () => {
     const world = new SimulatedWorld();
     world.cloud.capacity = 0;
     bootUnrequested(world, 3);
     world.submit(job('run-1', { class: 'train', kind: 'gang', tasks: 4, cpus: 8, priority: 2 }));
     world.run(3);
-    // The first is of a class that nothing is known of.
+    // The first service is also the first job of its class.
     for (const id of ['run-2', 'run-3']) {
       world.submit(job(id, { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
       world.run(4);
@@ -73,7 +75,7 @@
     assertNoRuleBroken(world);
   });
 
-  it('counts a team that is guaranteed GPUs only as within its guarantee by GPUs, one without a guarantee never', () => {
+  it('counts a team guaranteed only GPUs as within its guarantee by its GPUs, and never a team without a guarantee', () => {
     const quota = new Quota(
       new Map(
         [
@@ -99,7 +101,7 @@
     assert.equal(quota.allowedTasks(jobOf('seers', 2)), 2);
   });
 
-  it('keeps half the replicas of a spread service when a zone is cut off, regroups none, and cancels all', () => {
+  it('runs half the replicas of a spread service in one zone while the other is cut off, moves none, and cancels all', () => {
     const world = new SimulatedWorld({
       workers: { heartbeatS: 1, leaseS: 10, gangWaitS: 30, gangPeerS: 4, cancelS: 40 },
     });
@@ -128,7 +130,7 @@
     for (const worker of south) for (const node of world.nodeNames) world.heal(worker.id, node);
     assert.ok(
       world.until(() => liveTasks(world) === 6, 90),
-      `${liveTasks(world)}`,
+      `${liveTasks(world)} live tasks`,
     );
     world.insist({ op: 'cancel', id: 'run-1' as JobId }, world.owner);
     world.run(40);
@@ -155,7 +157,8 @@
       waitsMs.push(world.now - submittedAt);
       world.run(4.3 + 0.3 * i);
     }
-    // Two thirds of the time a response is held there; else the wait is up to a heartbeat period.
+    // For two thirds of the time the leader holds a response to the machine, which can carry the start
+    // command; otherwise the wait is up to a heartbeat period.
     assert.ok(waitsMs.filter((ms) => ms < 500).length >= 4, waitsMs.join());
     assertNoRuleBroken(world);
   });
