--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -5,7 +5,7 @@
 import { Command, InvalidArgumentError } from 'commander';
 import { lacking } from './scale/resources.ts';
 import { type RunResult, type RunSetup, type ScaleFault, ScaleRun } from './scale/run.ts';
-import { baseSetup, playSlopes } from './scale/slopes.ts';
+import { baseSetup, runSlopes } from './scale/slopes.ts';
 
 interface Options {
   workers: number;
@@ -20,9 +20,9 @@
   only?: string[];
 }
 
-const USAGE_ERROR = 2;
+const USAGE_ERROR_EXIT_CODE = 2;
 
-const wholeBetween = (least: number, most: number) => (text: string) => {
+const wholeNumberBetween = (least: number, most: number) => (text: string) => {
   const number = Number(text);
   if (!Number.isInteger(number) || number < least || number > most)
     throw new InvalidArgumentError(`a whole number from ${least} to ${most} is expected`);
@@ -50,21 +50,21 @@
 ];
 
 /** More is offered than is to run: what is beyond its team's limit waits. */
-const OFFERED_FACTOR = 1.2;
+const OFFERED_LOAD_FACTOR = 1.2;
 /** A change of the configuration is in force everywhere within this. */
-const CONFIG_IN_FORCE_S = 18;
+const CONFIG_IN_FORCE_LIMIT_S = 18;
 /** 6,900 a day. */
 const CHANGES_PER_MINUTE = 5;
 
-const INTERRUPTED = 130;
-const BROKEN_SHOWN = 40;
+const INTERRUPTED_EXIT_CODE = 130;
+const MAX_BROKEN_RULES_SHOWN = 40;
 const PROGRESS_INTERVAL_MS = 1000;
 /** Where progress is not seen as it comes. */
 const LOGGED_PROGRESS_INTERVAL_MS = 20_000;
 
-function setupOf({ workers, controllers, teams, seed, quick }: Options): RunSetup {
+function setupFor({ workers, controllers, teams, seed, quick }: Options): RunSetup {
   const plain = baseSetup(workers, controllers, teams, seed);
-  const demand = { ...plain.demand, running: Math.round(plain.demand.running * OFFERED_FACTOR) };
+  const demand = { ...plain.demand, running: Math.round(plain.demand.running * OFFERED_LOAD_FACTOR) };
   const base = { ...plain, demand, changesPerMinute: CHANGES_PER_MINUTE };
   return quick
     ? { ...base, fillS: 40, measureS: 20, troubles: QUICK_FAULTS, calmS: 110 }
@@ -83,7 +83,7 @@
   };
 }
 
-const countBroken = ({ broken }: RunResult, ...rules: string[]): number =>
+const countBrokenRules = ({ broken }: RunResult, ...rules: string[]): number =>
   broken.filter((line) => rules.some((rule) => line.includes(` ${rule}: `))).length;
 
 function formatResult({ workers, teams }: Options, result: RunResult): string {
@@ -95,8 +95,8 @@
     `config_p99_s=${config.p99S.toFixed(2)} config_max_s=${config.maxS.toFixed(2)}`,
     `owner_core=${figures.owner.core.toFixed(3)} owner_mb=${Math.round(figures.owner.rssMb)}`,
     `worker_bytes_s=${Math.round(figures.worker.bytesPerS)} state_requests_s=${figures.stateRequestsPerS.toFixed(1)}`,
-    `state_changes_s=${figures.stateChangesPerS.toFixed(1)} lost=${countBroken(result, 'forgotten', 'left_waiting', 'nothing_ran')}`,
-    `doubled=${countBroken(result, 'ran_twice')} over_quota=${countBroken(result, 'quota')}`,
+    `state_changes_s=${figures.stateChangesPerS.toFixed(1)} lost=${countBrokenRules(result, 'forgotten', 'left_waiting', 'nothing_ran')}`,
+    `doubled=${countBrokenRules(result, 'ran_twice')} over_quota=${countBrokenRules(result, 'quota')}`,
   ].join(' ');
 }
 
@@ -106,7 +106,7 @@
   for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const)
     process.on(signal, async () => {
       await stopCluster?.();
-      process.exit(INTERRUPTED);
+      process.exit(INTERRUPTED_EXIT_CODE);
     });
   return (stop) => {
     stopCluster = stop;
@@ -117,31 +117,31 @@
   const obstacle = lacking(options.workers, options.controllers);
   if (obstacle !== null) {
     process.stderr.write(`scale: ${obstacle}\n`);
-    process.exit(USAGE_ERROR);
+    process.exit(USAGE_ERROR_EXIT_CODE);
   }
   const onCluster = stopOnSignal();
   const onProgress = progressTo(process.stderr);
-  if (options.slopes) return playSlopes(options, onProgress, onCluster);
-  const result = await ScaleRun.play(setupOf(options), onProgress, onCluster);
+  if (options.slopes) return runSlopes(options, onProgress, onCluster);
+  const result = await ScaleRun.play(setupFor(options), onProgress, onCluster);
   if (options.json !== undefined) writeFileSync(options.json, `${JSON.stringify(result, null, 1)}\n`);
-  for (const rule of result.broken.slice(0, BROKEN_SHOWN)) process.stdout.write(`${rule}\n`);
+  for (const rule of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN)) process.stdout.write(`${rule}\n`);
   process.stdout.write(`${formatResult(options, result)}\n`);
-  const isInForce = result.config.pending === 0 && result.config.maxS <= CONFIG_IN_FORCE_S;
+  const isInForce = result.config.pending === 0 && result.config.maxS <= CONFIG_IN_FORCE_LIMIT_S;
   process.exit(result.broken.length > 0 || result.ended > 0 || !isInForce ? 1 : 0);
 }
 
 const program = new Command('scale')
   .description('the size that the operators expect, on this machine; exits with 1 when a rule is broken')
-  .option('--workers <n>', 'simulated workers', wholeBetween(10, 4000), 2000)
-  .option('--controllers <n>', 'real controllers', wholeBetween(1, 15), 5)
-  .option('--teams <n>', 'teams with quotas', wholeBetween(6, 400), 57)
-  .option('--seed <n>', 'of the load', wholeBetween(1, 2 ** 31), 1)
+  .option('--workers <n>', 'simulated workers', wholeNumberBetween(10, 4000), 2000)
+  .option('--controllers <n>', 'real controllers', wholeNumberBetween(1, 15), 5)
+  .option('--teams <n>', 'teams with quotas', wholeNumberBetween(6, 400), 57)
+  .option('--seed <n>', 'of the load', wholeNumberBetween(1, 2 ** 31), 1)
   .option('--quick', 'under four minutes, with one end of the leader')
   .option('--slopes', 'what each role costs as one thing varies')
   .option('--only <series...>', 'of the slopes, these series')
   .option('--json <file>', 'all figures')
   .option('--resume', 'of the slopes, go on with what is in that file')
   .option('--plot <file>', 'the slopes as an SVG')
-  .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : USAGE_ERROR))
+  .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : USAGE_ERROR_EXIT_CODE))
   .action(main);
 await program.parseAsync();
--- a/scripts/experiments/scale/cluster.ts
+++ b/scripts/experiments/scale/cluster.ts
@@ -5,7 +5,7 @@
 import { endGroup, Guard, type ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 import { FailedRunError } from '../../errors.ts';
-import { ControllerGroup, type OutsideAddresses } from './controller-group.ts';
+import { ControllerGroup, type ServiceAddresses } from './controller-group.ts';
 import { GangCoordinator } from './gang-coordinator.ts';
 import type {
   FromHost,
@@ -24,7 +24,7 @@
   /** The daemon: program and arguments before `serve`. */
   program: string[];
   dir: string;
-  hosts: number;
+  hostCount: number;
   seed: number;
 }
 
@@ -36,12 +36,12 @@
 
 /** A machine that the cloud has rented out, and the host that it is on. */
 export interface ClusterMachine extends RentedMachine {
-  host: number;
-  up: boolean;
+  hostIndex: number;
+  isUp: boolean;
 }
 
 const READY_TIMEOUT_MS = 30_000;
-const READY_LOOK_MS = 100;
+const READY_POLL_INTERVAL_MS = 100;
 
 const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
@@ -53,19 +53,19 @@
   services: ChildProcess | null = null;
   serviceCounts: ServiceCounts | null = null;
   /** Machines that were ever rented. */
-  rented = 0;
+  rentedCount = 0;
   /** Is told of tasks on machines, in batches. */
-  onTasks: (events: TaskEvent[]) => void = () => {};
+  onTaskEvents: (events: TaskEvent[]) => void = () => {};
   private readonly guard = new Guard();
-  private readonly gangs: GangCoordinator;
-  private nextHost = 0;
+  private readonly gangCoordinator: GangCoordinator;
+  private nextHostIndex = 0;
 
   private constructor(private readonly setup: ClusterSetup) {
     const { options, program, dir } = setup;
     this.controllers = new ControllerGroup({ cluster: options, program, dir, guard: this.guard });
     // Members notice a loss within half of the time after which they end.
-    this.gangs = new GangCoordinator(options.workers.gang_peer_s * 500, (key, what) =>
-      this.toAllHosts({ kind: 'gang', key, what }),
+    this.gangCoordinator = new GangCoordinator(options.workers.gang_peer_s * 500, (key, what) =>
+      this.sendToAllHosts({ kind: 'gang', key, what }),
     );
   }
 
@@ -73,7 +73,7 @@
   static async start(setup: ClusterSetup): Promise<ScaleCluster> {
     const cluster = new ScaleCluster(setup);
     try {
-      await cluster.begin();
+      await cluster.startProcesses();
     } catch (error) {
       await cluster.stop();
       throw error;
@@ -98,57 +98,57 @@
   }
 
   /** Machines that are up. */
-  get up(): ClusterMachine[] {
-    return [...this.machines.values()].filter((machine) => machine.up);
+  get upMachines(): ClusterMachine[] {
+    return [...this.machines.values()].filter((machine) => machine.isUp);
   }
 
   /** Says what the tasks of jobs are like. */
-  describe(jobs: JobDescription[]): void {
-    this.toAllHosts({ kind: 'jobs', jobs });
+  addJobs(jobs: JobDescription[]): void {
+    this.sendToAllHosts({ kind: 'jobs', jobs });
   }
 
   /** These jobs are over. */
-  forget(ids: string[]): void {
-    this.toAllHosts({ kind: 'forget-jobs', ids });
+  removeJobs(ids: string[]): void {
+    this.sendToAllHosts({ kind: 'forget-jobs', ids });
   }
 
   /** Asks services and hosts for their counts; they are there a moment later. */
-  askCounts(): void {
-    this.toServices({ kind: 'count' });
-    this.toAllHosts({ kind: 'count' });
+  requestCounts(): void {
+    this.sendToServices({ kind: 'count' });
+    this.sendToAllHosts({ kind: 'count' });
   }
 
   // ---- faults
 
   /** Machines that die with all that is on them. */
-  loseMachines(ids: string[]): void {
+  killMachines(ids: string[]): void {
     for (const id of ids) {
-      this.toMachine(id, { kind: 'die', id });
+      this.sendToHostOf(id, { kind: 'die', id });
       this.machines.delete(id);
     }
-    this.toServices({ kind: 'lost', ids });
+    this.sendToServices({ kind: 'lost', ids });
   }
 
   /** The machine's agent ends and is back at once. */
   restartMachine(id: string): void {
-    this.toMachine(id, { kind: 'restart', id });
+    this.sendToHostOf(id, { kind: 'restart', id });
   }
 
   /** The machines of a zone reach no controller for so long. */
   cutZone(zone: string, ms: number): void {
-    this.toAllHosts({ kind: 'cut', zone, ms });
+    this.sendToAllHosts({ kind: 'cut', zone, ms });
   }
 
   /** The key-value store answers nobody for so long. */
-  outage(seconds: number): void {
-    this.toServices({ kind: 'outage', seconds });
+  beginStoreOutage(seconds: number): void {
+    this.sendToServices({ kind: 'outage', seconds });
   }
 
   // ---- processes
 
-  private async begin(): Promise<void> {
+  private async startProcesses(): Promise<void> {
     await this.controllers.start(await this.startServices());
-    for (let i = 0; i < this.setup.hosts; i++) await this.startHost(i);
+    for (let i = 0; i < this.setup.hostCount; i++) await this.startHost(i);
     await this.waitForLeader();
   }
 
@@ -163,17 +163,17 @@
     return child;
   }
 
-  private startServices(): Promise<OutsideAddresses> {
+  private startServices(): Promise<ServiceAddresses> {
     const child = this.forkModule('services-process.ts');
     this.services = child;
-    this.toServices({ kind: 'begin', options: this.setup.options });
+    this.sendToServices({ kind: 'begin', options: this.setup.options });
     return new Promise((resolve, reject) => {
       child.once('exit', () =>
         reject(new FailedRunError('the process with the key-value store has ended before its time')),
       );
       child.on('message', (message: FromServices) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
-        else this.fromServices(message);
+        else this.onServicesMessage(message);
       });
     });
   }
@@ -182,18 +182,18 @@
     const child = this.forkModule('worker-process.ts');
     const host: HostProcess = {
       process: child,
-      counts: { workers: 0, reports: 0, bytes: 0, lostByLease: 0 },
+      counts: { workers: 0, heartbeats: 0, bytes: 0, lostByLease: 0 },
     };
     this.hosts.push(host);
     const { options, seed } = this.setup;
     const nodes = this.controllers.all.map(({ name, addr }) => ({ name, addr }));
-    this.toHost(index, { kind: 'begin', options, nodes, seed: seed * 100 + index });
+    this.sendToHost(index, { kind: 'begin', options, nodes, seed: seed * 100 + index });
     return new Promise((resolve, reject) => {
       child.once('exit', () =>
         reject(new FailedRunError('a process with simulated workers has ended before its time')),
       );
       child.on('message', (message: FromHost) =>
-        message.kind === 'ready' ? resolve() : this.fromHost(host, message),
+        message.kind === 'ready' ? resolve() : this.onHostMessage(host, message),
       );
     });
   }
@@ -202,61 +202,61 @@
     const until = Date.now() + READY_TIMEOUT_MS;
     while (Date.now() < until) {
       if ((await this.controllers.leaderOf(this.controllers.all)) !== null) return;
-      await sleep(READY_LOOK_MS);
+      await sleep(READY_POLL_INTERVAL_MS);
     }
     throw new FailedRunError(`no controller owns the jobs; see the logs in ${this.setup.dir}`);
   }
 
   // ---- messages
 
-  private toServices(message: ToServices): void {
+  private sendToServices(message: ToServices): void {
     if (this.services?.connected) this.services.send(message);
   }
 
-  private toHost(index: number, message: ToHost): void {
+  private sendToHost(index: number, message: ToHost): void {
     const { process: child } = this.hosts[index]!;
     if (child.connected) child.send(message);
   }
 
-  private toAllHosts(message: ToHost): void {
-    for (let i = 0; i < this.hosts.length; i++) this.toHost(i, message);
+  private sendToAllHosts(message: ToHost): void {
+    for (let i = 0; i < this.hosts.length; i++) this.sendToHost(i, message);
   }
 
-  private toMachine(id: string, message: ToHost): void {
+  private sendToHostOf(id: string, message: ToHost): void {
     const machine = this.machines.get(id);
-    if (machine !== undefined) this.toHost(machine.host, message);
+    if (machine !== undefined) this.sendToHost(machine.hostIndex, message);
   }
 
-  private fromServices(message: FromServices): void {
+  private onServicesMessage(message: FromServices): void {
     switch (message.kind) {
       case 'rented': {
         const { machine } = message;
-        const host = this.nextHost++ % this.hosts.length;
-        this.rented++;
-        this.machines.set(machine.id, { ...machine, host, up: false });
-        return this.toHost(host, { kind: 'machine', machine });
+        const host = this.nextHostIndex++ % this.hosts.length;
+        this.rentedCount++;
+        this.machines.set(machine.id, { ...machine, hostIndex: host, isUp: false });
+        return this.sendToHost(host, { kind: 'machine', machine });
       }
       case 'boot': {
         const machine = this.machines.get(message.id);
-        if (machine !== undefined) machine.up = true;
-        return this.toMachine(message.id, { kind: 'boot', id: message.id });
+        if (machine !== undefined) machine.isUp = true;
+        return this.sendToHostOf(message.id, { kind: 'boot', id: message.id });
       }
       case 'released':
-        this.toMachine(message.id, { kind: 'die', id: message.id });
+        this.sendToHostOf(message.id, { kind: 'die', id: message.id });
         return void this.machines.delete(message.id);
       case 'counts':
         this.serviceCounts = message.counts;
     }
   }
 
-  private fromHost(host: HostProcess, message: FromHost): void {
+  private onHostMessage(host: HostProcess, message: FromHost): void {
     switch (message.kind) {
       case 'listening':
-        return this.toServices(message);
+        return this.sendToServices(message);
       case 'tasks':
-        return this.onTasks(message.events);
+        return this.onTaskEvents(message.events);
       case 'gang':
-        return this.gangs.onMember(message);
+        return this.gangCoordinator.onMembershipChange(message);
       case 'counts':
         host.counts = message.counts;
     }
--- a/scripts/experiments/scale/controller-group.ts
+++ b/scripts/experiments/scale/controller-group.ts
@@ -19,15 +19,15 @@
 const RESTART_DELAY_MS = 1500;
 const STATUS_TIMEOUT_MS = 1000;
 const RESPONSE_MAX_BYTES = 4 << 20;
-const CONNECTIONS = 16;
+const CONNECTIONS_PER_CONTROLLER = 16;
 /** Sockets that a controller may have open. */
-const SOCKETS = 12_000;
+const MAX_SOCKETS = 12_000;
 
 /** A controller, and its process if it runs. */
 export interface ControllerProcess extends NodeAddress {
   process: ChildProcess | null;
   /** Ends that nobody asked for. */
-  ended: number;
+  unexpectedExits: number;
   /** Asks the node about itself, and makes users' requests. */
   client: HttpClient;
 }
@@ -52,7 +52,7 @@
 }
 
 /** Addresses of what controllers depend on. */
-export interface OutsideAddresses {
+export interface ServiceAddresses {
   state: string;
   cloud: string;
 }
@@ -65,15 +65,15 @@
   constructor(private readonly options: ControllerGroupOptions) {}
 
   /** Starts all controllers. */
-  async start(outside: OutsideAddresses): Promise<void> {
+  async start(outside: ServiceAddresses): Promise<void> {
     const { cluster, dir } = this.options;
     const nodes = await nodeAddresses(cluster.lab.controllers, cluster.lab.zones);
     for (const node of nodes) {
-      writeFileSync(this.settingsPath(node.name), settingsFile(cluster, node, nodes, outside, SOCKETS));
-      const client = new HttpClient(node.addr, CONNECTIONS, RESPONSE_MAX_BYTES);
-      const controller: ControllerProcess = { ...node, process: null, ended: 0, client };
+      writeFileSync(this.settingsPath(node.name), settingsFile(cluster, node, nodes, outside, MAX_SOCKETS));
+      const client = new HttpClient(node.addr, CONNECTIONS_PER_CONTROLLER, RESPONSE_MAX_BYTES);
+      const controller: ControllerProcess = { ...node, process: null, unexpectedExits: 0, client };
       this.all.push(controller);
-      this.run(controller, dir);
+      this.startProcess(controller, dir);
     }
   }
 
@@ -134,15 +134,15 @@
     return join(this.options.dir, `${name}.json`);
   }
 
-  private run(controller: ControllerProcess, dir: string): void {
+  private startProcess(controller: ControllerProcess, dir: string): void {
     if (this.isStopping || controller.process !== null) return;
     const { program, guard } = this.options;
     const child = spawnController(controller.name, dir, program, guard);
     controller.process = child;
     child.once('exit', (_code, signal) => {
       controller.process = null;
-      if (signal === null) controller.ended++;
-      setTimeout(() => this.run(controller, dir), RESTART_DELAY_MS);
+      if (signal === null) controller.unexpectedExits++;
+      setTimeout(() => this.startProcess(controller, dir), RESTART_DELAY_MS);
     });
   }
 }
--- a/scripts/experiments/scale/gang-coordinator.ts
+++ b/scripts/experiments/scale/gang-coordinator.ts
@@ -15,26 +15,26 @@
 
   constructor(
     /** How long after a loss the other members notice it. */
-    private readonly noticeMs: number,
-    private readonly tellHosts: (key: string, what: 'start' | 'fail') => void,
+    private readonly lossDetectionMs: number,
+    private readonly notifyHosts: (key: string, what: 'start' | 'fail') => void,
   ) {}
 
   /** A member has joined its gang or left it. */
-  onMember({ key, task, tasks, what }: GangMessage): void {
+  onMembershipChange({ key, task, tasks, what }: GangMessage): void {
     const gang = this.gangs.get(key) ?? { members: new Set<string>(), hasStarted: false };
     this.gangs.set(key, gang);
-    if (what === 'left') return this.onLeft(key, gang, task);
+    if (what === 'left') return this.onMemberLeft(key, gang, task);
     gang.members.add(task);
     if (gang.hasStarted || gang.members.size < tasks) return;
     gang.hasStarted = true;
-    this.tellHosts(key, 'start');
+    this.notifyHosts(key, 'start');
   }
 
-  private onLeft(key: string, gang: Gang, task: string): void {
+  private onMemberLeft(key: string, gang: Gang, task: string): void {
     gang.members.delete(task);
     if (gang.members.size === 0) this.gangs.delete(key);
     if (!gang.hasStarted) return;
     gang.hasStarted = false;
-    setTimeout(() => this.tellHosts(key, 'fail'), this.noticeMs);
+    setTimeout(() => this.notifyHosts(key, 'fail'), this.lossDetectionMs);
   }
 }
--- a/scripts/experiments/scale/host-tasks.ts
+++ b/scripts/experiments/scale/host-tasks.ts
@@ -11,7 +11,7 @@
 /** A task that runs, or has ended. */
 interface HostTask {
   /** It is gone from its machine; false if it was before. */
-  leave(): boolean;
+  recordLeft(): boolean;
   /** It ends by itself. */
   exit(reason: ExitReason): void;
   onState(state: 'waiting' | 'running'): void;
@@ -19,7 +19,7 @@
 
 /** A task of a gang on one of this host's machines. */
 interface GangMember {
-  begin(): void;
+  start(): void;
   exit(reason: ExitReason): void;
 }
 
@@ -27,7 +27,7 @@
 export class HostTasks {
   private readonly jobs = new Map<string, JobDescription>();
   /** Members on this host, by job and attempt. */
-  private readonly gangs = new Map<string, Map<TaskId, GangMember>>();
+  private readonly gangMembers = new Map<string, Map<TaskId, GangMember>>();
   private events: TaskEvent[] = [];
 
   constructor(
@@ -38,12 +38,12 @@
   }
 
   /** Says what the tasks of jobs are like. */
-  describe(jobs: readonly JobDescription[]): void {
+  addJobs(jobs: readonly JobDescription[]): void {
     for (const job of jobs) this.jobs.set(job.id, job);
   }
 
   /** These jobs are over. */
-  forget(ids: readonly string[]): void {
+  removeJobs(ids: readonly string[]): void {
     for (const id of ids) this.jobs.delete(id);
   }
 
@@ -51,7 +51,7 @@
   onPlaced(worker: FakeWorker, task: TaskId): void {
     this.events.push({ at: this.clock.now, kind: 'on', task, machine: worker.id });
     // Nothing is launched for these: they end at once.
-    if (worker.faulty || worker.results.has(task)) this.onGone(worker, task);
+    if (worker.faulty || worker.results.has(task)) this.recordRemoval(worker, task);
   }
 
   /** Runs a task on a machine, which begins in the state `running`. */
@@ -63,23 +63,23 @@
     onState: HostTask['onState'],
   ): RunningTask {
     const job = this.jobs.get(parseTaskId(task).job);
-    const hostTask = this.hostTask(worker, task, onExit, onState);
+    const hostTask = this.createHostTask(worker, task, onExit, onState);
     if (job === undefined) {
       this.clock.after(0, () => hostTask.exit('unknown'));
-      return { stop: () => {}, kill: () => void hostTask.leave() };
+      return { stop: () => {}, kill: () => void hostTask.recordLeft() };
     }
     if (job.kind === 'gang') return this.joinGang(job, task, attempt, hostTask);
     if (job.kind === 'array') this.clock.after(job.runMs, () => hostTask.exit('done'));
     return {
-      stop: (_graceS, onStopped) => hostTask.leave() && onStopped(false),
-      kill: () => void hostTask.leave(),
+      stop: (_graceS, onStopped) => hostTask.recordLeft() && onStopped(false),
+      kill: () => void hostTask.recordLeft(),
     };
   }
 
   /** All members of a gang are there, on whatever hosts; or it has lost one after it began. */
-  onGang(key: string, what: 'start' | 'fail'): void {
-    for (const member of [...(this.gangs.get(key)?.values() ?? [])])
-      if (what === 'start') member.begin();
+  onGangEvent(key: string, what: 'start' | 'fail'): void {
+    for (const member of [...(this.gangMembers.get(key)?.values() ?? [])])
+      if (what === 'start') member.start();
       else member.exit('peers');
   }
 
@@ -90,12 +90,12 @@
   }
 
   /** A worker whose lease is over holds nothing from its end on, however late its timer fires. */
-  private onGone(worker: FakeWorker, task: TaskId): void {
+  private recordRemoval(worker: FakeWorker, task: TaskId): void {
     const at = Math.min(this.clock.now, worker.leaseEndsAt);
     this.events.push({ at, kind: 'off', task, machine: worker.id });
   }
 
-  private hostTask(
+  private createHostTask(
     worker: FakeWorker,
     task: TaskId,
     onExit: (reason: ExitReason) => void,
@@ -105,7 +105,7 @@
     const leave = (): boolean => {
       if (isOver) return false;
       isOver = true;
-      this.onGone(worker, task);
+      this.recordRemoval(worker, task);
       return true;
     };
     const exit = (reason: ExitReason): void => {
@@ -114,7 +114,7 @@
       leave();
       onExit(reason);
     };
-    return { leave, exit, onState };
+    return { recordLeft: leave, exit, onState };
   }
 
   /**
@@ -122,8 +122,8 @@
    */
   private joinGang(job: JobDescription, task: TaskId, attempt: number, hostTask: HostTask): RunningTask {
     const key = `${job.id}@${attempt}`;
-    const members = this.gangs.get(key) ?? new Map<TaskId, GangMember>();
-    this.gangs.set(key, members);
+    const members = this.gangMembers.get(key) ?? new Map<TaskId, GangMember>();
+    this.gangMembers.set(key, members);
     let hasBegun = false;
     const isWaiting = (): boolean => !hasBegun && members.has(task);
     const leave = (): void => this.leaveGang(key, members, task, job.tasks);
@@ -137,25 +137,25 @@
       hostTask.onState('running');
       this.clock.after(job.runMs, () => members.has(task) && exit('done'));
     };
-    members.set(task, { begin, exit });
+    members.set(task, { start: begin, exit });
     this.clock.after(0, () => isWaiting() && hostTask.onState('waiting'));
     this.clock.after(this.gangWaitMs, () => isWaiting() && exit('alone'));
     sendToParent<FromHost>({ kind: 'gang', key, task, tasks: job.tasks, what: 'joined' });
     return {
       stop: (_graceS, onStopped) => {
         leave();
-        if (hostTask.leave()) onStopped(false);
+        if (hostTask.recordLeft()) onStopped(false);
       },
       kill: () => {
         leave();
-        hostTask.leave();
+        hostTask.recordLeft();
       },
     };
   }
 
   private leaveGang(key: string, members: Map<TaskId, GangMember>, task: TaskId, tasks: number): void {
     if (!members.delete(task)) return;
-    if (members.size === 0) this.gangs.delete(key);
+    if (members.size === 0) this.gangMembers.delete(key);
     sendToParent<FromHost>({ kind: 'gang', key, task, tasks, what: 'left' });
   }
 }
--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -9,11 +9,11 @@
 const TICKS_PER_S = 100;
 const PAGE_BYTES = 4096;
 /** Sockets are counted at every so manyth reading. */
-const SOCKETS_INTERVAL = 10;
+const SOCKET_COUNT_INTERVAL_SAMPLES = 10;
 
 /** The accounts of a process at a moment. */
 interface Reading {
-  at: number;
+  atMs: number;
   cpuS: number;
   rssMb: number;
   reads: number;
@@ -66,7 +66,7 @@
         .map(([name, value]) => [name, Number(value)] as const),
     );
     return {
-      at: performance.now(),
+      atMs: performance.now(),
       cpuS: (Number(fields[11]) + Number(fields[12])) / TICKS_PER_S,
       rssMb: (Number(fields[21]) * PAGE_BYTES) / 1e6,
       reads: io.get('syscr') ?? 0,
@@ -79,7 +79,7 @@
   }
 }
 
-function socketsOf(pid: number): number {
+function countSockets(pid: number): number {
   try {
     const dir = `/proc/${pid}/fd`;
     return readdirSync(dir).filter((fd) => {
@@ -94,7 +94,7 @@
   }
 }
 
-const noFigures = (): RoleFigures => ({
+const zeroFigures = (): RoleFigures => ({
   core: 0,
   rssMb: 0,
   heapMb: 0,
@@ -106,22 +106,22 @@
 });
 
 /** Sums up what processes of one role cost from one reading to the next. */
-class Role {
-  private readonly sum = noFigures();
-  private readings = 0;
+class RoleTotals {
+  private readonly sum = zeroFigures();
+  private readingCount = 0;
   private heapReadings = 0;
   private socketReadings = 0;
-  private readonly last = new Map<number, Reading>();
+  private readonly lastReadings = new Map<number, Reading>();
 
   /** Reads a process that has the role at this moment. */
   add(pid: number, withSockets: boolean, heapMb: number | null): void {
     const now = readProcess(pid);
     if (now === null) return;
-    const before = this.last.get(pid);
-    this.last.set(pid, now);
+    const before = this.lastReadings.get(pid);
+    this.lastReadings.set(pid, now);
     if (before === undefined) return;
-    const seconds = (now.at - before.at) / 1000;
-    this.readings++;
+    const seconds = (now.atMs - before.atMs) / 1000;
+    this.readingCount++;
     this.sum.core += (now.cpuS - before.cpuS) / seconds;
     this.sum.rssMb += now.rssMb;
     this.sum.reads += (now.reads - before.reads) / seconds;
@@ -133,20 +133,20 @@
       this.heapReadings++;
     }
     if (withSockets) {
-      this.sum.sockets += socketsOf(pid);
+      this.sum.sockets += countSockets(pid);
       this.socketReadings++;
     }
   }
 
   /** The process has another role from now on: what it cost meanwhile counts for neither. */
-  forget(pid: number): void {
-    this.last.delete(pid);
+  dropLastReading(pid: number): void {
+    this.lastReadings.delete(pid);
   }
 
   /** The mean of all readings. */
   mean(): RoleFigures {
-    const mean = noFigures();
-    const readings = Math.max(1, this.readings);
+    const mean = zeroFigures();
+    const readings = Math.max(1, this.readingCount);
     for (const figure of Object.keys(mean) as (keyof RoleFigures)[])
       mean[figure] = this.sum[figure] / readings;
     mean.heapMb = this.sum.heapMb / Math.max(1, this.heapReadings);
@@ -163,37 +163,37 @@
 
 /** Measures the processes of a cluster by role. */
 export class Meter {
-  private leader = new Role();
-  private others = new Role();
-  private state = new Role();
-  private hosts = new Role();
-  private began = performance.now();
-  private readings = 0;
-  private workers = 0;
-  private services: ServiceCounts | null = null;
-  private heartbeats: HeartbeatCounts | null = null;
+  private leaderTotals = new RoleTotals();
+  private othersTotals = new RoleTotals();
+  private servicesTotals = new RoleTotals();
+  private hostsTotals = new RoleTotals();
+  private startedAt = performance.now();
+  private sampleCount = 0;
+  private workerSum = 0;
+  private servicesAtStart: ServiceCounts | null = null;
+  private heartbeatsAtStart: HeartbeatCounts | null = null;
   /** The process of the last leader. */
-  private lastLeader: number | null = null;
+  private lastLeaderPid: number | null = null;
 
   constructor(private readonly cluster: ScaleCluster) {}
 
   /** Forgets what was measured so far. */
-  begin(): void {
-    this.leader = new Role();
-    this.others = new Role();
-    this.state = new Role();
-    this.hosts = new Role();
-    this.began = performance.now();
-    this.readings = 0;
-    this.workers = 0;
-    this.services = this.cluster.serviceCounts;
-    this.heartbeats = this.heartbeatCounts();
+  reset(): void {
+    this.leaderTotals = new RoleTotals();
+    this.othersTotals = new RoleTotals();
+    this.servicesTotals = new RoleTotals();
+    this.hostsTotals = new RoleTotals();
+    this.startedAt = performance.now();
+    this.sampleCount = 0;
+    this.workerSum = 0;
+    this.servicesAtStart = this.cluster.serviceCounts;
+    this.heartbeatsAtStart = this.heartbeatCounts();
   }
 
   private heartbeatCounts(): HeartbeatCounts {
     const all = this.cluster.hosts.map((host) => host.counts);
     return {
-      sent: all.reduce((sum, counts) => sum + counts.reports, 0),
+      sent: all.reduce((sum, counts) => sum + counts.heartbeats, 0),
       bytes: all.reduce((sum, counts) => sum + counts.bytes, 0),
     };
   }
@@ -201,7 +201,7 @@
   /** To be called once a second. `statuses`: of the controllers, in their order. */
   sample(statuses: readonly (NodeStatus | null)[]): void {
     const { cluster } = this;
-    const withSockets = this.readings++ % SOCKETS_INTERVAL === 0;
+    const withSockets = this.sampleCount++ % SOCKET_COUNT_INTERVAL_SAMPLES === 0;
     const leader = statuses.find((status) => status !== null)?.owner ?? null;
     cluster.controllers.all.forEach((controller, i) => {
       const pid = controller.process?.pid;
@@ -209,25 +209,25 @@
       const role = this.roleOf(pid, controller.name === leader);
       role.add(pid, withSockets, statuses[i]?.process?.heapMb ?? null);
     });
-    if (cluster.services?.pid !== undefined) this.state.add(cluster.services.pid, withSockets, null);
+    if (cluster.services?.pid !== undefined) this.servicesTotals.add(cluster.services.pid, withSockets, null);
     for (const { process: child } of cluster.hosts)
-      if (child.pid !== undefined) this.hosts.add(child.pid, false, null);
-    this.workers += cluster.up.length;
-    cluster.askCounts();
+      if (child.pid !== undefined) this.hostsTotals.add(child.pid, false, null);
+    this.workerSum += cluster.upMachines.length;
+    cluster.requestCounts();
   }
 
   /** What all roles have cost since it began. */
   figures(): Figures {
-    const seconds = (performance.now() - this.began) / 1000;
-    const workers = this.workers / Math.max(1, this.readings);
+    const seconds = (performance.now() - this.startedAt) / 1000;
+    const workers = this.workerSum / Math.max(1, this.sampleCount);
     const { serviceCounts } = this.cluster;
     const perS = (count: keyof ServiceCounts): number =>
-      ((serviceCounts?.[count] ?? 0) - (this.services?.[count] ?? 0)) / seconds;
+      ((serviceCounts?.[count] ?? 0) - (this.servicesAtStart?.[count] ?? 0)) / seconds;
     return {
       seconds,
-      owner: this.leader.mean(),
-      others: this.others.mean(),
-      state: this.state.mean(),
+      owner: this.leaderTotals.mean(),
+      others: this.othersTotals.mean(),
+      state: this.servicesTotals.mean(),
       worker: this.workerFigures(workers, seconds),
       stateRequestsPerS: perS('stateRequests'),
       stateChangesPerS: perS('stateChanges'),
@@ -238,25 +238,25 @@
     };
   }
 
-  private roleOf(pid: number, isLeader: boolean): Role {
-    if (!isLeader) return this.others;
-    if (this.lastLeader !== pid) {
-      this.others.forget(pid);
-      this.lastLeader = pid;
+  private roleOf(pid: number, isLeader: boolean): RoleTotals {
+    if (!isLeader) return this.othersTotals;
+    if (this.lastLeaderPid !== pid) {
+      this.othersTotals.dropLastReading(pid);
+      this.lastLeaderPid = pid;
     }
-    return this.leader;
+    return this.leaderTotals;
   }
 
   private workerFigures(workers: number, seconds: number): Figures['worker'] {
-    const host = this.hosts.mean();
+    const host = this.hostsTotals.mean();
     const heartbeats = this.heartbeatCounts();
     const each = (perHost: number): number => (perHost * this.cluster.hosts.length) / Math.max(1, workers);
     const perS = (total: number): number => total / seconds / Math.max(1, workers);
     return {
       core: each(host.core),
       mb: each(host.rssMb),
-      reportsPerS: perS(heartbeats.sent - (this.heartbeats?.sent ?? 0)),
-      bytesPerS: perS(heartbeats.bytes - (this.heartbeats?.bytes ?? 0)),
+      reportsPerS: perS(heartbeats.sent - (this.heartbeatsAtStart?.sent ?? 0)),
+      bytesPerS: perS(heartbeats.bytes - (this.heartbeatsAtStart?.bytes ?? 0)),
       ioBytesPerS: each(host.bytesIn + host.bytesOut),
     };
   }
--- a/scripts/experiments/scale/messages.ts
+++ b/scripts/experiments/scale/messages.ts
@@ -30,7 +30,7 @@
 /** What a host has counted since it began. */
 export interface HostCounts {
   workers: number;
-  reports: number;
+  heartbeats: number;
   /** Of heartbeats and their responses, bodies and heads. */
   bytes: number;
   lostByLease: number;
--- a/scripts/experiments/scale/observation-queue.ts
+++ b/scripts/experiments/scale/observation-queue.ts
@@ -7,7 +7,7 @@
 
 /** Batches of different processes, and news of changes in force, come this much apart at the most. */
 const SETTLE_MS = 1200;
-const LOOK_INTERVAL_MS = 1000;
+const TIMED_CHECK_INTERVAL_MS = 1000;
 
 /** What users, workers and the experiment itself have seen, by when it happened. */
 type Observation =
@@ -19,11 +19,11 @@
 /** Gives what users and workers saw to the rule checker, in the order in which it happened. */
 export class ObservationQueue {
   private pending: Observation[] = [];
-  private lastLookAt = 0;
+  private lastTimedCheckAt = 0;
   /** Starts a second, by the second in which they fell. */
-  readonly starts = new Map<number, number>();
+  readonly startsBySecond = new Map<number, number>();
   /** Is told of tasks that are put on machines. */
-  onStart: (task: string, at: number) => void = () => {};
+  onTaskStart: (task: string, at: number) => void = () => {};
 
   constructor(
     private readonly rules: RuleChecker,
@@ -44,13 +44,13 @@
     while (settled < this.pending.length && this.pending[settled]!.at <= until)
       this.check(this.pending[settled++]!);
     this.pending = this.pending.slice(settled);
-    if (until < this.lastLookAt + LOOK_INTERVAL_MS) return;
-    this.lastLookAt = until;
+    if (until < this.lastTimedCheckAt + TIMED_CHECK_INTERVAL_MS) return;
+    this.lastTimedCheckAt = until;
     this.rules.look(until);
   }
 
   /** Tasks on machines. */
-  get running(): number {
+  get runningTasks(): number {
     return this.placements.size;
   }
 
@@ -58,7 +58,7 @@
     const { at } = observation;
     switch (observation.kind) {
       case 'on':
-        return this.onTask(at, observation.task, observation.machine);
+        return this.onTaskPlaced(at, observation.task, observation.machine);
       case 'off':
         return this.placements.remove(observation.task, observation.machine);
       case 'done':
@@ -72,12 +72,12 @@
     }
   }
 
-  private onTask(at: number, task: string, machineId: string): void {
+  private onTaskPlaced(at: number, task: string, machineId: string): void {
     const machine = this.machineOf(machineId);
     const second = Math.floor(at / 1000);
-    this.starts.set(second, (this.starts.get(second) ?? 0) + 1);
+    this.startsBySecond.set(second, (this.startsBySecond.get(second) ?? 0) + 1);
     if (machine !== undefined) this.rules.placing(at, task, machine);
     this.placements.add(task, machineId);
-    this.onStart(task, at);
+    this.onTaskStart(task, at);
   }
 }
--- a/scripts/experiments/scale/operator.ts
+++ b/scripts/experiments/scale/operator.ts
@@ -18,18 +18,18 @@
 import { sleep } from './time.ts';
 import type { TeamLimits } from './workload.ts';
 
-const LOOK_INTERVAL_MS = 400;
+const POLL_INTERVAL_MS = 400;
 const RETRY_DELAY_MS = 1000;
 /** Documents in one transaction: what the store's limit of 24 changes leaves. */
-const BATCH_DOCUMENTS = 20;
-const STOPPED_PART = 0.2;
+const MAX_DOCUMENTS_PER_TRANSACTION = 20;
+const STOPPED_FRACTION = 0.2;
 const STOP_WITHIN_S = 60;
 /** Limits move between these multiples of what they were at first. */
 const LOWEST_FACTOR = 0.6;
 const HIGHEST_FACTOR = 1.5;
 
 /** A change that was made. */
-interface Change {
+interface CommittedChange {
   revision: Revision;
   /** When its transaction was sent, and when the leader said it is in force; wall time in milliseconds. */
   sentAt: number;
@@ -49,7 +49,7 @@
 }
 
 /** Quotas that are asked for, and the limits that they mean. */
-interface WantedQuotas {
+interface QuotaChange {
   documents: ConfigDocument[];
   limits: Map<string, TeamAmounts>;
 }
@@ -65,22 +65,22 @@
   private readonly client: ConfigClient;
   private readonly http: HttpClient;
   private readonly random: ReturnType<typeof seededRandom>;
-  private readonly changes: Change[] = [];
+  private readonly committedChanges: CommittedChange[] = [];
   /**
    * From a change's transaction until it is in force, in milliseconds, less the time for which the store was
    * away.
    */
   private readonly delaysMs = histogram({ numberOfSignificantValueDigits: 3 });
   private readonly outages: Outage[] = [];
-  private documents = 0;
+  private documentCount = 0;
   private isStopped = false;
-  private lastNumber = 0;
+  private lastChangeNumber = 0;
 
   constructor(
     settings: Settings,
     private readonly teams: readonly TeamLimits[],
     /** Limits of the settings file. */
-    private readonly base: ReadonlyMap<string, TeamAmounts>,
+    private readonly initialLimits: ReadonlyMap<string, TeamAmounts>,
     seed: number,
   ) {
     this.http = storeClient(settings);
@@ -89,32 +89,34 @@
   }
 
   /** So many changes a minute, until it is stopped. */
-  begin(perMinute: number): void {
+  start(perMinute: number): void {
     if (perMinute <= 0) return;
-    void this.repeat(60_000 / perMinute);
-    void this.watch();
+    void this.changeRepeatedly(60_000 / perMinute);
+    void this.watchInForce();
   }
 
-  private async repeat(everyMs: number): Promise<void> {
+  private async changeRepeatedly(everyMs: number): Promise<void> {
     while (!this.isStopped) {
       const began = performance.now();
-      await this.change(1);
+      await this.commitChange(1);
       await sleep(Math.max(0, everyMs - (performance.now() - began)));
     }
   }
 
   /** So many documents changed as fast as the store takes them, in full transactions. */
   async burst(documents: number, withinS: number): Promise<void> {
-    const batches = Math.ceil(documents / BATCH_DOCUMENTS);
+    const batches = Math.ceil(documents / MAX_DOCUMENTS_PER_TRANSACTION);
     for (let i = 0; i < batches && !this.isStopped; i++) {
       const began = performance.now();
-      await this.change(Math.min(BATCH_DOCUMENTS, documents - i * BATCH_DOCUMENTS));
+      await this.commitChange(
+        Math.min(MAX_DOCUMENTS_PER_TRANSACTION, documents - i * MAX_DOCUMENTS_PER_TRANSACTION),
+      );
       await sleep(Math.max(0, (withinS * 1000) / batches - (performance.now() - began)));
     }
   }
 
   /** Draws new quotas for so many teams that have limits. */
-  private drawQuotas(count: number): WantedQuotas {
+  private drawQuotas(count: number): QuotaChange {
     const limits = new Map<string, TeamAmounts>();
     const documents: ConfigDocument[] = [];
     const limited = this.teams.filter((team) => team.cpus_max > 0);
@@ -122,7 +124,7 @@
     for (let i = 0; i < Math.min(count, limited.length); i++) {
       const team = limited[(first + i) % limited.length]!;
       const limit = this.drawLimit(team);
-      const isStopped = this.random.below(1000) < STOPPED_PART * 1000;
+      const isStopped = this.random.below(1000) < STOPPED_FRACTION * 1000;
       limits.set(team.name, limit);
       documents.push(quotaDocument(team, limit, isStopped));
     }
@@ -138,16 +140,21 @@
   }
 
   /** Insisted on until it is made; two changes under way at once find out and plan again. */
-  private async change(documents: number): Promise<void> {
+  private async commitChange(documents: number): Promise<void> {
     const wanted = this.drawQuotas(documents);
-    const id = `scale-${++this.lastNumber}`;
+    const id = `scale-${++this.lastChangeNumber}`;
     while (!this.isStopped) {
       try {
         const snapshot = await this.client.snapshot();
         const sentAt = Date.now();
         const made = await this.client.apply(snapshot, this.client.plan(snapshot, wanted.documents), id);
-        this.documents += wanted.documents.length;
-        this.changes.push({ revision: made.revision, sentAt, inForceAt: null, limits: wanted.limits });
+        this.documentCount += wanted.documents.length;
+        this.committedChanges.push({
+          revision: made.revision,
+          sentAt,
+          inForceAt: null,
+          limits: wanted.limits,
+        });
         return;
       } catch (e) {
         if (!(e instanceof ConfigConflictError) && !(e instanceof StoreUnavailableError)) throw e;
@@ -156,7 +163,7 @@
     }
   }
 
-  private async watch(): Promise<void> {
+  private async watchInForce(): Promise<void> {
     while (!this.isStopped) {
       try {
         const record = await this.client.inForce();
@@ -164,12 +171,12 @@
       } catch (e) {
         if (!(e instanceof StoreUnavailableError)) throw e;
       }
-      await sleep(LOOK_INTERVAL_MS);
+      await sleep(POLL_INTERVAL_MS);
     }
   }
 
   private onInForce(revision: Revision, at: number): void {
-    for (const change of this.changes) {
+    for (const change of this.committedChanges) {
       if (change.inForceAt !== null || change.revision > revision) continue;
       change.inForceAt = at;
       const delayMs = at - change.sentAt - this.outageMs(change.sentAt, at);
@@ -178,7 +185,7 @@
   }
 
   /** The store is away for so long from now on: nothing can be changed, nor put in force. */
-  outage(ms: number): void {
+  recordOutage(ms: number): void {
     this.outages.push({ from: Date.now(), to: Date.now() + ms });
   }
 
@@ -190,8 +197,8 @@
 
   /** The highest limit that a controller may have acted on at that time. */
   limitOf(team: string, at: number): TeamAmounts | undefined {
-    let most = this.base.get(team);
-    for (const { limits, sentAt, inForceAt } of this.changes) {
+    let most = this.initialLimits.get(team);
+    for (const { limits, sentAt, inForceAt } of this.committedChanges) {
       const limit = limits.get(team);
       if (limit === undefined || sentAt > at) continue;
       if (inForceAt !== null && inForceAt <= at) most = limit;
@@ -208,9 +215,9 @@
   figures(): ConfigFigures {
     const seconds = (percentile: number): number => this.delaysMs.getValueAtPercentile(percentile) / 1000;
     return {
-      changes: this.changes.length,
-      documents: this.documents,
-      pending: this.changes.filter((change) => change.inForceAt === null).length,
+      changes: this.committedChanges.length,
+      documents: this.documentCount,
+      pending: this.committedChanges.filter((change) => change.inForceAt === null).length,
       p50S: seconds(50),
       p99S: seconds(99),
       maxS: this.delaysMs.maxValue / 1000,
--- a/scripts/experiments/scale/placements.ts
+++ b/scripts/experiments/scale/placements.ts
@@ -7,20 +7,20 @@
  * Looks for which room, on a machine or under a limit, must have been there. At a look a second: three
  * heartbeats.
  */
-const LASTING_LOOKS = 15;
+const LASTING_SAMPLES = 15;
 
 /** A task on a machine, and the job that it is of. */
-interface Entry extends OnMachine {
+interface TrackedPlacement extends OnMachine {
   job: string;
 }
 
 /** An index of what is on machines: no question looks at everything. */
 export class TrackedPlacements implements Placements {
-  private readonly byTask = new Map<string, Entry[]>();
-  private readonly byJob = new Map<string, Set<Entry>>();
-  private readonly byMachine = new Map<string, Set<Entry>>();
-  private readonly teams = new Map<string, TeamAmounts>();
-  private readonly pastUse = new Map<string, TeamAmounts[]>();
+  private readonly byTask = new Map<string, TrackedPlacement[]>();
+  private readonly byJob = new Map<string, Set<TrackedPlacement>>();
+  private readonly byMachine = new Map<string, Set<TrackedPlacement>>();
+  private readonly useByTeam = new Map<string, TeamAmounts>();
+  private readonly pastUseByTeam = new Map<string, TeamAmounts[]>();
   /** Tasks on machines. */
   size = 0;
 
@@ -33,11 +33,11 @@
   add(task: string, machineId: string): void {
     const machine = this.machineOf(machineId) ?? { id: machineId, type: '?', zone: '?', spot: false };
     const { job } = parseTaskId(task as TaskId);
-    const entry: Entry = { task, machine, job };
+    const entry: TrackedPlacement = { task, machine, job };
     this.size++;
     this.byTask.set(task, [...(this.byTask.get(task) ?? []), entry]);
-    groupOf(this.byJob, job).add(entry);
-    groupOf(this.byMachine, machineId).add(entry);
+    getOrCreateGroup(this.byJob, job).add(entry);
+    getOrCreateGroup(this.byMachine, machineId).add(entry);
     this.addUse(job, 1);
   }
 
@@ -58,8 +58,11 @@
   private addUse(job: string, tasks: 1 | -1): void {
     const spec = this.specOf(job);
     if (spec === undefined) return;
-    const used = this.teams.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    this.teams.set(spec.team, { cpus: used.cpus + spec.cpus * tasks, gpus: used.gpus + spec.gpus * tasks });
+    const used = this.useByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    this.useByTeam.set(spec.team, {
+      cpus: used.cpus + spec.cpus * tasks,
+      gpus: used.gpus + spec.gpus * tasks,
+    });
   }
 
   *all(): Iterable<OnMachine> {
@@ -75,21 +78,21 @@
   }
 
   usedBy(team: string): TeamAmounts {
-    return this.teams.get(team) ?? { cpus: 0, gpus: 0 };
+    return this.useByTeam.get(team) ?? { cpus: 0, gpus: 0 };
   }
 
   /** To be called once for each look: remembers what teams use. */
-  look(): void {
-    for (const [team, used] of this.teams) {
-      const past = this.pastUse.get(team) ?? [];
-      this.pastUse.set(team, past);
+  sampleUse(): void {
+    for (const [team, used] of this.useByTeam) {
+      const past = this.pastUseByTeam.get(team) ?? [];
+      this.pastUseByTeam.set(team, past);
       past.push(used);
-      if (past.length > LASTING_LOOKS) past.shift();
+      if (past.length > LASTING_SAMPLES) past.shift();
     }
   }
 
   lastingUseOf(team: string): TeamAmounts {
-    const past = [...(this.pastUse.get(team) ?? []), this.usedBy(team)];
+    const past = [...(this.pastUseByTeam.get(team) ?? []), this.usedBy(team)];
     return {
       cpus: Math.max(...past.map((use) => use.cpus)),
       gpus: Math.max(...past.map((use) => use.gpus)),
@@ -117,7 +120,7 @@
  */
 export class LastingRooms {
   /** The last looks at each machine. */
-  private readonly lastLooks = new Map<string, Room[]>();
+  private readonly recentSamples = new Map<string, Room[]>();
 
   /** To be called once for each look, with the room of every machine that is up. */
   *look(rooms: Iterable<Room>): Iterable<Room> {
@@ -125,24 +128,24 @@
     for (const room of rooms) {
       const { id } = room.machine;
       up.add(id);
-      const past = this.lastLooks.get(id) ?? [];
-      this.lastLooks.set(id, past);
+      const past = this.recentSamples.get(id) ?? [];
+      this.recentSamples.set(id, past);
       past.push(room);
-      if (past.length > LASTING_LOOKS) past.shift();
-      if (past.length === LASTING_LOOKS) yield leastOf(past);
+      if (past.length > LASTING_SAMPLES) past.shift();
+      if (past.length === LASTING_SAMPLES) yield minimumOf(past);
     }
-    for (const id of this.lastLooks.keys()) if (!up.has(id)) this.lastLooks.delete(id);
+    for (const id of this.recentSamples.keys()) if (!up.has(id)) this.recentSamples.delete(id);
   }
 }
 
-const leastOf = (rooms: readonly Room[]): Room => ({
+const minimumOf = (rooms: readonly Room[]): Room => ({
   machine: rooms[0]!.machine,
   cpus: Math.min(...rooms.map((room) => room.cpus)),
   gpus: Math.min(...rooms.map((room) => room.gpus)),
   memoryGb: Math.min(...rooms.map((room) => room.memoryGb)),
 });
 
-function groupOf<K>(groups: Map<K, Set<Entry>>, key: K): Set<Entry> {
+function getOrCreateGroup<K>(groups: Map<K, Set<TrackedPlacement>>, key: K): Set<TrackedPlacement> {
   let group = groups.get(key);
   if (group === undefined) {
     group = new Set();
--- a/scripts/experiments/scale/run-faults.ts
+++ b/scripts/experiments/scale/run-faults.ts
@@ -9,8 +9,8 @@
 import type { Users } from './users.ts';
 import { ZONES } from './workload.ts';
 
-const TAKEOVER_LOOK_MS = 100;
-const TAKEOVER_MAX_S = 60;
+const TAKEOVER_POLL_INTERVAL_MS = 100;
+const TAKEOVER_TIMEOUT_S = 60;
 
 /** What faults act on. */
 export interface FaultTargets {
@@ -27,7 +27,7 @@
   /** From each end of a leader until the next has heard all machines, in seconds. */
   readonly takeoversS: number[] = [];
   /** Figures of the first burst of starts. */
-  peak: Figures | null = null;
+  burstFigures: Figures | null = null;
   private readonly random: ReturnType<typeof seededRandom>;
 
   constructor(private readonly targets: FaultTargets) {
@@ -35,7 +35,7 @@
   }
 
   /** Plays all faults, until the last of them is over. */
-  async play(faults: readonly ScaleFault[]): Promise<void> {
+  async injectAll(faults: readonly ScaleFault[]): Promise<void> {
     const began = performance.now();
     const sleepUntil = (seconds: number): Promise<void> =>
       sleep(Math.max(0, seconds * 1000 - (performance.now() - began)));
@@ -44,25 +44,25 @@
     for (const fault of [...faults].sort((a, b) => a.atS - b.atS)) {
       await sleepUntil(fault.atS);
       this.targets.onProgress(`fault: ${JSON.stringify(fault)}`);
-      underWay.push(this.begin(fault));
+      underWay.push(this.inject(fault));
       endS = Math.max(endS, fault.atS + ('forS' in fault ? fault.forS : 0));
     }
     await Promise.all(underWay);
     await sleepUntil(endS);
   }
 
-  private begin(fault: ScaleFault): Promise<void> {
+  private inject(fault: ScaleFault): Promise<void> {
     switch (fault.kind) {
       case 'burst':
         return this.burst(fault.startsPerS, fault.forS);
       case 'owner-ends':
-        return this.endLeader();
+        return this.killLeader();
       case 'all-end':
-        return this.endAll();
+        return this.killAllControllers();
       case 'freeze-owner':
         return this.freezeLeader(fault.forS);
       case 'outage':
-        return this.outage(fault.forS);
+        return this.beginStoreOutage(fault.forS);
       case 'rack':
         return this.loseRack(fault.workers);
       case 'zone-cut':
@@ -77,9 +77,9 @@
   private async burst(startsPerS: number, seconds: number): Promise<void> {
     const { users, meter } = this.targets;
     users.burst(startsPerS, seconds);
-    meter.begin();
+    meter.reset();
     await sleep(seconds * 1000);
-    this.peak ??= meter.figures();
+    this.burstFigures ??= meter.figures();
   }
 
   private leader(): Promise<ControllerProcess | null> {
@@ -87,65 +87,65 @@
     return controllers.leaderOf(controllers.all);
   }
 
-  private async endLeader(): Promise<void> {
+  private async killLeader(): Promise<void> {
     const leader = await this.leader();
     if (leader === null) return;
     this.targets.cluster.controllers.kill(leader);
-    await this.timeTakeover();
+    await this.measureTakeover();
   }
 
-  private async endAll(): Promise<void> {
+  private async killAllControllers(): Promise<void> {
     const { controllers } = this.targets.cluster;
     for (const controller of controllers.all) controllers.kill(controller);
-    await this.timeTakeover();
+    await this.measureTakeover();
   }
 
   private async freezeLeader(seconds: number): Promise<void> {
     const leader = await this.leader();
     if (leader === null) return;
     this.targets.cluster.controllers.freeze(leader, seconds * 1000);
-    await this.timeTakeover(leader);
+    await this.measureTakeover(leader);
   }
 
-  private async outage(seconds: number): Promise<void> {
+  private async beginStoreOutage(seconds: number): Promise<void> {
     const { cluster, operator } = this.targets;
-    cluster.outage(seconds);
-    operator.outage(seconds * 1000);
+    cluster.beginStoreOutage(seconds);
+    operator.recordOutage(seconds * 1000);
     await sleep(seconds * 1000);
   }
 
   private async loseRack(workers: number): Promise<void> {
     const { cluster } = this.targets;
-    const zone = this.anyZone();
-    const rack = cluster.up.filter((machine) => machine.zone === zone).slice(0, workers);
-    cluster.loseMachines(rack.map((machine) => machine.id));
+    const zone = this.drawZone();
+    const rack = cluster.upMachines.filter((machine) => machine.zone === zone).slice(0, workers);
+    cluster.killMachines(rack.map((machine) => machine.id));
   }
 
   private async cutZone(seconds: number): Promise<void> {
-    this.targets.cluster.cutZone(this.anyZone(), seconds * 1000);
+    this.targets.cluster.cutZone(this.drawZone(), seconds * 1000);
     await sleep(seconds * 1000);
   }
 
   private async restartWorkers(workers: number, seconds: number): Promise<void> {
     const { cluster } = this.targets;
     for (let i = 0; i < workers; i++) {
-      const { up } = cluster;
+      const { upMachines: up } = cluster;
       const machine = up[this.random.below(Math.max(1, up.length))];
       if (machine !== undefined) cluster.restartMachine(machine.id);
       await sleep((seconds * 1000) / workers);
     }
   }
 
-  private anyZone(): string {
+  private drawZone(): string {
     return ZONES[this.random.below(ZONES.length)]!;
   }
 
   /** How long until another controller leads and has heard all machines. */
-  private async timeTakeover(except: ControllerProcess | null = null): Promise<void> {
+  private async measureTakeover(except: ControllerProcess | null = null): Promise<void> {
     const { controllers } = this.targets.cluster;
     const began = performance.now();
-    while (performance.now() - began < TAKEOVER_MAX_S * 1000) {
-      await sleep(TAKEOVER_LOOK_MS);
+    while (performance.now() - began < TAKEOVER_TIMEOUT_S * 1000) {
+      await sleep(TAKEOVER_POLL_INTERVAL_MS);
       const others = controllers.all.filter((other) => other !== except && other.process !== null);
       if ((await controllers.leaderOf(others)) !== null) break;
     }
--- a/scripts/experiments/scale/run-setup.ts
+++ b/scripts/experiments/scale/run-setup.ts
@@ -3,7 +3,15 @@
 import type { Figures } from './measure.ts';
 import type { ConfigFigures } from './operator.ts';
 import type { UserFigures } from './users.ts';
-import { ACCELERATED, type Demand, PLAIN, PLAIN_PART, teamsFor, WAITING_TEAM, ZONES } from './workload.ts';
+import {
+  ACCELERATED,
+  type Demand,
+  PLAIN,
+  PLAIN_FRACTION,
+  teamsFor,
+  WAITING_TEAM,
+  ZONES,
+} from './workload.ts';
 
 /** A fault `atS` seconds after the measurement, or something else that is done to the cluster then. */
 export type ScaleFault = { atS: number } & (
@@ -71,9 +79,9 @@
 }
 
 /** Settings of workers in every run. */
-export const WORKERS = { report_s: 5, lease_s: 24, gang_wait_s: 35, gang_peer_s: 8, cancel_s: 49 };
-const STORE = { rps: 100, write_rps: 40, value_kb: 8, txn_ops: 24, latency_ms: 5 };
-const CLOUD = { rps: 8, list_lag_s: 8, latency_ms: 80 };
+export const WORKER_SETTINGS = { report_s: 5, lease_s: 24, gang_wait_s: 35, gang_peer_s: 8, cancel_s: 49 };
+const STORE_SETTINGS = { rps: 100, write_rps: 40, value_kb: 8, txn_ops: 24, latency_ms: 5 };
+const CLOUD_SETTINGS = { rps: 8, list_lag_s: 8, latency_ms: 80 };
 const BOOT_S = 3;
 
 /** The local cluster's options for a run. */
@@ -84,11 +92,13 @@
     lab: [{ port: 0, controllers, seed, zones: ZONES }],
     team: Object.fromEntries(teams.map(({ name, ...limits }) => [name, [limits]])),
     type: {
-      plain: [{ ...PLAIN, price: 1, boot_s: BOOT_S, count: countOf(PLAIN_PART), spot: 0 }],
-      accelerated: [{ ...ACCELERATED, price: 2.5, boot_s: BOOT_S, count: countOf(1 - PLAIN_PART), spot: 0 }],
+      plain: [{ ...PLAIN, price: 1, boot_s: BOOT_S, count: countOf(PLAIN_FRACTION), spot: 0 }],
+      accelerated: [
+        { ...ACCELERATED, price: 2.5, boot_s: BOOT_S, count: countOf(1 - PLAIN_FRACTION), spot: 0 },
+      ],
     },
-    workers: [WORKERS],
-    state: [STORE],
-    cloud: [CLOUD],
+    workers: [WORKER_SETTINGS],
+    state: [STORE_SETTINGS],
+    cloud: [CLOUD_SETTINGS],
   });
 }
--- a/scripts/experiments/scale/run.ts
+++ b/scripts/experiments/scale/run.ts
@@ -16,9 +16,15 @@
 import { ObservationQueue } from './observation-queue.ts';
 import { ScaleOperator } from './operator.ts';
 import { LastingRooms, TrackedPlacements } from './placements.ts';
-import { daemonProgram, hostsFor } from './resources.ts';
+import { daemonProgram, hostCountFor } from './resources.ts';
 import { RunFaults } from './run-faults.ts';
-import { clusterOptions, type RunResult, type RunSetup, type UrgentFigures, WORKERS } from './run-setup.ts';
+import {
+  clusterOptions,
+  type RunResult,
+  type RunSetup,
+  type UrgentFigures,
+  WORKER_SETTINGS,
+} from './run-setup.ts';
 import { sleep, wallClock } from './time.ts';
 import { Users } from './users.ts';
 import { ACCELERATED, PLAIN, type TeamLimits, teamsFor, WAITING_TEAM } from './workload.ts';
@@ -39,16 +45,19 @@
 }
 
 /** Limits that are 0 are none. */
-const limitOf = (amount: number): number => (amount > 0 ? amount : Number.POSITIVE_INFINITY);
+const limitOrInfinity = (amount: number): number => (amount > 0 ? amount : Number.POSITIVE_INFINITY);
 
 const limitsOf = (teams: readonly TeamLimits[]): Map<string, TeamAmounts> =>
   new Map(
-    teams.map(({ name, cpus_max, gpus_max }) => [name, { cpus: limitOf(cpus_max), gpus: limitOf(gpus_max) }]),
+    teams.map(({ name, cpus_max, gpus_max }) => [
+      name,
+      { cpus: limitOrInfinity(cpus_max), gpus: limitOrInfinity(gpus_max) },
+    ]),
   );
 
 /** Plays one run. */
 export class ScaleRun {
-  private readonly places = new Map<string, Place>();
+  private readonly placesById = new Map<string, Place>();
   private readonly placements: TrackedPlacements;
   private readonly rules: RuleChecker;
   private readonly observations: ObservationQueue;
@@ -56,9 +65,9 @@
   private readonly meter: Meter;
   private readonly operator: ScaleOperator;
   private readonly faults: RunFaults;
-  private readonly lastingRooms = new LastingRooms();
+  private readonly lastingFreeCapacity = new LastingRooms();
   /** Free capacity that machines have had for long enough. */
-  private lasting: Room[] = [];
+  private lastingCapacities: Room[] = [];
   private isSampling = true;
 
   private constructor(
@@ -72,14 +81,14 @@
     this.placements = new TrackedPlacements(machineOf, (job) => this.users.specOf(job));
     this.rules = new RuleChecker(
       {
-        cancelMs: WORKERS.cancel_s * 1000,
+        cancelMs: WORKER_SETTINGS.cancel_s * 1000,
         limitOf: (team, at) => this.operator.limitOf(team, at) ?? UNLIMITED,
-        rooms: () => this.lasting,
+        rooms: () => this.lastingCapacities,
       },
       this.placements,
     );
     this.observations = new ObservationQueue(this.rules, this.placements, machineOf);
-    cluster.onTasks = (events) => this.observations.add(events);
+    cluster.onTaskEvents = (events) => this.observations.add(events);
     this.users = new Users(cluster, this.observations, demand, teams, seed);
     this.meter = new Meter(cluster);
     const limits = limitsOf([...teams, WAITING_TEAM]);
@@ -99,7 +108,7 @@
       options: clusterOptions(setup),
       program: daemonProgram(),
       dir,
-      hosts: hostsFor(setup.demand.workers),
+      hostCount: hostCountFor(setup.demand.workers),
       seed: setup.seed,
     });
     onCluster(() => cluster.stop());
@@ -118,10 +127,10 @@
   private async play(): Promise<RunResult> {
     const { setup } = this;
     const loops = [this.sampleLoop(), this.checkLoop()];
-    this.users.begin();
-    this.operator.begin(setup.changesPerMinute);
+    this.users.start();
+    this.operator.start(setup.changesPerMinute);
     const measurement = await this.measure();
-    await this.faults.play(setup.troubles);
+    await this.faults.injectAll(setup.troubles);
     this.observations.add([{ at: wallClock(), kind: 'over' }]);
     await sleep(setup.calmS * 1000);
     this.isSampling = false;
@@ -134,14 +143,14 @@
   private async measure(): Promise<Measurement> {
     const { fillS, measureS, burst } = this.setup;
     await sleep(fillS * 1000);
-    this.meter.begin();
+    this.meter.reset();
     if (burst > 0) this.users.burst(burst, measureS);
     const from = Math.floor(Date.now() / 1000);
     await sleep(measureS * 1000);
     return {
       figures: this.meter.figures(),
-      running: this.observations.running,
-      openJobs: this.users.open,
+      running: this.observations.runningTasks,
+      openJobs: this.users.openJobs,
       meanStartsPerS: this.startsBetween(from, from + measureS) / measureS,
     };
   }
@@ -154,8 +163,8 @@
       const began = performance.now();
       const statuses = await Promise.all(controllers.all.map((controller) => controllers.status(controller)));
       this.meter.sample(statuses);
-      this.placements.look();
-      this.lasting = [...this.lastingRooms.look(this.rooms())];
+      this.placements.sampleUse();
+      this.lastingCapacities = [...this.lastingFreeCapacity.look(this.freeCapacities())];
       this.reportProgress(statuses);
       await sleep(Math.max(0, SAMPLE_INTERVAL_MS - (performance.now() - began)));
     }
@@ -171,24 +180,24 @@
   private reportProgress(statuses: readonly (NodeStatus | null)[]): void {
     const leader = statuses.find((status) => status !== null)?.owner ?? 'none';
     this.onProgress(
-      `leader ${leader}, ${this.cluster.up.length} workers, ${this.observations.running} tasks on them, ` +
-        `${this.users.open} jobs open, ${this.rules.broken.length} rules broken`,
+      `leader ${leader}, ${this.cluster.upMachines.length} workers, ${this.observations.runningTasks} tasks on them, ` +
+        `${this.users.openJobs} jobs open, ${this.rules.broken.length} rules broken`,
     );
   }
 
   private placeOf(id: string): Place | undefined {
-    const known = this.places.get(id);
+    const known = this.placesById.get(id);
     if (known !== undefined) return known;
     const machine = this.cluster.machines.get(id);
     if (machine === undefined) return undefined;
     const { type, zone, spot } = machine;
     const place = { id, type, zone, spot };
-    this.places.set(id, place);
+    this.placesById.set(id, place);
     return place;
   }
 
-  private *rooms(): Iterable<Room> {
-    for (const machine of this.cluster.up) {
+  private *freeCapacities(): Iterable<Room> {
+    for (const machine of this.cluster.upMachines) {
       const { cpus, gpus, memory_gb } = machine.type === 'plain' ? PLAIN : ACCELERATED;
       yield this.placements.room(machine, { cpus, gpus, memoryGb: memory_gb });
     }
@@ -198,21 +207,21 @@
 
   private startsBetween(fromSecond: number, toSecond: number): number {
     let total = 0;
-    for (const [second, starts] of this.observations.starts)
+    for (const [second, starts] of this.observations.startsBySecond)
       if (second >= fromSecond && second < toSecond) total += starts;
     return total;
   }
 
   /** The highest mean over some seconds. */
-  private peakStarts(): number {
+  private peakStartsPerS(): number {
     let peak = 0;
-    for (const second of this.observations.starts.keys())
+    for (const second of this.observations.startsBySecond.keys())
       peak = Math.max(peak, this.startsBetween(second, second + PEAK_WINDOW_S) / PEAK_WINDOW_S);
     return peak;
   }
 
   private urgentFigures(): UrgentFigures {
-    const { urgent } = this.users;
+    const { urgentDelaysMs: urgent } = this.users;
     const seconds = (percentile: number): number => urgent.getValueAtPercentile(percentile) / 1000;
     return { n: urgent.totalCount, p50S: seconds(50), p99S: seconds(99), maxS: urgent.maxValue / 1000 };
   }
@@ -222,10 +231,10 @@
     return {
       setup: this.setup,
       figures,
-      peak: this.faults.peak,
+      peak: this.faults.burstFigures,
       running,
       openJobs,
-      peakStartsPerS: this.peakStarts(),
+      peakStartsPerS: this.peakStartsPerS(),
       meanStartsPerS,
       urgent: this.urgentFigures(),
       takeoversS: this.faults.takeoversS,
@@ -233,8 +242,8 @@
       broken: rules.broken,
       unfinished: rules.unfinished().length,
       lostByLease: cluster.hosts.reduce((total, host) => total + host.counts.lostByLease, 0),
-      rented: cluster.rented,
-      ended: cluster.controllers.all.reduce((total, controller) => total + controller.ended, 0),
+      rented: cluster.rentedCount,
+      ended: cluster.controllers.all.reduce((total, controller) => total + controller.unexpectedExits, 0),
       stateRefused: cluster.serviceCounts?.stateRefused ?? 0,
       config: this.operator.figures(),
     };
--- a/scripts/experiments/scale/services-process.ts
+++ b/scripts/experiments/scale/services-process.ts
@@ -16,8 +16,8 @@
 /** A machine whose worker lives in the process of a host. */
 class RemoteMachine implements CloudMachine {
   addr = '';
-  private up = false;
-  private readonly since: number;
+  private isUp = false;
+  private readonly createdAt: number;
 
   constructor(
     private readonly id: MachineId,
@@ -26,17 +26,17 @@
     readonly spot: boolean,
     now: number,
   ) {
-    this.since = now;
+    this.createdAt = now;
   }
 
   listed(now: number): ListedMachine {
     const { id, addr, type, zone, spot } = this;
-    const status = this.up ? 'running' : 'booting';
-    return { id, addr, type, zone, spot, status, ageS: Math.max(1, (now - this.since) / 1000) };
+    const status = this.isUp ? 'running' : 'booting';
+    return { id, addr, type, zone, spot, status, ageS: Math.max(1, (now - this.createdAt) / 1000) };
   }
 
   boot(): void {
-    this.up = true;
+    this.isUp = true;
     sendToParent<FromServices>({ kind: 'boot', id: this.id });
   }
 
@@ -48,10 +48,12 @@
 /** The key-value store and the cloud. */
 class Services implements CloudPlace {
   readonly workers = new Map<string, RemoteMachine>();
-  private readonly outside: OutsideServices;
+  private readonly outsideServices: OutsideServices;
 
   constructor(options: LocalClusterOptions) {
-    this.outside = new OutsideServices(this, options, seededRandom(options.lab.seed), (answer) => answer());
+    this.outsideServices = new OutsideServices(this, options, seededRandom(options.lab.seed), (answer) =>
+      answer(),
+    );
   }
 
   get now(): number {
@@ -70,9 +72,9 @@
   }
 
   /** Begins to serve, and tells the parent process where. */
-  async begin(): Promise<void> {
-    const state: Listening = await listen(0, this.outside.serveState);
-    const cloud: Listening = await listen(0, this.outside.serveCloud);
+  async serve(): Promise<void> {
+    const state: Listening = await listen(0, this.outsideServices.serveState);
+    const cloud: Listening = await listen(0, this.outsideServices.serveCloud);
     sendToParent<FromServices>({ kind: 'ready', state: state.addr, cloud: cloud.addr });
   }
 
@@ -88,9 +90,9 @@
         for (const id of message.ids) this.workers.delete(id);
         return;
       case 'outage':
-        return this.outside.state.outage(message.seconds);
+        return this.outsideServices.state.outage(message.seconds);
       case 'count':
-        return sendToParent<FromServices>({ kind: 'counts', counts: { ...this.outside.counts } });
+        return sendToParent<FromServices>({ kind: 'counts', counts: { ...this.outsideServices.counts } });
     }
   }
 }
@@ -100,5 +102,5 @@
 process.on('message', (message: ToServices) => {
   if (message.kind !== 'begin') return services?.onMessage(message);
   services = new Services(message.options);
-  services.begin();
+  services.serve();
 });
--- a/scripts/experiments/scale/slopes-plot.ts
+++ b/scripts/experiments/scale/slopes-plot.ts
@@ -16,7 +16,7 @@
   measure: string;
   x: number;
   y: number;
-  of: 'measured' | 'foretold';
+  kind: 'measured' | 'foretold';
 }
 
 const PANEL_WIDTH = 260;
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -67,12 +67,12 @@
 }
 
 /** Workers at which the other things are varied. */
-const MIDDLE = 1000;
-const SIZES = [250, 500, 1000, 2000, 3000];
+const MIDDLE_WORKERS = 1000;
+const WORKER_COUNTS = [250, 500, 1000, 2000, 3000];
 /** Sizes up to this, or a little more as they came about, predict the larger ones. */
-const PREDICTED_FROM = 1000;
-const PREDICTED_FROM_MEASURED = PREDICTED_FROM * 1.05;
-const BROKEN_SHOWN = 5;
+const PREDICTION_MAX_WORKERS = 1000;
+const PREDICTION_MAX_MEASURED_WORKERS = PREDICTION_MAX_WORKERS * 1.05;
+const MAX_BROKEN_RULES_SHOWN = 5;
 
 function planPoints({ controllers, teams, seed, only }: SlopesOptions): PlannedPoint[] {
   const setupAt = (
@@ -86,13 +86,13 @@
   const vary = (series: string, values: number[], setupOf: (x: number) => RunSetup): PlannedPoint[] =>
     values.map((x) => ({ series, x, setup: setupOf(x) }));
   return [
-    ...vary('workers', SIZES, (x) => setupAt(x)),
-    ...vary('running', [3500, 10_500], (x) => setupAt(MIDDLE, {}, { running: x })),
-    ...vary('starts', [250, 500, 1000], (x) => setupAt(MIDDLE, { burst: x })),
-    ...vary('open-jobs', [300, 900], (x) => setupAt(MIDDLE, {}, { waitingJobs: x })),
-    ...vary('teams', [10, 200], (x) => setupAt(MIDDLE, {}, { teams: x })),
-    ...vary('changes', [6, 30, 120], (x) => setupAt(MIDDLE, { changesPerMinute: x })),
-    ...vary('controllers', [3, 9, 15], (x) => setupAt(MIDDLE, { controllers: x })),
+    ...vary('workers', WORKER_COUNTS, (x) => setupAt(x)),
+    ...vary('running', [3500, 10_500], (x) => setupAt(MIDDLE_WORKERS, {}, { running: x })),
+    ...vary('starts', [250, 500, 1000], (x) => setupAt(MIDDLE_WORKERS, { burst: x })),
+    ...vary('open-jobs', [300, 900], (x) => setupAt(MIDDLE_WORKERS, {}, { waitingJobs: x })),
+    ...vary('teams', [10, 200], (x) => setupAt(MIDDLE_WORKERS, {}, { teams: x })),
+    ...vary('changes', [6, 30, 120], (x) => setupAt(MIDDLE_WORKERS, { changesPerMinute: x })),
+    ...vary('controllers', [3, 9, 15], (x) => setupAt(MIDDLE_WORKERS, { controllers: x })),
   ].filter(({ series }) => only === undefined || only.includes(series));
 }
 
@@ -122,7 +122,7 @@
 };
 
 /** What a series is plotted against: the value aimed at, or the one that came about. */
-function abscissa({ series, x, result }: Point): number {
+function xOf({ series, x, result }: Point): number {
   if (series === 'workers') return result.figures.workers;
   if (series === 'running') return result.running;
   if (series === 'starts') return result.meanStartsPerS;
@@ -130,36 +130,36 @@
 }
 
 /** The abscissa in a series of the run at the middle size, which belongs to every series. */
-function middleAbscissa(series: string, point: Point): number {
+function middleXOf(series: string, point: Point): number {
   const { setup } = point.result;
   if (series === 'changes') return setup.changesPerMinute;
   if (series === 'teams') return setup.demand.teams;
   if (series === 'controllers') return setup.controllers;
-  return abscissa({ ...point, series });
+  return xOf({ ...point, series });
 }
 
 /** A measure of all points of a series. */
 function samplesOf(points: readonly Point[], series: string, measure: string): Sample[] {
   const samples: Sample[] = [];
   for (const point of points) {
-    const isMiddle = point.series === 'workers' && point.x === MIDDLE;
+    const isMiddle = point.series === 'workers' && point.x === MIDDLE_WORKERS;
     if (point.series !== series && !isMiddle) continue;
-    const x = point.series === series ? abscissa(point) : middleAbscissa(series, point);
+    const x = point.series === series ? xOf(point) : middleXOf(series, point);
     samples.push({ x, y: MEASURES[measure]!(point.result.figures) });
   }
   return samples;
 }
 
-const round = (value: number): number => Number(value.toPrecision(4));
+const roundTo4Digits = (value: number): number => Number(value.toPrecision(4));
 
 function printSeries(points: readonly Point[], series: string): void {
   for (const measure of Object.keys(MEASURES)) {
     const samples = samplesOf(points, series, measure);
     if (samples.length < 2) continue;
     const { slope, intercept, residual } = fitLine(samples);
-    const values = samples.map(({ x, y }) => `${Math.round(x)}:${round(y)}`).join(' ');
+    const values = samples.map(({ x, y }) => `${Math.round(x)}:${roundTo4Digits(y)}`).join(' ');
     process.stdout.write(
-      `slope ${series} ${measure}: ${round(slope)} each, ${round(intercept)} at none, residual ${round(residual)}; ${values}\n`,
+      `slope ${series} ${measure}: ${roundTo4Digits(slope)} each, ${roundTo4Digits(intercept)} at none, residual ${roundTo4Digits(residual)}; ${values}\n`,
     );
   }
 }
@@ -168,15 +168,15 @@
 function printPredictions(points: readonly Point[]): void {
   for (const measure of Object.keys(MEASURES)) {
     const samples = samplesOf(points, 'workers', measure);
-    const small = samples.filter(({ x }) => x <= PREDICTED_FROM_MEASURED);
+    const small = samples.filter(({ x }) => x <= PREDICTION_MAX_MEASURED_WORKERS);
     if (small.length < 2) continue;
     const { slope, intercept } = fitLine(small);
     for (const { x, y } of samples) {
-      if (x <= PREDICTED_FROM_MEASURED) continue;
+      if (x <= PREDICTION_MAX_MEASURED_WORKERS) continue;
       const predicted = intercept + slope * x;
       const apart = predicted === 0 ? 0 : (100 * (y - predicted)) / predicted;
       process.stdout.write(
-        `foretold ${measure} at ${Math.round(x)}: ${round(predicted)}, measured ${round(y)}, ${apart.toFixed(0)}%\n`,
+        `foretold ${measure} at ${Math.round(x)}: ${roundTo4Digits(predicted)}, measured ${roundTo4Digits(y)}, ${apart.toFixed(0)}%\n`,
       );
     }
   }
@@ -188,7 +188,7 @@
 }
 
 /** Plays all series; prints their lines, and how far off predictions are. */
-export async function playSlopes(
+export async function runSlopes(
   options: SlopesOptions,
   onProgress: (line: string) => void,
   onCluster: (stop: () => Promise<void>) => void,
@@ -206,7 +206,7 @@
     const result = await ScaleRun.play(setup, onProgress, onCluster);
     points.push({ series, x, result });
     broken += result.broken.length;
-    for (const rule of result.broken.slice(0, BROKEN_SHOWN))
+    for (const rule of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN))
       process.stdout.write(`${series} ${x}: ${rule}\n`);
     if (options.json !== undefined) writeFileSync(options.json, `${JSON.stringify(points, null, 1)}\n`);
   }
@@ -221,10 +221,10 @@
 function plottedValues(points: readonly Point[]): PlottedValue[] {
   return PLOTTED_MEASURES.flatMap((measure) => {
     const samples = samplesOf(points, 'workers', measure);
-    const { slope, intercept } = fitLine(samples.filter(({ x }) => x <= PREDICTED_FROM_MEASURED));
+    const { slope, intercept } = fitLine(samples.filter(({ x }) => x <= PREDICTION_MAX_MEASURED_WORKERS));
     return samples.flatMap(({ x, y }): PlottedValue[] => [
-      { measure, x, y, of: 'measured' },
-      { measure, x, y: intercept + slope * x, of: 'foretold' },
+      { measure, x, y, kind: 'measured' },
+      { measure, x, y: intercept + slope * x, kind: 'foretold' },
     ]);
   });
 }
--- a/scripts/experiments/scale/users.ts
+++ b/scripts/experiments/scale/users.ts
@@ -18,28 +18,28 @@
 import { type Demand, type DrawnJob, drawBetween, JobGenerator, type TeamLimits } from './workload.ts';
 
 /** At first so many pairs of arrays are submitted, one after the other. */
-const FIRST_PAIRS = 40;
-const FIRST_PAIR_INTERVAL_MS = 150;
-const FIRST_RUN_S = 10;
+const INITIAL_PAIRS = 40;
+const INITIAL_PAIR_INTERVAL_MS = 150;
+const INITIAL_MIN_RUN_S = 10;
 /** Arrays a second in a burst. */
-const BURST_ARRAYS = 2;
-const CANCELLED_PART = 0.03;
+const BURST_ARRAYS_PER_S = 2;
+const CANCELLED_FRACTION = 0.03;
 
 const POLL_INTERVAL_MS = 5000;
 const RETRY_DELAY_MS = 1000;
 const STATUS_TIMEOUT_MS = 2000;
-const CHANGE_TIMEOUT_MS = 5000;
+const SUBMIT_OR_CANCEL_TIMEOUT_MS = 5000;
 /** Users give up on a submission after this. */
-const PATIENCE_MS = 60_000;
+const SUBMISSION_TIMEOUT_MS = 60_000;
 
 /** A job as its user sees it. */
 interface UserJob {
   spec: JobSpec;
   body: string;
   submittedAt: number;
-  accepted: boolean;
+  isAccepted: boolean;
   /** It is done, cancelled, refused, or its user has given up. */
-  over: boolean;
+  isOver: boolean;
 }
 
 /** What users have done and were told. */
@@ -67,9 +67,9 @@
     unanswered: 0,
   };
   /** From the submission of an urgent job to the start of its task, in milliseconds. */
-  readonly urgent = histogram({ numberOfSignificantValueDigits: 3 });
+  readonly urgentDelaysMs = histogram({ numberOfSignificantValueDigits: 3 });
   private readonly jobs = new Map<string, UserJob>();
-  private readonly startedUrgent = new Set<string>();
+  private readonly startedUrgentTasks = new Set<string>();
   private readonly random: ReturnType<typeof seededRandom>;
   private readonly generator: JobGenerator;
   private readonly timers = new Set<NodeJS.Timeout>();
@@ -85,7 +85,7 @@
   ) {
     this.random = seededRandom(seed);
     this.generator = new JobGenerator(demand, teams, this.random);
-    observations.onStart = (task, at) => this.onTaskStart(task, at);
+    observations.onTaskStart = (task, at) => this.onTaskStart(task, at);
   }
 
   /** What is known of a job that was submitted. */
@@ -94,29 +94,31 @@
   }
 
   /** Jobs that were accepted and are not over. */
-  get open(): number {
+  get openJobs(): number {
     let open = 0;
-    for (const job of this.jobs.values()) if (job.accepted && !job.over) open++;
+    for (const job of this.jobs.values()) if (job.isAccepted && !job.isOver) open++;
     return open;
   }
 
   /** Submits jobs from now on. */
-  begin(): void {
+  start(): void {
     const { demand, generator } = this;
-    this.fill();
-    this.repeat(generator.arrayPairsPerS, () => this.submitArrays());
-    this.repeat(generator.gangsPerS, () => this.submit(generator.drawGang()));
-    this.repeat(demand.urgentPerS, () => this.submit(generator.drawUrgent()));
+    this.submitInitialLoad();
+    this.repeatAtRate(generator.arrayPairsPerS, () => this.submitArrays());
+    this.repeatAtRate(generator.gangsPerS, () => this.submit(generator.drawGang()));
+    this.repeatAtRate(demand.urgentPerS, () => this.submit(generator.drawUrgent()));
     if (demand.waitingJobs > 0) this.submit(generator.drawWaiting('service'));
     for (let i = 0; i < demand.waitingJobs; i++)
-      this.after(drawBetween(this.random, 5000, 30_000), () => this.submit(generator.drawWaiting('array')));
+      this.schedule(drawBetween(this.random, 5000, 30_000), () =>
+        this.submit(generator.drawWaiting('array')),
+      );
   }
 
   /** So many starts a second of short tasks, for so long. */
   burst(startsPerS: number, seconds: number): void {
-    const tasks = Math.round(startsPerS / BURST_ARRAYS);
-    for (let i = 0; i < seconds * BURST_ARRAYS; i++)
-      this.after((i * 1000) / BURST_ARRAYS, () => this.submit(this.generator.drawBurst(i, tasks)));
+    const tasks = Math.round(startsPerS / BURST_ARRAYS_PER_S);
+    for (let i = 0; i < seconds * BURST_ARRAYS_PER_S; i++)
+      this.schedule((i * 1000) / BURST_ARRAYS_PER_S, () => this.submit(this.generator.drawBurst(i, tasks)));
   }
 
   /** Does nothing from now on. */
@@ -125,7 +127,7 @@
     for (const timer of this.timers) clearTimeout(timer);
   }
 
-  private after(ms: number, run: () => void): void {
+  private schedule(ms: number, run: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
       if (!this.isStopped) run();
@@ -134,23 +136,23 @@
   }
 
   /** Calls again and again, so many times a second in the mean. */
-  private repeat(perS: number, run: () => void): void {
+  private repeatAtRate(perS: number, run: () => void): void {
     if (perS <= 0) return;
     const next = (): void => {
       run();
-      this.after((1000 / perS) * drawBetween(this.random, 0.5, 1.5), next);
+      this.schedule((1000 / perS) * drawBetween(this.random, 0.5, 1.5), next);
     };
-    this.after((1000 / perS) * drawBetween(this.random, 0, 1), next);
+    this.schedule((1000 / perS) * drawBetween(this.random, 0, 1), next);
   }
 
   // ---- submissions
 
   /** As much as runs in the mean, with ends spread over the time that a task runs. */
-  private fill(): void {
-    const tasks = this.demand.running / FIRST_PAIRS;
-    for (let i = 0; i < FIRST_PAIRS; i++)
-      this.after(i * FIRST_PAIR_INTERVAL_MS, () => {
-        const runS = (this.generator.arrayRunS * (i + 1)) / FIRST_PAIRS + FIRST_RUN_S;
+  private submitInitialLoad(): void {
+    const tasks = this.demand.running / INITIAL_PAIRS;
+    for (let i = 0; i < INITIAL_PAIRS; i++)
+      this.schedule(i * INITIAL_PAIR_INTERVAL_MS, () => {
+        const runS = (this.generator.arrayRunS * (i + 1)) / INITIAL_PAIRS + INITIAL_MIN_RUN_S;
         for (const drawn of this.generator.arraysOf(tasks, runS)) this.submit(drawn);
       });
   }
@@ -160,34 +162,38 @@
     const [onAccelerators, plain] = this.generator.drawArrays();
     this.submit(onAccelerators);
     const job = this.submit(plain);
-    if (this.random.below(1000) < CANCELLED_PART * 1000)
-      this.after(drawBetween(this.random, 5000, 60_000), () => this.cancel(job));
+    if (this.random.below(1000) < CANCELLED_FRACTION * 1000)
+      this.schedule(drawBetween(this.random, 5000, 60_000), () => this.cancel(job));
   }
 
   private submit({ request, runS }: DrawnJob): UserJob {
     const id = `run-${String(++this.figures.submitted).padStart(6, '0')}`;
     const body = bodyOf(id, request);
     const spec = parseJob(JSON.parse(body));
-    const job: UserJob = { spec, body, submittedAt: wallClock(), accepted: false, over: false };
+    const job: UserJob = { spec, body, submittedAt: wallClock(), isAccepted: false, isOver: false };
     this.jobs.set(id, job);
     const { kind, tasks, cpus, gpus, memoryGb } = spec;
-    this.cluster.describe([{ id, kind, tasks, cpus, gpus, memoryGb, runMs: runS * 1000 }]);
-    this.insist(job, { op: 'submit', spec });
+    this.cluster.addJobs([{ id, kind, tasks, cpus, gpus, memoryGb, runMs: runS * 1000 }]);
+    this.sendUntilAnswered(job, { op: 'submit', spec });
     return job;
   }
 
   private cancel(job: UserJob): void {
-    if (!job.over) this.insist(job, { op: 'cancel', id: job.spec.id });
+    if (!job.isOver) this.sendUntilAnswered(job, { op: 'cancel', id: job.spec.id });
   }
 
   // ---- requests and responses
 
   /** Sends a request once; `onResponse` gets null if there was no response that says anything. */
-  private ask(job: UserJob, request: UserRequest, onResponse: (response: UserResponse | null) => void): void {
+  private sendRequest(
+    job: UserJob,
+    request: UserRequest,
+    onResponse: (response: UserResponse | null) => void,
+  ): void {
     const sentAt = wallClock();
     const nodes = this.cluster.controllers.all;
     const node = nodes[this.nextNode++ % nodes.length]!;
-    const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
+    const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : SUBMIT_OR_CANCEL_TIMEOUT_MS;
     this.figures.requests++;
     this.observations.add([{ at: sentAt, kind: 'asked', request }]);
     node.client.call({ ...callOf(job, request), timeoutMs }, (reply) => {
@@ -201,52 +207,52 @@
   }
 
   /** Repeated until it is answered; a submission as long as its user would wait. */
-  private insist(job: UserJob, request: UserRequest): void {
-    this.ask(job, request, (response) => {
+  private sendUntilAnswered(job: UserJob, request: UserRequest): void {
+    this.sendRequest(job, request, (response) => {
       if (response !== null && response.kind !== 'retry') return this.onResponse(job, request, response);
-      if (request.op === 'cancel' || wallClock() - job.submittedAt < PATIENCE_MS)
-        return this.after(RETRY_DELAY_MS, () => this.insist(job, request));
+      if (request.op === 'cancel' || wallClock() - job.submittedAt < SUBMISSION_TIMEOUT_MS)
+        return this.schedule(RETRY_DELAY_MS, () => this.sendUntilAnswered(job, request));
       this.figures.gaveUp++;
-      job.over = true;
+      job.isOver = true;
     });
   }
 
   private onResponse(job: UserJob, request: UserRequest, response: UserResponse): void {
     if (response.kind === 'impossible' || response.kind === 'too-large' || response.kind === 'not-found') {
       this.figures.refused++;
-      job.over = true;
+      job.isOver = true;
       return;
     }
-    if (request.op === 'submit' && !job.accepted) {
-      job.accepted = true;
+    if (request.op === 'submit' && !job.isAccepted) {
+      job.isAccepted = true;
       this.figures.accepted++;
-      this.after(drawBetween(this.random, 0, POLL_INTERVAL_MS), () => this.poll(job));
+      this.schedule(drawBetween(this.random, 0, POLL_INTERVAL_MS), () => this.poll(job));
     }
     if ('status' in response && (response.status === 'done' || response.status === 'cancelled'))
-      this.close(job, response.status);
+      this.recordEnd(job, response.status);
   }
 
-  private close(job: UserJob, status: 'done' | 'cancelled'): void {
-    if (job.over) return;
-    job.over = true;
+  private recordEnd(job: UserJob, status: 'done' | 'cancelled'): void {
+    if (job.isOver) return;
+    job.isOver = true;
     this.figures[status]++;
-    this.cluster.forget([job.spec.id]);
+    this.cluster.removeJobs([job.spec.id]);
   }
 
   private poll(job: UserJob): void {
-    if (job.over) return;
+    if (job.isOver) return;
     const request: UserRequest = { op: 'status', id: job.spec.id };
-    this.ask(job, request, (response) => {
+    this.sendRequest(job, request, (response) => {
       if (response !== null && response.kind !== 'retry') this.onResponse(job, request, response);
-      this.after(POLL_INTERVAL_MS, () => this.poll(job));
+      this.schedule(POLL_INTERVAL_MS, () => this.poll(job));
     });
   }
 
   private onTaskStart(task: string, at: number): void {
     const job = this.jobs.get(parseTaskId(task as TaskId).job);
-    if (job?.spec.class !== 'urgent' || this.startedUrgent.has(task)) return;
-    this.startedUrgent.add(task);
-    this.urgent.recordValue(Math.max(1, Math.round(at - job.submittedAt)));
+    if (job?.spec.class !== 'urgent' || this.startedUrgentTasks.has(task)) return;
+    this.startedUrgentTasks.add(task);
+    this.urgentDelaysMs.recordValue(Math.max(1, Math.round(at - job.submittedAt)));
   }
 }
 
--- a/scripts/experiments/scale/worker-process.ts
+++ b/scripts/experiments/scale/worker-process.ts
@@ -29,7 +29,7 @@
 
 const RESPONSE_MAX_BYTES = 4 << 20;
 /** Head of a heartbeat and of its response. */
-const HEADS_BYTES = 260;
+const HTTP_HEADERS_BYTES = 260;
 
 /** A node that workers report to. */
 interface HostNode {
@@ -53,10 +53,10 @@
   private readonly servers = new Map<string, Listening>();
   private readonly connections = new Map<string, NodeConnection>();
   /** When zones that are cut off are back. */
-  private readonly cutUntil = new Map<string, number>();
+  private readonly cutOffUntil = new Map<string, number>();
   private readonly random: ReturnType<typeof seededRandom>;
   private readonly tasks: HostTasks;
-  private readonly counts: HostCounts = { workers: 0, reports: 0, bytes: 0, lostByLease: 0 };
+  private readonly counts: HostCounts = { workers: 0, heartbeats: 0, bytes: 0, lostByLease: 0 };
 
   constructor({ workers }: LocalClusterOptions, nodes: readonly HostNode[], seed: number) {
     this.reportMs = workers.report_s * 1000;
@@ -87,13 +87,13 @@
       case 'restart':
         return this.workers.get(message.id)?.restart();
       case 'cut':
-        return void this.cutUntil.set(message.zone, this.now + message.ms);
+        return void this.cutOffUntil.set(message.zone, this.now + message.ms);
       case 'jobs':
-        return this.tasks.describe(message.jobs);
+        return this.tasks.addJobs(message.jobs);
       case 'forget-jobs':
-        return this.tasks.forget(message.ids);
+        return this.tasks.removeJobs(message.ids);
       case 'gang':
-        return this.tasks.onGang(message.key, message.what);
+        return this.tasks.onGangEvent(message.key, message.what);
       case 'count': {
         const counts = { ...this.counts, workers: this.workers.size };
         return sendToParent<FromHost>({ kind: 'counts', counts });
@@ -119,7 +119,7 @@
       if (method !== 'POST' || path !== '/orders') return respond(refuse(404, 'no such path'));
       const { token, session, commands } = decodeCommands(body);
       if (session === null) return respond(refuse(400, 'the session is missing'));
-      if (this.isCut(worker)) return;
+      if (this.isCutOff(worker)) return;
       worker.orders(token, session, commands, (reply) => {
         if (reply.kind === 'heartbeat')
           respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
@@ -143,8 +143,8 @@
     this.workers.delete(worker.id);
   }
 
-  private isCut(worker: FakeWorker): boolean {
-    return this.now < (this.cutUntil.get(worker.zone) ?? 0);
+  private isCutOff(worker: FakeWorker): boolean {
+    return this.now < (this.cutOffUntil.get(worker.zone) ?? 0);
   }
 
   private clientOf(worker: FakeWorker, node: string): HttpClient {
@@ -163,14 +163,14 @@
     timeoutMs: number,
     onReply: (response: HeartbeatResponse | null) => void,
   ): void {
-    if (this.isCut(worker)) return this.after(timeoutMs, () => onReply(null));
+    if (this.isCutOff(worker)) return this.after(timeoutMs, () => onReply(null));
     const body = encodeHeartbeat(heartbeat);
-    this.counts.reports++;
-    this.counts.bytes += body.length + HEADS_BYTES;
+    this.counts.heartbeats++;
+    this.counts.bytes += body.length + HTTP_HEADERS_BYTES;
     const request = { method: 'POST', path: '/checkin', body, timeoutMs } as const;
     this.clientOf(worker, node).call(request, (reply) => {
       this.counts.bytes += reply?.body.length ?? 0;
-      if (!worker.dead) onReply(reply === null ? null : decodeResponse(reply.status, reply.body));
+      if (!worker.dead) onReply(reply === null ? null : decodeHeartbeatReply(reply.status, reply.body));
     });
   }
 
@@ -192,7 +192,7 @@
 }
 
 /** Null for a response that can't be read, which a worker takes as none. */
-function decodeResponse(status: number, body: Buffer): HeartbeatResponse | null {
+function decodeHeartbeatReply(status: number, body: Buffer): HeartbeatResponse | null {
   try {
     return decodeHeartbeatResponse(status, JSON.parse(body.toString('utf8')));
   } catch {
--- a/scripts/experiments/scale/workload.ts
+++ b/scripts/experiments/scale/workload.ts
@@ -37,7 +37,7 @@
 /** Machines with accelerators. */
 export const ACCELERATED = { cpus: 16, gpus: 2, memory_gb: 128 };
 /** Part of the machines that are without accelerators. */
-export const PLAIN_PART = 0.3;
+export const PLAIN_FRACTION = 0.3;
 /** Zones of the cloud. */
 export const ZONES = Array.from({ length: 10 }, (_, i) => `zone-${i}`);
 
@@ -54,9 +54,9 @@
 const SWEEP: TaskSize = { cpus: 2.3, memoryGb: 3, runS: 120 };
 /** Arrays on accelerators, one for each task: this part of the running tasks. */
 const INFER: TaskSize = { cpus: 4, memoryGb: 16, runS: 120 };
-const INFER_PART = 0.16;
+const INFER_FRACTION = 0.16;
 const GANG: TaskSize = { cpus: 4, memoryGb: 16, runS: 150 };
-const GANG_PART = 0.12;
+const GANG_FRACTION = 0.12;
 const GANG_SIZES: readonly { tasks: number; weight: number }[] = [
   { tasks: 2, weight: 25 },
   { tasks: 4, weight: 20 },
@@ -74,15 +74,15 @@
 /** Of the teams so many have no limit; they bring the bursts. */
 const UNLIMITED_TEAMS = 5;
 
-type Random = ReturnType<typeof seededRandom>;
+type SeededRandom = ReturnType<typeof seededRandom>;
 
 /** Draws a number between two others. */
-export const drawBetween = (random: Random, min: number, max: number): number =>
+export const drawBetween = (random: SeededRandom, min: number, max: number): number =>
   min + ((max - min) * random.below(10_001)) / 10_000;
 
 /** CPUs and accelerators of all machines together. */
 export function capacityOf(workers: number): { cpus: number; gpus: number } {
-  const plain = Math.round(workers * PLAIN_PART);
+  const plain = Math.round(workers * PLAIN_FRACTION);
   const accelerated = workers - plain;
   return {
     cpus: plain * PLAIN.cpus + accelerated * ACCELERATED.cpus,
@@ -91,7 +91,7 @@
 }
 
 /** How often a team submits, beside the others. */
-const weightOf = (team: number): number => 1 / (1 + team * 0.03);
+const submissionWeight = (team: number): number => 1 / (1 + team * 0.03);
 
 /**
  * Limits between a little more than a team asks for in the mean and several times that; guarantees half of
@@ -100,7 +100,7 @@
 export function teamsFor(demand: Demand, seed: number): TeamLimits[] {
   const random = seededRandom(seed);
   const capacity = capacityOf(demand.workers);
-  const weights = Array.from({ length: demand.teams }, (_, i) => weightOf(i));
+  const weights = Array.from({ length: demand.teams }, (_, i) => submissionWeight(i));
   const totalWeight = weights.reduce((sum, weight) => sum + weight, 0);
   const cpus = Math.round(capacity.cpus / demand.teams / 2);
   const gpus = Math.round(capacity.gpus / demand.teams / 2);
@@ -121,18 +121,18 @@
   constructor(
     private readonly demand: Demand,
     private readonly teams: readonly TeamLimits[],
-    private readonly random: Random,
+    private readonly random: SeededRandom,
   ) {
-    this.totalWeight = teams.reduce((sum, _, i) => sum + weightOf(i), 0);
+    this.totalWeight = teams.reduce((sum, _, i) => sum + submissionWeight(i), 0);
   }
 
   /** Pairs of arrays a second. */
   get arrayPairsPerS(): number {
-    return (this.demand.jobsPerS * (1 - GANG_PART)) / 2;
+    return (this.demand.jobsPerS * (1 - GANG_FRACTION)) / 2;
   }
 
   get gangsPerS(): number {
-    return this.demand.jobsPerS * GANG_PART;
+    return this.demand.jobsPerS * GANG_FRACTION;
   }
 
   /** How long tasks of arrays run in the mean. */
@@ -150,8 +150,12 @@
   /** So many tasks in two arrays, one of them on accelerators; the other is the larger one. */
   arraysOf(tasks: number, runS: number): [onAccelerators: DrawnJob, plain: DrawnJob] {
     const partOf = (part: number): number => Math.max(1, Math.round(tasks * part));
-    const infer = { ...this.request(this.anyTeam(), 'infer', INFER), gpus: 1, tasks: partOf(INFER_PART) };
-    const sweep = { ...this.request(this.anyTeam(), 'sweep', SWEEP), tasks: partOf(1 - INFER_PART) };
+    const infer = {
+      ...this.baseRequest(this.drawTeam(), 'infer', INFER),
+      gpus: 1,
+      tasks: partOf(INFER_FRACTION),
+    };
+    const sweep = { ...this.baseRequest(this.drawTeam(), 'sweep', SWEEP), tasks: partOf(1 - INFER_FRACTION) };
     return [
       { request: infer, runS },
       { request: sweep, runS },
@@ -160,32 +164,32 @@
 
   /** A gang that its team's limits allow. */
   drawGang(): DrawnJob {
-    const team = this.anyTeam();
+    const team = this.drawTeam();
     const drawn = this.drawGangSize();
     const capacity = capacityOf(this.demand.workers);
     const gpus = team.gpus_max > 0 ? team.gpus_max : capacity.gpus;
     const cpus = team.cpus_max > 0 ? team.cpus_max : capacity.cpus;
     const tasks = Math.max(2, Math.min(drawn, Math.floor(gpus), Math.floor(cpus / GANG.cpus)));
-    const request = { ...this.request(team, 'train', GANG), kind: 'gang' as const, gpus: 1, tasks };
+    const request = { ...this.baseRequest(team, 'train', GANG), kind: 'gang' as const, gpus: 1, tasks };
     return { request, runS: GANG.runS * drawBetween(this.random, 0.5, 1.5) };
   }
 
   /** An urgent job of one task. */
   drawUrgent(): DrawnJob {
-    const request = this.request(this.anyTeam(), 'urgent', URGENT);
+    const request = this.baseRequest(this.drawTeam(), 'urgent', URGENT);
     return { request: { ...request, priority: 'urgent' }, runS: URGENT.runS };
   }
 
   /** Waits for its team's limit, which a service uses up, for as long as the experiment lasts. */
   drawWaiting(kind: 'array' | 'service'): DrawnJob {
-    const request = this.request(WAITING_TEAM, 'waiting', WAITING);
+    const request = this.baseRequest(WAITING_TEAM, 'waiting', WAITING);
     return { request: { ...request, kind, tasks: kind === 'array' ? WAITING_TASKS : 1 }, runS: WAITING.runS };
   }
 
   /** The `index`th array of a burst. */
   drawBurst(index: number, tasks: number): DrawnJob {
     const team = this.teams[index % UNLIMITED_TEAMS]!;
-    return { request: { ...this.request(team, 'burst', BURST), tasks }, runS: BURST.runS };
+    return { request: { ...this.baseRequest(team, 'burst', BURST), tasks }, runS: BURST.runS };
   }
 
   private drawGangSize(): number {
@@ -197,16 +201,16 @@
     })!.tasks;
   }
 
-  private anyTeam(): TeamLimits {
+  private drawTeam(): TeamLimits {
     let rest = drawBetween(this.random, 0, this.totalWeight);
     const found = this.teams.find((_, i) => {
-      rest -= weightOf(i);
+      rest -= submissionWeight(i);
       return rest <= 0;
     });
     return found ?? this.teams[0]!;
   }
 
-  private request(team: TeamLimits, jobClass: string, { cpus, memoryGb, runS }: TaskSize): JobRequest {
+  private baseRequest(team: TeamLimits, jobClass: string, { cpus, memoryGb, runS }: TaskSize): JobRequest {
     return {
       team: team.name,
       class: jobClass,
