--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -1,6 +1,6 @@
-// npm run experiment -- scale: the size that the operators expect, on one machine: real controllers on real
-// sockets, simulated workers, and the local cluster's store and cloud. `--slopes` varies one thing at a time;
-// `--quick` is a short run with one end of the leader.
+// npm run experiment -- scale: runs a cluster of the expected production size on one machine, with real
+// controllers on real sockets, simulated workers, and the key-value store and cloud of the local cluster.
+// `--slopes` varies one parameter at a time; `--quick` is a short run in which the leader is killed once.
 import { writeFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
 import { lacking } from './scale/resources.ts';
@@ -22,14 +22,14 @@
 
 const USAGE_ERROR_EXIT_CODE = 2;
 
-const wholeNumberBetween = (least: number, most: number) => (text: string) => {
+const wholeNumberBetween = (min: number, max: number) => (text: string) => {
   const number = Number(text);
-  if (!Number.isInteger(number) || number < least || number > most)
-    throw new InvalidArgumentError(`a whole number from ${least} to ${most} is expected`);
+  if (!Number.isInteger(number) || number < min || number > max)
+    throw new InvalidArgumentError(`a whole number from ${min} to ${max} is expected`);
   return number;
 };
 
-/** Everything that is listed for an ordinary year, within a quarter of an hour. */
+/** All faults that are expected in an ordinary year of operation, within a quarter of an hour. */
 const FAULTS: ScaleFault[] = [
   { atS: 5, kind: 'restarts', workers: 220, forS: 600 },
   { atS: 10, kind: 'burst', startsPerS: 1000, forS: 60 },
@@ -49,37 +49,40 @@
   { atS: 15, kind: 'owner-ends' },
 ];
 
-/** More is offered than is to run: what is beyond its team's limit waits. */
+/** Users submit more than the limits of their teams allow to run, so that some jobs wait. */
 const OFFERED_LOAD_FACTOR = 1.2;
-/** A change of the configuration is in force everywhere within this. */
+/** A configuration change must be in force on all controllers within this time. */
 const CONFIG_IN_FORCE_LIMIT_S = 18;
-/** 6,900 a day. */
+/** The expected load is 6,900 configuration changes a day, about 4.8 a minute. */
 const CHANGES_PER_MINUTE = 5;
 
 const INTERRUPTED_EXIT_CODE = 130;
 const MAX_BROKEN_RULES_SHOWN = 40;
 const PROGRESS_INTERVAL_MS = 1000;
-/** Where progress is not seen as it comes. */
+/** Used when the output is not a terminal. */
 const LOGGED_PROGRESS_INTERVAL_MS = 20_000;
 
 function setupFor({ workers, controllers, teams, seed, quick }: Options): RunSetup {
-  const plain = baseSetup(workers, controllers, teams, seed);
-  const demand = { ...plain.demand, running: Math.round(plain.demand.running * OFFERED_LOAD_FACTOR) };
-  const base = { ...plain, demand, changesPerMinute: CHANGES_PER_MINUTE };
+  const basic = baseSetup(workers, controllers, teams, seed);
+  const demand = { ...basic.demand, running: Math.round(basic.demand.running * OFFERED_LOAD_FACTOR) };
+  const base = { ...basic, demand, changesPerMinute: CHANGES_PER_MINUTE };
   return quick
     ? { ...base, fillS: 40, measureS: 20, troubles: QUICK_FAULTS, calmS: 110 }
     : { ...base, fillS: 70, measureS: 60, troubles: FAULTS, calmS: 100 };
 }
 
-/** Writes each fault, and other progress now and then. */
+/**
+ * Returns a function that writes every line about a fault, and other progress lines at most once per
+ * interval.
+ */
 function progressTo(stream: NodeJS.WriteStream): (line: string) => void {
-  const began = Date.now();
+  const startedAt = Date.now();
   const intervalMs = stream.isTTY ? PROGRESS_INTERVAL_MS : LOGGED_PROGRESS_INTERVAL_MS;
-  let lastAt = 0;
+  let lastWrittenAt = 0;
   return (line) => {
-    if (!line.startsWith('fault') && Date.now() - lastAt < intervalMs) return;
-    lastAt = Date.now();
-    stream.write(`${Math.round((Date.now() - began) / 1000)} s  ${line}\n`);
+    if (!line.startsWith('fault') && Date.now() - lastWrittenAt < intervalMs) return;
+    lastWrittenAt = Date.now();
+    stream.write(`${Math.round((Date.now() - startedAt) / 1000)} s  ${line}\n`);
   };
 }
 
@@ -100,7 +103,7 @@
   ].join(' ');
 }
 
-/** Has a cluster ended when this process is told to end; returns what tells it of the cluster. */
+/** Stops the cluster when this process is terminated; returns the function that registers how to stop it. */
 function stopOnSignal(): (stop: () => Promise<void>) => void {
   let stopCluster: (() => Promise<void>) | null = null;
   for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const)
@@ -114,34 +117,36 @@
 }
 
 async function main(options: Options): Promise<void> {
-  const obstacle = lacking(options.workers, options.controllers);
-  if (obstacle !== null) {
-    process.stderr.write(`scale: ${obstacle}\n`);
+  const shortage = lacking(options.workers, options.controllers);
+  if (shortage !== null) {
+    process.stderr.write(`scale: ${shortage}\n`);
     process.exit(USAGE_ERROR_EXIT_CODE);
   }
-  const onCluster = stopOnSignal();
+  const registerStop = stopOnSignal();
   const onProgress = progressTo(process.stderr);
-  if (options.slopes) return runSlopes(options, onProgress, onCluster);
-  const result = await ScaleRun.play(setupFor(options), onProgress, onCluster);
+  if (options.slopes) return runSlopes(options, onProgress, registerStop);
+  const result = await ScaleRun.run(setupFor(options), onProgress, registerStop);
   if (options.json !== undefined) writeFileSync(options.json, `${JSON.stringify(result, null, 1)}\n`);
-  for (const rule of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN)) process.stdout.write(`${rule}\n`);
+  for (const line of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN)) process.stdout.write(`${line}\n`);
   process.stdout.write(`${formatResult(options, result)}\n`);
   const isInForce = result.config.pending === 0 && result.config.maxS <= CONFIG_IN_FORCE_LIMIT_S;
   process.exit(result.broken.length > 0 || result.ended > 0 || !isInForce ? 1 : 0);
 }
 
 const program = new Command('scale')
-  .description('the size that the operators expect, on this machine; exits with 1 when a rule is broken')
+  .description(
+    'runs a cluster of the expected production size on this machine; exits with 1 when a rule is broken',
+  )
   .option('--workers <n>', 'simulated workers', wholeNumberBetween(10, 4000), 2000)
   .option('--controllers <n>', 'real controllers', wholeNumberBetween(1, 15), 5)
   .option('--teams <n>', 'teams with quotas', wholeNumberBetween(6, 400), 57)
-  .option('--seed <n>', 'of the load', wholeNumberBetween(1, 2 ** 31), 1)
-  .option('--quick', 'under four minutes, with one end of the leader')
-  .option('--slopes', 'what each role costs as one thing varies')
-  .option('--only <series...>', 'of the slopes, these series')
-  .option('--json <file>', 'all figures')
-  .option('--resume', 'of the slopes, go on with what is in that file')
-  .option('--plot <file>', 'the slopes as an SVG')
+  .option('--seed <n>', 'seed of the generated load', wholeNumberBetween(1, 2 ** 31), 1)
+  .option('--quick', 'takes less than four minutes; the leader is killed once')
+  .option('--slopes', 'measure what each role costs while one parameter at a time varies')
+  .option('--only <series...>', 'with --slopes: run only these series')
+  .option('--json <file>', 'write all figures to this file as JSON')
+  .option('--resume', 'with --slopes: keep the points in the file of --json and run only the missing ones')
+  .option('--plot <file>', 'with --slopes: write a plot to this file as SVG')
   .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : USAGE_ERROR_EXIT_CODE))
   .action(main);
 await program.parseAsync();
--- a/scripts/experiments/scale/cluster.ts
+++ b/scripts/experiments/scale/cluster.ts
@@ -1,8 +1,9 @@
-// The processes of the scale experiment: real controllers, one process with key-value store and cloud, and
-// hosts of simulated workers. Everything that is started ends with this process, however it goes.
+// The processes of the scale experiment: real controllers, one process with the key-value store and the
+// cloud, and hosts, which are processes with simulated workers. When this process ends for any reason, all of
+// them end.
 import { type ChildProcess, fork } from 'node:child_process';
 import { join } from 'node:path';
-import { endGroup, Guard, type ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
+import { endGroup, ProcessGuard, type ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 import { FailedRunError } from '../../errors.ts';
 import { ControllerGroup, type ServiceAddresses } from './controller-group.ts';
@@ -18,23 +19,24 @@
   ToServices,
 } from './messages.ts';
 
-/** The size of a cluster, and where it is. */
+/** The size and the settings of a cluster. */
 export interface ClusterSetup {
   options: LocalClusterOptions;
   /** The daemon: program and arguments before `serve`. */
   program: string[];
+  /** Directory of the controllers' settings and logs. */
   dir: string;
   hostCount: number;
   seed: number;
 }
 
-/** A process that hosts simulated workers, and what it has counted. */
+/** A process that hosts simulated workers, and its last reported counts. */
 export interface HostProcess {
   process: ChildProcess;
   counts: HostCounts;
 }
 
-/** A machine that the cloud has rented out, and the host that it is on. */
+/** A machine that the cloud has rented out, and the index of the host process that simulates it. */
 export interface ClusterMachine extends RentedMachine {
   hostIndex: number;
   isUp: boolean;
@@ -52,24 +54,24 @@
   readonly hosts: HostProcess[] = [];
   services: ChildProcess | null = null;
   serviceCounts: ServiceCounts | null = null;
-  /** Machines that were ever rented. */
+  /** How many machines have been rented so far, including those that were released. */
   rentedCount = 0;
-  /** Is told of tasks on machines, in batches. */
+  /** Called with batches of events of tasks on machines. */
   onTaskEvents: (events: TaskEvent[]) => void = () => {};
-  private readonly guard = new Guard();
+  private readonly guard = new ProcessGuard();
   private readonly gangCoordinator: GangCoordinator;
   private nextHostIndex = 0;
 
   private constructor(private readonly setup: ClusterSetup) {
     const { options, program, dir } = setup;
     this.controllers = new ControllerGroup({ cluster: options, program, dir, guard: this.guard });
-    // Members notice a loss within half of the time after which they end.
-    this.gangCoordinator = new GangCoordinator(options.workers.gang_peer_s * 500, (key, what) =>
-      this.sendToAllHosts({ kind: 'gang', key, what }),
+    // The members of a gang must end within gang_peer_s after a loss; simulated ones end after half of that.
+    this.gangCoordinator = new GangCoordinator(options.workers.gang_peer_s * 500, (key, event) =>
+      this.sendToAllHosts({ kind: 'gang', key, event }),
     );
   }
 
-  /** Starts all processes, and waits until a controller leads. */
+  /** Starts all processes, and waits until a controller has become leader. */
   static async start(setup: ClusterSetup): Promise<ScaleCluster> {
     const cluster = new ScaleCluster(setup);
     try {
@@ -88,11 +90,11 @@
       ...this.hosts.map((host) => host.process),
       ...(this.services === null ? [] : [this.services]),
     ].filter((child) => child.exitCode === null && child.signalCode === null);
-    const ended = children.map(
+    const exits = children.map(
       (child) => new Promise<void>((resolve) => child.once('exit', () => resolve())),
     );
     for (const { pid } of children) if (pid !== undefined) endGroup(pid);
-    await Promise.all(ended);
+    await Promise.all(exits);
     this.controllers.close();
     this.guard.close();
   }
@@ -102,17 +104,17 @@
     return [...this.machines.values()].filter((machine) => machine.isUp);
   }
 
-  /** Says what the tasks of jobs are like. */
+  /** Sends the descriptions of jobs to the hosts, which need them to run the tasks. */
   addJobs(jobs: JobDescription[]): void {
     this.sendToAllHosts({ kind: 'jobs', jobs });
   }
 
-  /** These jobs are over. */
+  /** Removes jobs that have ended from the hosts. */
   removeJobs(ids: string[]): void {
-    this.sendToAllHosts({ kind: 'forget-jobs', ids });
+    this.sendToAllHosts({ kind: 'remove-jobs', ids });
   }
 
-  /** Asks services and hosts for their counts; they are there a moment later. */
+  /** Requests the counts of services and hosts; the responses arrive asynchronously. */
   requestCounts(): void {
     this.sendToServices({ kind: 'count' });
     this.sendToAllHosts({ kind: 'count' });
@@ -120,7 +122,7 @@
 
   // ---- faults
 
-  /** Machines that die with all that is on them. */
+  /** Terminates machines together with all tasks on them. */
   killMachines(ids: string[]): void {
     for (const id of ids) {
       this.sendToHostOf(id, { kind: 'die', id });
@@ -129,17 +131,17 @@
     this.sendToServices({ kind: 'lost', ids });
   }
 
-  /** The machine's agent ends and is back at once. */
+  /** Restarts the worker agent of a machine; it is available again at once. */
   restartMachine(id: string): void {
     this.sendToHostOf(id, { kind: 'restart', id });
   }
 
-  /** The machines of a zone reach no controller for so long. */
+  /** Disconnects the machines of a zone from all controllers for `ms` milliseconds. */
   cutZone(zone: string, ms: number): void {
     this.sendToAllHosts({ kind: 'cut', zone, ms });
   }
 
-  /** The key-value store answers nobody for so long. */
+  /** Makes the key-value store unavailable for `seconds`. */
   beginStoreOutage(seconds: number): void {
     this.sendToServices({ kind: 'outage', seconds });
   }
@@ -152,7 +154,9 @@
     await this.waitForLeader();
   }
 
-  /** A child that runs one of the experiment's own modules and speaks over a channel. */
+  /**
+   * Starts a child process that runs a module of the experiment and exchanges messages over an IPC channel.
+   */
   private forkModule(module: string): ChildProcess {
     const child = fork(join(import.meta.dirname, module), {
       execArgv: ['--import', 'tsx'],
@@ -169,7 +173,9 @@
     this.sendToServices({ kind: 'begin', options: this.setup.options });
     return new Promise((resolve, reject) => {
       child.once('exit', () =>
-        reject(new FailedRunError('the process with the key-value store has ended before its time')),
+        reject(
+          new FailedRunError('the process of the key-value store and the cloud exited before it was ready'),
+        ),
       );
       child.on('message', (message: FromServices) => {
         if (message.kind === 'ready') resolve({ state: message.state, cloud: message.cloud });
@@ -190,7 +196,7 @@
     this.sendToHost(index, { kind: 'begin', options, nodes, seed: seed * 100 + index });
     return new Promise((resolve, reject) => {
       child.once('exit', () =>
-        reject(new FailedRunError('a process with simulated workers has ended before its time')),
+        reject(new FailedRunError(`process ${index} of the simulated workers exited before it was ready`)),
       );
       child.on('message', (message: FromHost) =>
         message.kind === 'ready' ? resolve() : this.onHostMessage(host, message),
@@ -199,12 +205,14 @@
   }
 
   private async waitForLeader(): Promise<void> {
-    const until = Date.now() + READY_TIMEOUT_MS;
-    while (Date.now() < until) {
+    const deadline = Date.now() + READY_TIMEOUT_MS;
+    while (Date.now() < deadline) {
       if ((await this.controllers.leaderOf(this.controllers.all)) !== null) return;
       await sleep(READY_POLL_INTERVAL_MS);
     }
-    throw new FailedRunError(`no controller owns the jobs; see the logs in ${this.setup.dir}`);
+    throw new FailedRunError(
+      `no controller became leader within ${READY_TIMEOUT_MS / 1000} s; see the logs in ${this.setup.dir}`,
+    );
   }
 
   // ---- messages
@@ -231,10 +239,10 @@
     switch (message.kind) {
       case 'rented': {
         const { machine } = message;
-        const host = this.nextHostIndex++ % this.hosts.length;
+        const hostIndex = this.nextHostIndex++ % this.hosts.length;
         this.rentedCount++;
-        this.machines.set(machine.id, { ...machine, hostIndex: host, isUp: false });
-        return this.sendToHost(host, { kind: 'machine', machine });
+        this.machines.set(machine.id, { ...machine, hostIndex, isUp: false });
+        return this.sendToHost(hostIndex, { kind: 'machine', machine });
       }
       case 'boot': {
         const machine = this.machines.get(message.id);
--- a/scripts/experiments/scale/controller-group.ts
+++ b/scripts/experiments/scale/controller-group.ts
@@ -1,13 +1,13 @@
-// The controllers of the scale experiment: real processes, started again when they end, asked about
-// themselves over HTTP.
+// The controllers of the scale experiment: real processes that are restarted when they end and report their
+// status over HTTP.
 import type { ChildProcess } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import {
   endGroup,
-  type Guard,
   type NodeAddress,
   nodeAddresses,
+  type ProcessGuard,
   settingsFile,
   spawnController,
 } from '../../../packages/local-cluster/src/index.ts';
@@ -20,19 +20,19 @@
 const STATUS_TIMEOUT_MS = 1000;
 const RESPONSE_MAX_BYTES = 4 << 20;
 const CONNECTIONS_PER_CONTROLLER = 16;
-/** Sockets that a controller may have open. */
+/** The limit of open sockets in the settings of a controller. */
 const MAX_SOCKETS = 12_000;
 
-/** A controller, and its process if it runs. */
+/** A controller, and its process while it is running. */
 export interface ControllerProcess extends NodeAddress {
   process: ChildProcess | null;
-  /** Ends that nobody asked for. */
+  /** How often the process ended by itself, without a signal. */
   unexpectedExits: number;
-  /** Asks the node about itself, and makes users' requests. */
+  /** Sends status requests and users' requests to the node. */
   client: HttpClient;
 }
 
-/** What a node says of itself; see Controller.describe. */
+/** The status that a node reports; see Controller.describe. */
 export interface NodeStatus {
   owner: string | null;
   recovered: boolean | null;
@@ -40,18 +40,18 @@
   [field: string]: unknown;
 }
 
-/** How controllers are started. */
+/** Settings with which controllers are started. */
 export interface ControllerGroupOptions {
   cluster: LocalClusterOptions;
   /** The daemon: program and arguments before `serve`. */
   program: string[];
-  /** Where their settings and logs are. */
+  /** Directory of their settings and logs. */
   dir: string;
-  /** Ends what it was given when this process ends. */
-  guard: Guard;
+  /** Ends the processes of controllers when this process ends. */
+  guard: ProcessGuard;
 }
 
-/** Addresses of what controllers depend on. */
+/** Addresses of the services that controllers depend on: the key-value store and the cloud. */
 export interface ServiceAddresses {
   state: string;
   cloud: string;
@@ -65,11 +65,11 @@
   constructor(private readonly options: ControllerGroupOptions) {}
 
   /** Starts all controllers. */
-  async start(outside: ServiceAddresses): Promise<void> {
+  async start(services: ServiceAddresses): Promise<void> {
     const { cluster, dir } = this.options;
     const nodes = await nodeAddresses(cluster.lab.controllers, cluster.lab.zones);
     for (const node of nodes) {
-      writeFileSync(this.settingsPath(node.name), settingsFile(cluster, node, nodes, outside, MAX_SOCKETS));
+      writeFileSync(this.settingsPath(node.name), settingsFile(cluster, node, nodes, services, MAX_SOCKETS));
       const client = new HttpClient(node.addr, CONNECTIONS_PER_CONTROLLER, RESPONSE_MAX_BYTES);
       const controller: ControllerProcess = { ...node, process: null, unexpectedExits: 0, client };
       this.all.push(controller);
@@ -77,13 +77,13 @@
     }
   }
 
-  /** What the first controller was started with. */
+  /** The settings of the first controller. */
   settings(): Settings {
     const path = this.settingsPath(this.all[0]!.name);
     return parseSettings(path, readFileSync(path, 'utf8'));
   }
 
-  /** Asks a controller about itself; null if it does not say. */
+  /** Requests the status of a controller; null without a valid response. */
   status({ client }: ControllerProcess): Promise<NodeStatus | null> {
     const request = { method: 'GET', path: '/status', body: null, timeoutMs: STATUS_TIMEOUT_MS } as const;
     return new Promise((resolve) =>
@@ -97,7 +97,7 @@
     );
   }
 
-  /** The one of these controllers that leads and has heard all machines, as it says itself. */
+  /** The controller that reports that it is the leader and has received heartbeats of all machines. */
   async leaderOf(controllers: readonly ControllerProcess[]): Promise<ControllerProcess | null> {
     const statuses = await Promise.all(controllers.map((controller) => this.status(controller)));
     const index = statuses.findIndex(
@@ -106,12 +106,12 @@
     return controllers[index] ?? null;
   }
 
-  /** Ends a controller at once; it is started again. */
+  /** Kills the process of a controller; it is restarted after a delay. */
   kill(controller: ControllerProcess): void {
     if (controller.process?.pid !== undefined) endGroup(controller.process.pid);
   }
 
-  /** Stops a controller's process for so long. */
+  /** Suspends the process of a controller for `ms` milliseconds. */
   freeze(controller: ControllerProcess, ms: number): void {
     const pid = controller.process?.pid;
     if (pid === undefined) return;
@@ -119,13 +119,13 @@
     setTimeout(() => controller.process?.pid === pid && endGroup(pid, 'SIGCONT'), ms);
   }
 
-  /** No controller is started again from now on; returns those processes that run. */
+  /** Stops restarting controllers, and returns the processes that are running. */
   stopRestarting(): ChildProcess[] {
     this.isStopping = true;
     return this.all.map((controller) => controller.process).filter((child) => child !== null);
   }
 
-  /** Closes connections to controllers. */
+  /** Closes the connections to controllers. */
   close(): void {
     for (const { client } of this.all) client.close();
   }
--- a/scripts/experiments/scale/gang-coordinator.ts
+++ b/scripts/experiments/scale/gang-coordinator.ts
@@ -1,4 +1,4 @@
-// Brings the tasks of gangs together, which are on machines of several hosts.
+// Coordinates the members of gangs whose tasks are on machines of several host processes.
 import type { FromHost } from './messages.ts';
 
 type GangMessage = Extract<FromHost, { kind: 'gang' }>;
@@ -8,22 +8,22 @@
   hasStarted: boolean;
 }
 
-/** Tells hosts when a gang begins, and when it has lost a member after it began. */
+/** Notifies the hosts when a gang starts, and when it loses a member after its start. */
 export class GangCoordinator {
-  /** By job and attempt. */
+  /** Keys are made of the job and the attempt. */
   private readonly gangs = new Map<string, Gang>();
 
   constructor(
-    /** How long after a loss the other members notice it. */
+    /** How long after a loss the other members are notified. */
     private readonly lossDetectionMs: number,
-    private readonly notifyHosts: (key: string, what: 'start' | 'fail') => void,
+    private readonly notifyHosts: (key: string, event: 'start' | 'fail') => void,
   ) {}
 
-  /** A member has joined its gang or left it. */
-  onMembershipChange({ key, task, tasks, what }: GangMessage): void {
+  /** Handles the message that a member has joined its gang or left it. */
+  onMembershipChange({ key, task, tasks, event }: GangMessage): void {
     const gang = this.gangs.get(key) ?? { members: new Set<string>(), hasStarted: false };
     this.gangs.set(key, gang);
-    if (what === 'left') return this.onMemberLeft(key, gang, task);
+    if (event === 'left') return this.onMemberLeft(key, gang, task);
     gang.members.add(task);
     if (gang.hasStarted || gang.members.size < tasks) return;
     gang.hasStarted = true;
--- a/scripts/experiments/scale/host-tasks.ts
+++ b/scripts/experiments/scale/host-tasks.ts
@@ -1,5 +1,5 @@
-// The tasks on the simulated workers of one host: they run nothing, end when their time is over, and tell
-// when they are on a machine and when they are certainly gone from it.
+// The tasks on the simulated workers of one host process. They run no program and end after their run time;
+// events report when a task is on a machine and when it is certainly no longer there.
 import type { SimulationClock } from '../../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker, RunningTask } from '../../../packages/local-cluster/src/fake-worker.ts';
 import type { ExitReason } from '../../../src/core/base/model.ts';
@@ -8,11 +8,11 @@
 
 const FLUSH_INTERVAL_MS = 100;
 
-/** A task that runs, or has ended. */
+/** A task that is running or has ended. */
 interface HostTask {
-  /** It is gone from its machine; false if it was before. */
+  /** Records that the task has left its machine; false if that was recorded before. */
   recordLeft(): boolean;
-  /** It ends by itself. */
+  /** Ends the task as if its program had exited. */
   exit(reason: ExitReason): void;
   onState(state: 'waiting' | 'running'): void;
 }
@@ -23,10 +23,10 @@
   exit(reason: ExitReason): void;
 }
 
-/** Runs tasks, and sends what happens to them to the parent process in batches. */
+/** Simulates tasks, and sends their events to the parent process in batches. */
 export class HostTasks {
   private readonly jobs = new Map<string, JobDescription>();
-  /** Members on this host, by job and attempt. */
+  /** Members on this host; the outer keys are made of the job and the attempt. */
   private readonly gangMembers = new Map<string, Map<TaskId, GangMember>>();
   private events: TaskEvent[] = [];
 
@@ -37,24 +37,25 @@
     setInterval(() => this.flush(), FLUSH_INTERVAL_MS);
   }
 
-  /** Says what the tasks of jobs are like. */
+  /** Stores the descriptions of jobs whose tasks may be launched here. */
   addJobs(jobs: readonly JobDescription[]): void {
     for (const job of jobs) this.jobs.set(job.id, job);
   }
 
-  /** These jobs are over. */
+  /** Removes jobs that have ended. */
   removeJobs(ids: readonly string[]): void {
     for (const id of ids) this.jobs.delete(id);
   }
 
-  /** A task is put on a machine. */
+  /** Records that a task was placed on a machine. */
   onPlaced(worker: FakeWorker, task: TaskId): void {
     this.events.push({ at: this.clock.now, kind: 'on', task, machine: worker.id });
-    // Nothing is launched for these: they end at once.
+    // The worker does not launch the task, which ends at once: the worker is faulty or has completed it
+    // before.
     if (worker.faulty || worker.results.has(task)) this.recordRemoval(worker, task);
   }
 
-  /** Runs a task on a machine, which begins in the state `running`. */
+  /** Launches a task on a machine; its first state is `running`. */
   launch(
     worker: FakeWorker,
     task: TaskId,
@@ -76,10 +77,10 @@
     };
   }
 
-  /** All members of a gang are there, on whatever hosts; or it has lost one after it began. */
-  onGangEvent(key: string, what: 'start' | 'fail'): void {
+  /** Starts the local members of a gang that is complete, or ends them after the gang has lost a member. */
+  onGangEvent(key: string, event: 'start' | 'fail'): void {
     for (const member of [...(this.gangMembers.get(key)?.values() ?? [])])
-      if (what === 'start') member.start();
+      if (event === 'start') member.start();
       else member.exit('peers');
   }
 
@@ -89,7 +90,10 @@
     this.events = [];
   }
 
-  /** A worker whose lease is over holds nothing from its end on, however late its timer fires. */
+  /**
+   * Tasks count as removed from the moment when the lease of their worker expires, even if its timer fires
+   * later.
+   */
   private recordRemoval(worker: FakeWorker, task: TaskId): void {
     const at = Math.min(this.clock.now, worker.leaseEndsAt);
     this.events.push({ at, kind: 'off', task, machine: worker.id });
@@ -102,7 +106,7 @@
     onState: HostTask['onState'],
   ): HostTask {
     let isOver = false;
-    const leave = (): boolean => {
+    const recordLeft = (): boolean => {
       if (isOver) return false;
       isOver = true;
       this.recordRemoval(worker, task);
@@ -111,36 +115,37 @@
     const exit = (reason: ExitReason): void => {
       if (isOver) return;
       if (reason === 'done') this.events.push({ at: this.clock.now, kind: 'done', task });
-      leave();
+      recordLeft();
       onExit(reason);
     };
-    return { recordLeft: leave, exit, onState };
+    return { recordLeft, exit, onState };
   }
 
   /**
-   * The members of a gang may be on several hosts: the parent says when it begins, and when it has lost one.
+   * Members of a gang may be on several hosts, so the parent process decides when the gang starts and when it
+   * has lost a member.
    */
   private joinGang(job: JobDescription, task: TaskId, attempt: number, hostTask: HostTask): RunningTask {
     const key = `${job.id}@${attempt}`;
     const members = this.gangMembers.get(key) ?? new Map<TaskId, GangMember>();
     this.gangMembers.set(key, members);
-    let hasBegun = false;
-    const isWaiting = (): boolean => !hasBegun && members.has(task);
+    let hasStarted = false;
+    const isWaiting = (): boolean => !hasStarted && members.has(task);
     const leave = (): void => this.leaveGang(key, members, task, job.tasks);
     const exit = (reason: ExitReason): void => {
       if (reason === 'done') members.delete(task);
       else leave();
       hostTask.exit(reason);
     };
-    const begin = (): void => {
-      hasBegun = true;
+    const start = (): void => {
+      hasStarted = true;
       hostTask.onState('running');
       this.clock.after(job.runMs, () => members.has(task) && exit('done'));
     };
-    members.set(task, { start: begin, exit });
+    members.set(task, { start, exit });
     this.clock.after(0, () => isWaiting() && hostTask.onState('waiting'));
     this.clock.after(this.gangWaitMs, () => isWaiting() && exit('alone'));
-    sendToParent<FromHost>({ kind: 'gang', key, task, tasks: job.tasks, what: 'joined' });
+    sendToParent<FromHost>({ kind: 'gang', key, task, tasks: job.tasks, event: 'joined' });
     return {
       stop: (_graceS, onStopped) => {
         leave();
@@ -156,6 +161,6 @@
   private leaveGang(key: string, members: Map<TaskId, GangMember>, task: TaskId, tasks: number): void {
     if (!members.delete(task)) return;
     if (members.size === 0) this.gangMembers.delete(key);
-    sendToParent<FromHost>({ kind: 'gang', key, task, tasks, what: 'left' });
+    sendToParent<FromHost>({ kind: 'gang', key, task, tasks, event: 'left' });
   }
 }
--- a/scripts/experiments/scale/line-fit.ts
+++ b/scripts/experiments/scale/line-fit.ts
@@ -1,17 +1,17 @@
-// A straight line through points, by least squares.
+// Fits a straight line to points by least squares.
 
-/** A line, and how well it fits. */
+/** A line, and how well it fits the points. */
 export interface Line {
   slope: number;
   intercept: number;
-  /** Root mean square of what the line misses, as a part of the mean. */
+  /** Root mean square of the deviations from the line, as a fraction of the mean of all y. */
   residual: number;
 }
 
 const meanOf = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** The line through these points; flat if they are all at one place. */
+/** Fits a line to the points; it has slope 0 if all of them have the same x. */
 export function fitLine(points: readonly { x: number; y: number }[]): Line {
   const meanX = meanOf(points.map(({ x }) => x));
   const meanY = meanOf(points.map(({ y }) => y));
@@ -19,6 +19,6 @@
   const covariance = meanOf(points.map(({ x, y }) => (x - meanX) * (y - meanY)));
   const slope = varianceX === 0 ? 0 : covariance / varianceX;
   const intercept = meanY - slope * meanX;
-  const missed = Math.sqrt(meanOf(points.map(({ x, y }) => (y - intercept - slope * x) ** 2)));
-  return { slope, intercept, residual: meanY === 0 ? 0 : missed / Math.abs(meanY) };
+  const rmsDeviation = Math.sqrt(meanOf(points.map(({ x, y }) => (y - intercept - slope * x) ** 2)));
+  return { slope, intercept, residual: meanY === 0 ? 0 : rmsDeviation / Math.abs(meanY) };
 }
--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -1,17 +1,17 @@
-// What each role of the scale experiment costs: processor time, memory, messages, bytes and sockets of its
-// processes, read from the kernel's own accounts once a second.
+// Measures the cost of each role of the scale experiment: processor time, memory, reads, writes, bytes and
+// sockets of its processes, read from /proc once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { ScaleCluster } from './cluster.ts';
 import type { NodeStatus } from './controller-group.ts';
 
-/** Clock ticks a second in /proc. */
+/** Clock ticks per second in /proc. */
 const TICKS_PER_S = 100;
 const PAGE_BYTES = 4096;
-/** Sockets are counted at every so manyth reading. */
+/** Sockets are counted at every tenth sample only, as that reads one link for each open file. */
 const SOCKET_COUNT_INTERVAL_SAMPLES = 10;
 
-/** The accounts of a process at a moment. */
+/** Counters of a process at one moment. */
 interface Reading {
   atMs: number;
   cpuS: number;
@@ -22,7 +22,7 @@
   bytesOut: number;
 }
 
-/** The mean cost of a process of a role: per second, but for memory and sockets. */
+/** Mean cost of one process of a role: rates per second, and absolute values for memory and sockets. */
 export interface RoleFigures {
   core: number;
   rssMb: number;
@@ -34,16 +34,16 @@
   sockets: number;
 }
 
-/** What all roles cost in a measurement. */
+/** Cost of all roles in one measurement. */
 export interface Figures {
   seconds: number;
   /** The leader. */
   owner: RoleFigures;
-  /** Mean of the other controllers. */
+  /** The mean of the other controllers. */
   others: RoleFigures;
   /** The process with the key-value store and the cloud. */
   state: RoleFigures;
-  /** Of one worker: the hosts' processes divided by the workers in them. */
+  /** Per worker: the cost of the host processes divided by the number of workers in them. */
   worker: { core: number; mb: number; reportsPerS: number; bytesPerS: number; ioBytesPerS: number };
   stateRequestsPerS: number;
   stateChangesPerS: number;
@@ -53,11 +53,11 @@
   workers: number;
 }
 
-/** Reads the accounts of a process; null if it has ended. */
+/** Reads the counters of a process; null if it has ended. */
 function readProcess(pid: number): Reading | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    // What follows the name of the program: proc(5) counts its fields from 3.
+    // The fields after the name of the program; the first of them is field 3 in proc(5).
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = new Map(
       readFileSync(`/proc/${pid}/io`, 'utf8')
@@ -105,7 +105,7 @@
   sockets: 0,
 });
 
-/** Sums up what processes of one role cost from one reading to the next. */
+/** Sums the cost of the processes of one role between consecutive readings. */
 class RoleTotals {
   private readonly sum = zeroFigures();
   private readingCount = 0;
@@ -113,21 +113,21 @@
   private socketReadings = 0;
   private readonly lastReadings = new Map<number, Reading>();
 
-  /** Reads a process that has the role at this moment. */
+  /** Reads a process that currently has the role. */
   add(pid: number, withSockets: boolean, heapMb: number | null): void {
-    const now = readProcess(pid);
-    if (now === null) return;
-    const before = this.lastReadings.get(pid);
-    this.lastReadings.set(pid, now);
-    if (before === undefined) return;
-    const seconds = (now.atMs - before.atMs) / 1000;
+    const current = readProcess(pid);
+    if (current === null) return;
+    const previous = this.lastReadings.get(pid);
+    this.lastReadings.set(pid, current);
+    if (previous === undefined) return;
+    const seconds = (current.atMs - previous.atMs) / 1000;
     this.readingCount++;
-    this.sum.core += (now.cpuS - before.cpuS) / seconds;
-    this.sum.rssMb += now.rssMb;
-    this.sum.reads += (now.reads - before.reads) / seconds;
-    this.sum.writes += (now.writes - before.writes) / seconds;
-    this.sum.bytesIn += (now.bytesIn - before.bytesIn) / seconds;
-    this.sum.bytesOut += (now.bytesOut - before.bytesOut) / seconds;
+    this.sum.core += (current.cpuS - previous.cpuS) / seconds;
+    this.sum.rssMb += current.rssMb;
+    this.sum.reads += (current.reads - previous.reads) / seconds;
+    this.sum.writes += (current.writes - previous.writes) / seconds;
+    this.sum.bytesIn += (current.bytesIn - previous.bytesIn) / seconds;
+    this.sum.bytesOut += (current.bytesOut - previous.bytesOut) / seconds;
     if (heapMb !== null) {
       this.sum.heapMb += heapMb;
       this.heapReadings++;
@@ -138,7 +138,7 @@
     }
   }
 
-  /** The process has another role from now on: what it cost meanwhile counts for neither. */
+  /** Called when the process changes its role: its cost since the last reading counts for neither role. */
   dropLastReading(pid: number): void {
     this.lastReadings.delete(pid);
   }
@@ -155,7 +155,7 @@
   }
 }
 
-/** Heartbeats that workers have sent, and their bytes. */
+/** Number of heartbeats that workers have sent, and bytes of heartbeats and responses. */
 interface HeartbeatCounts {
   sent: number;
   bytes: number;
@@ -172,12 +172,12 @@
   private workerSum = 0;
   private servicesAtStart: ServiceCounts | null = null;
   private heartbeatsAtStart: HeartbeatCounts | null = null;
-  /** The process of the last leader. */
+  /** The process id of the last known leader. */
   private lastLeaderPid: number | null = null;
 
   constructor(private readonly cluster: ScaleCluster) {}
 
-  /** Forgets what was measured so far. */
+  /** Discards all measurements and starts a new one. */
   reset(): void {
     this.leaderTotals = new RoleTotals();
     this.othersTotals = new RoleTotals();
@@ -198,7 +198,7 @@
     };
   }
 
-  /** To be called once a second. `statuses`: of the controllers, in their order. */
+  /** Takes a sample; called once a second with the statuses of all controllers, in the order of the group. */
   sample(statuses: readonly (NodeStatus | null)[]): void {
     const { cluster } = this;
     const withSockets = this.sampleCount++ % SOCKET_COUNT_INTERVAL_SAMPLES === 0;
@@ -216,7 +216,7 @@
     cluster.requestCounts();
   }
 
-  /** What all roles have cost since it began. */
+  /** Cost of all roles since the last reset. */
   figures(): Figures {
     const seconds = (performance.now() - this.startedAt) / 1000;
     const workers = this.workerSum / Math.max(1, this.sampleCount);
@@ -250,14 +250,15 @@
   private workerFigures(workers: number, seconds: number): Figures['worker'] {
     const host = this.hostsTotals.mean();
     const heartbeats = this.heartbeatCounts();
-    const each = (perHost: number): number => (perHost * this.cluster.hosts.length) / Math.max(1, workers);
+    const perWorker = (perHost: number): number =>
+      (perHost * this.cluster.hosts.length) / Math.max(1, workers);
     const perS = (total: number): number => total / seconds / Math.max(1, workers);
     return {
-      core: each(host.core),
-      mb: each(host.rssMb),
+      core: perWorker(host.core),
+      mb: perWorker(host.rssMb),
       reportsPerS: perS(heartbeats.sent - (this.heartbeatsAtStart?.sent ?? 0)),
       bytesPerS: perS(heartbeats.bytes - (this.heartbeatsAtStart?.bytes ?? 0)),
-      ioBytesPerS: each(host.bytesIn + host.bytesOut),
+      ioBytesPerS: perWorker(host.bytesIn + host.bytesOut),
     };
   }
 }
--- a/scripts/experiments/scale/messages.ts
+++ b/scripts/experiments/scale/messages.ts
@@ -1,4 +1,4 @@
-// The messages between the processes of the scale experiment, over the channel between parent and child.
+// Messages between the processes of the scale experiment, over the IPC channel between parent and child.
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 
@@ -10,7 +10,7 @@
   spot: boolean;
 }
 
-/** What the tasks of a job are like. */
+/** Description of a job, as far as hosts need it to simulate its tasks. */
 export interface JobDescription {
   id: string;
   kind: 'array' | 'gang' | 'service';
@@ -21,22 +21,28 @@
   runMs: number;
 }
 
-/** `on`: put on a machine. `off`: certainly gone from it. `done`: completed there, before it is gone. */
+/**
+ * `on`: the task was placed on a machine. `off`: it is certainly no longer there. `done`: it was completed;
+ * sent before `off`.
+ */
 export type TaskEvent =
   | { at: number; kind: 'on'; task: string; machine: string }
   | { at: number; kind: 'off'; task: string; machine: string }
   | { at: number; kind: 'done'; task: string };
 
-/** What a host has counted since it began. */
+/** Counters of a host since its start. */
 export interface HostCounts {
   workers: number;
   heartbeats: number;
-  /** Of heartbeats and their responses, bodies and heads. */
+  /** Bytes of heartbeats and their responses, headers included. */
   bytes: number;
   lostByLease: number;
 }
 
-/** To the process with the key-value store and the cloud. */
+/**
+ * To the process with the key-value store and the cloud. `listening`: a worker accepts connections at `addr`.
+ * `lost`: machines have failed.
+ */
 export type ToServices =
   | { kind: 'begin'; options: LocalClusterOptions }
   | { kind: 'listening'; id: string; addr: string }
@@ -44,7 +50,10 @@
   | { kind: 'outage'; seconds: number }
   | { kind: 'count' };
 
-/** From the process with the key-value store and the cloud. */
+/**
+ * From the process with the key-value store and the cloud. `ready`: addresses of both services. `rented`,
+ * `boot` and `released`: the cloud has rented out, booted or released a machine.
+ */
 export type FromServices =
   | { kind: 'ready'; state: string; cloud: string }
   | { kind: 'rented'; machine: RentedMachine }
@@ -52,7 +61,10 @@
   | { kind: 'released'; id: string }
   | { kind: 'counts'; counts: ServiceCounts };
 
-/** To a process that hosts simulated workers. */
+/**
+ * To a process that hosts simulated workers. `machine`: adds one, which is not booted. `die`: terminates one.
+ * `restart`: restarts the agent of one. `cut`: disconnects a zone.
+ */
 export type ToHost =
   | { kind: 'begin'; options: LocalClusterOptions; nodes: { name: string; addr: string }[]; seed: number }
   | { kind: 'machine'; machine: RentedMachine }
@@ -61,9 +73,9 @@
   | { kind: 'restart'; id: string }
   | { kind: 'cut'; zone: string; ms: number }
   | { kind: 'jobs'; jobs: JobDescription[] }
-  | { kind: 'forget-jobs'; ids: string[] }
-  /** All tasks of the attempt are there; or it has lost one after it began. */
-  | { kind: 'gang'; key: string; what: 'start' | 'fail' }
+  | { kind: 'remove-jobs'; ids: string[] }
+  /** `start`: all tasks of the attempt have joined the gang. `fail`: it has lost a task after its start. */
+  | { kind: 'gang'; key: string; event: 'start' | 'fail' }
   | { kind: 'count' };
 
 /** From a process that hosts simulated workers. */
@@ -71,10 +83,13 @@
   | { kind: 'ready' }
   | { kind: 'listening'; id: string; addr: string }
   | { kind: 'tasks'; events: TaskEvent[] }
-  | { kind: 'gang'; key: string; task: string; tasks: number; what: 'joined' | 'left' }
+  | { kind: 'gang'; key: string; task: string; tasks: number; event: 'joined' | 'left' }
   | { kind: 'counts'; counts: HostCounts };
 
-/** Ends this process with the one that started it, however that went. */
+/**
+ * Ends this process when the channel to its parent closes, that is, when the parent ends for any reason.
+ * Signals are ignored.
+ */
 export function endWithParent(): void {
   process.on('disconnect', () => process.exit(0));
   for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) process.on(signal, () => {});
--- a/scripts/experiments/scale/observation-queue.ts
+++ b/scripts/experiments/scale/observation-queue.ts
@@ -1,28 +1,32 @@
-// What users and workers have seen, put in the order of its times and given to the rule checker: hosts of simulated
-// workers tell it in batches.
+// Sorts the observations of users and workers by time and passes them to the rule checker; host processes
+// send theirs in batches, so that they arrive out of order.
 import type { UserRequest, UserResponse } from '../../../src/core/base/model.ts';
 import type { Place, RuleChecker } from '../../../test/support/rule-checker.ts';
 import type { TaskEvent } from './messages.ts';
 import type { TrackedPlacements } from './placements.ts';
 
-/** Batches of different processes, and news of changes in force, come this much apart at the most. */
+/** Longest delay until observations of other processes, or the news that a change is in force, arrive. */
 const SETTLE_MS = 1200;
 const TIMED_CHECK_INTERVAL_MS = 1000;
 
-/** What users, workers and the experiment itself have seen, by when it happened. */
+/**
+ * Something that users, workers or the experiment itself have observed, and when. `asked`: a user has sent a
+ * request. `told`: it has received the response to the request that it sent at `sentAt`. `over`: there are no
+ * faults from this moment on.
+ */
 type Observation =
   | TaskEvent
   | { at: number; kind: 'asked'; request: UserRequest }
   | { at: number; kind: 'told'; sentAt: number; request: UserRequest; answer: UserResponse }
   | { at: number; kind: 'over' };
 
-/** Gives what users and workers saw to the rule checker, in the order in which it happened. */
+/** Passes observations to the rule checker in the order of their times. */
 export class ObservationQueue {
   private pending: Observation[] = [];
   private lastTimedCheckAt = 0;
-  /** Starts a second, by the second in which they fell. */
+  /** Number of task starts in each second of wall time. */
   readonly startsBySecond = new Map<number, number>();
-  /** Is told of tasks that are put on machines. */
+  /** Called when a task is placed on a machine. */
   onTaskStart: (task: string, at: number) => void = () => {};
 
   constructor(
@@ -31,12 +35,12 @@
     private readonly machineOf: (id: string) => Place | undefined,
   ) {}
 
-  /** Takes what was seen, in any order. */
+  /** Adds observations, in any order. */
   add(observations: readonly Observation[]): void {
     for (const observation of observations) this.pending.push(observation);
   }
 
-  /** Checks all that no later batch can precede. */
+  /** Checks all observations that are so old that no later batch can contain an earlier one. */
   advance(now: number): void {
     const until = now - SETTLE_MS;
     this.pending.sort((a, b) => a.at - b.at);
@@ -49,7 +53,7 @@
     this.rules.look(until);
   }
 
-  /** Tasks on machines. */
+  /** Number of tasks on machines. */
   get runningTasks(): number {
     return this.placements.size;
   }
--- a/scripts/experiments/scale/operator.ts
+++ b/scripts/experiments/scale/operator.ts
@@ -1,6 +1,6 @@
-// The operator of the scale experiment: changes quotas all the time through the key-value store's own
-// protocol, and knows by which limits a start may be checked: those of the revision in force, and of every
-// later one that is on record.
+// The simulated operator of the scale experiment. It changes quotas continuously through the key-value
+// store's own protocol, and provides the limits that a start may be checked against: those of the revision in
+// force, and those of every later revision in the store.
 import { build as histogram } from 'hdr-histogram-js';
 import {
   askOverHttp,
@@ -20,41 +20,44 @@
 
 const POLL_INTERVAL_MS = 400;
 const RETRY_DELAY_MS = 1000;
-/** Documents in one transaction: what the store's limit of 24 changes leaves. */
+/**
+ * The store accepts 24 changes in a transaction; the rest is needed for records that belong to every change.
+ */
 const MAX_DOCUMENTS_PER_TRANSACTION = 20;
+/** Fraction of quota documents that stop tasks above a lowered limit. */
 const STOPPED_FRACTION = 0.2;
 const STOP_WITHIN_S = 60;
-/** Limits move between these multiples of what they were at first. */
+/** Limits vary between these multiples of their initial values. */
 const LOWEST_FACTOR = 0.6;
 const HIGHEST_FACTOR = 1.5;
 
-/** A change that was made. */
+/** A configuration change that was committed to the store. */
 interface CommittedChange {
   revision: Revision;
-  /** When its transaction was sent, and when the leader said it is in force; wall time in milliseconds. */
+  /** When its transaction was sent, and when the leader reported it in force; wall time in milliseconds. */
   sentAt: number;
   inForceAt: number | null;
   limits: Map<string, TeamAmounts>;
 }
 
-/** Changes of the configuration, and how long they took to be in force. */
+/** Numbers of configuration changes, and how long they took to be in force. */
 export interface ConfigFigures {
   changes: number;
   documents: number;
-  /** Changes that were not known to be in force when the experiment ended. */
+  /** Changes that had not been reported in force when the experiment ended. */
   pending: number;
   p50S: number;
   p99S: number;
   maxS: number;
 }
 
-/** Quotas that are asked for, and the limits that they mean. */
+/** Documents of new quotas, and the limits that they set. */
 interface QuotaChange {
   documents: ConfigDocument[];
   limits: Map<string, TeamAmounts>;
 }
 
-/** A time for which the store was away. */
+/** A period in which the store was unavailable; wall time in milliseconds. */
 interface Outage {
   from: number;
   to: number;
@@ -67,8 +70,8 @@
   private readonly random: ReturnType<typeof seededRandom>;
   private readonly committedChanges: CommittedChange[] = [];
   /**
-   * From a change's transaction until it is in force, in milliseconds, less the time for which the store was
-   * away.
+   * Time from the transaction of a change until it is in force, in milliseconds, without the time in which
+   * the store was unavailable.
    */
   private readonly delaysMs = histogram({ numberOfSignificantValueDigits: 3 });
   private readonly outages: Outage[] = [];
@@ -79,7 +82,7 @@
   constructor(
     settings: Settings,
     private readonly teams: readonly TeamLimits[],
-    /** Limits of the settings file. */
+    /** Limits in the settings file of the controllers. */
     private readonly initialLimits: ReadonlyMap<string, TeamAmounts>,
     seed: number,
   ) {
@@ -88,45 +91,45 @@
     this.random = seededRandom(seed);
   }
 
-  /** So many changes a minute, until it is stopped. */
+  /** Makes `perMinute` changes a minute until it is stopped. */
   start(perMinute: number): void {
     if (perMinute <= 0) return;
     void this.changeRepeatedly(60_000 / perMinute);
     void this.watchInForce();
   }
 
-  private async changeRepeatedly(everyMs: number): Promise<void> {
+  private async changeRepeatedly(intervalMs: number): Promise<void> {
     while (!this.isStopped) {
-      const began = performance.now();
+      const startedAt = performance.now();
       await this.commitChange(1);
-      await sleep(Math.max(0, everyMs - (performance.now() - began)));
+      await sleep(Math.max(0, intervalMs - (performance.now() - startedAt)));
     }
   }
 
-  /** So many documents changed as fast as the store takes them, in full transactions. */
+  /** Changes `documents` documents in full transactions, spread evenly over `withinS` seconds. */
   async burst(documents: number, withinS: number): Promise<void> {
     const batches = Math.ceil(documents / MAX_DOCUMENTS_PER_TRANSACTION);
     for (let i = 0; i < batches && !this.isStopped; i++) {
-      const began = performance.now();
+      const startedAt = performance.now();
       await this.commitChange(
         Math.min(MAX_DOCUMENTS_PER_TRANSACTION, documents - i * MAX_DOCUMENTS_PER_TRANSACTION),
       );
-      await sleep(Math.max(0, (withinS * 1000) / batches - (performance.now() - began)));
+      await sleep(Math.max(0, (withinS * 1000) / batches - (performance.now() - startedAt)));
     }
   }
 
-  /** Draws new quotas for so many teams that have limits. */
+  /** Draws new quotas for `count` teams that have limits. */
   private drawQuotas(count: number): QuotaChange {
     const limits = new Map<string, TeamAmounts>();
     const documents: ConfigDocument[] = [];
-    const limited = this.teams.filter((team) => team.cpus_max > 0);
-    const first = this.random.below(limited.length);
-    for (let i = 0; i < Math.min(count, limited.length); i++) {
-      const team = limited[(first + i) % limited.length]!;
+    const limitedTeams = this.teams.filter((team) => team.cpus_max > 0);
+    const firstIndex = this.random.below(limitedTeams.length);
+    for (let i = 0; i < Math.min(count, limitedTeams.length); i++) {
+      const team = limitedTeams[(firstIndex + i) % limitedTeams.length]!;
       const limit = this.drawLimit(team);
-      const isStopped = this.random.below(1000) < STOPPED_FRACTION * 1000;
+      const stopsAbove = this.random.below(1000) < STOPPED_FRACTION * 1000;
       limits.set(team.name, limit);
-      documents.push(quotaDocument(team, limit, isStopped));
+      documents.push(quotaDocument(team, limit, stopsAbove));
     }
     return { documents, limits };
   }
@@ -139,25 +142,31 @@
     };
   }
 
-  /** Insisted on until it is made; two changes under way at once find out and plan again. */
+  /**
+   * Commits a change, with retries while the store is unavailable or another change is committed meanwhile.
+   */
   private async commitChange(documents: number): Promise<void> {
-    const wanted = this.drawQuotas(documents);
+    const quotaChange = this.drawQuotas(documents);
     const id = `scale-${++this.lastChangeNumber}`;
     while (!this.isStopped) {
       try {
         const snapshot = await this.client.snapshot();
         const sentAt = Date.now();
-        const made = await this.client.apply(snapshot, this.client.plan(snapshot, wanted.documents), id);
-        this.documentCount += wanted.documents.length;
+        const applied = await this.client.apply(
+          snapshot,
+          this.client.plan(snapshot, quotaChange.documents),
+          id,
+        );
+        this.documentCount += quotaChange.documents.length;
         this.committedChanges.push({
-          revision: made.revision,
+          revision: applied.revision,
           sentAt,
           inForceAt: null,
-          limits: wanted.limits,
+          limits: quotaChange.limits,
         });
         return;
-      } catch (e) {
-        if (!(e instanceof ConfigConflictError) && !(e instanceof StoreUnavailableError)) throw e;
+      } catch (error) {
+        if (!(error instanceof ConfigConflictError) && !(error instanceof StoreUnavailableError)) throw error;
         await sleep(RETRY_DELAY_MS);
       }
     }
@@ -168,8 +177,8 @@
       try {
         const record = await this.client.inForce();
         if (record !== null) this.onInForce(record.revision, record.at);
-      } catch (e) {
-        if (!(e instanceof StoreUnavailableError)) throw e;
+      } catch (error) {
+        if (!(error instanceof StoreUnavailableError)) throw error;
       }
       await sleep(POLL_INTERVAL_MS);
     }
@@ -184,7 +193,9 @@
     }
   }
 
-  /** The store is away for so long from now on: nothing can be changed, nor put in force. */
+  /**
+   * Records that the store is unavailable for `ms` milliseconds: no change can be committed or put in force.
+   */
   recordOutage(ms: number): void {
     this.outages.push({ from: Date.now(), to: Date.now() + ms });
   }
@@ -195,23 +206,23 @@
     return this.outages.reduce((sum, outage) => sum + overlap(outage), 0);
   }
 
-  /** The highest limit that a controller may have acted on at that time. */
+  /** The highest limit that a controller may have applied to the team at that time. */
   limitOf(team: string, at: number): TeamAmounts | undefined {
-    let most = this.initialLimits.get(team);
+    let highest = this.initialLimits.get(team);
     for (const { limits, sentAt, inForceAt } of this.committedChanges) {
       const limit = limits.get(team);
       if (limit === undefined || sentAt > at) continue;
-      if (inForceAt !== null && inForceAt <= at) most = limit;
+      if (inForceAt !== null && inForceAt <= at) highest = limit;
       else
-        most = {
-          cpus: Math.max(most?.cpus ?? 0, limit.cpus),
-          gpus: Math.max(most?.gpus ?? 0, limit.gpus),
+        highest = {
+          cpus: Math.max(highest?.cpus ?? 0, limit.cpus),
+          gpus: Math.max(highest?.gpus ?? 0, limit.gpus),
         };
     }
-    return most;
+    return highest;
   }
 
-  /** What came of all changes. */
+  /** Figures of all changes so far. */
   figures(): ConfigFigures {
     const seconds = (percentile: number): number => this.delaysMs.getValueAtPercentile(percentile) / 1000;
     return {
@@ -224,15 +235,17 @@
     };
   }
 
-  /** Makes no changes from now on. */
+  /** Stops making changes. */
   stop(): void {
     this.isStopped = true;
     this.http.close();
   }
 }
 
-/** The document of a team's quota. `isStopped`: what is above a lowered limit is stopped, not left to end. */
-function quotaDocument(team: TeamLimits, limit: TeamAmounts, isStopped: boolean): ConfigDocument {
+/**
+ * The document of a team's quota. `stopsAbove`: tasks above a lowered limit are stopped, not left to finish.
+ */
+function quotaDocument(team: TeamLimits, limit: TeamAmounts, stopsAbove: boolean): ConfigDocument {
   return {
     kind: 'team',
     name: team.name as TeamName,
@@ -241,7 +254,7 @@
       cpusMax: limit.cpus,
       gpus: team.gpus,
       gpusMax: limit.gpus,
-      above: isStopped ? { kind: 'stop', withinS: STOP_WITHIN_S } : { kind: 'drain' },
+      above: stopsAbove ? { kind: 'stop', withinS: STOP_WITHIN_S } : { kind: 'drain' },
       removed: false,
     },
   };
--- a/scripts/experiments/scale/placements.ts
+++ b/scripts/experiments/scale/placements.ts
@@ -1,27 +1,27 @@
-// What is on machines, kept in an index, and the free capacity that machines have had for some time.
+// An index of the tasks on machines, and the free capacity that machines have had for some time.
 import type { JobSpec } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
 import type { OnMachine, Place, Placements, Room, TeamAmounts } from '../../../test/support/rule-checker.ts';
 
 /**
- * Looks for which room, on a machine or under a limit, must have been there. At a look a second: three
- * heartbeats.
+ * Number of consecutive samples in which capacity, on a machine or under a limit, must have been free. At one
+ * sample a second they span three heartbeats.
  */
 const LASTING_SAMPLES = 15;
 
-/** A task on a machine, and the job that it is of. */
+/** A task on a machine, and its job. */
 interface TrackedPlacement extends OnMachine {
   job: string;
 }
 
-/** An index of what is on machines: no question looks at everything. */
+/** Indexes the tasks on machines, so that queries by task, job or team need no full scan. */
 export class TrackedPlacements implements Placements {
   private readonly byTask = new Map<string, TrackedPlacement[]>();
   private readonly byJob = new Map<string, Set<TrackedPlacement>>();
   private readonly byMachine = new Map<string, Set<TrackedPlacement>>();
   private readonly useByTeam = new Map<string, TeamAmounts>();
   private readonly pastUseByTeam = new Map<string, TeamAmounts[]>();
-  /** Tasks on machines. */
+  /** Number of tasks on machines. */
   size = 0;
 
   constructor(
@@ -29,30 +29,30 @@
     private readonly specOf: (job: string) => JobSpec | undefined,
   ) {}
 
-  /** A task is on a machine from now on. */
+  /** Records that a task is on a machine. */
   add(task: string, machineId: string): void {
     const machine = this.machineOf(machineId) ?? { id: machineId, type: '?', zone: '?', spot: false };
     const { job } = parseTaskId(task as TaskId);
-    const entry: TrackedPlacement = { task, machine, job };
+    const placement: TrackedPlacement = { task, machine, job };
     this.size++;
-    this.byTask.set(task, [...(this.byTask.get(task) ?? []), entry]);
-    getOrCreateGroup(this.byJob, job).add(entry);
-    getOrCreateGroup(this.byMachine, machineId).add(entry);
+    this.byTask.set(task, [...(this.byTask.get(task) ?? []), placement]);
+    getOrCreateGroup(this.byJob, job).add(placement);
+    getOrCreateGroup(this.byMachine, machineId).add(placement);
     this.addUse(job, 1);
   }
 
-  /** A task is gone from a machine. */
+  /** Records that a task is no longer on a machine. */
   remove(task: string, machineId: string): void {
-    const entries = this.byTask.get(task) ?? [];
-    const entry = entries.find((candidate) => candidate.machine.id === machineId);
-    if (entry === undefined) return;
+    const placements = this.byTask.get(task) ?? [];
+    const placement = placements.find((candidate) => candidate.machine.id === machineId);
+    if (placement === undefined) return;
     this.size--;
-    const others = entries.filter((candidate) => candidate !== entry);
+    const others = placements.filter((candidate) => candidate !== placement);
     if (others.length === 0) this.byTask.delete(task);
     else this.byTask.set(task, others);
-    this.byJob.get(entry.job)?.delete(entry);
-    this.byMachine.get(machineId)?.delete(entry);
-    this.addUse(entry.job, -1);
+    this.byJob.get(placement.job)?.delete(placement);
+    this.byMachine.get(machineId)?.delete(placement);
+    this.addUse(placement.job, -1);
   }
 
   private addUse(job: string, tasks: 1 | -1): void {
@@ -66,7 +66,7 @@
   }
 
   *all(): Iterable<OnMachine> {
-    for (const entries of this.byTask.values()) yield* entries;
+    for (const placements of this.byTask.values()) yield* placements;
   }
 
   ofTask(task: string): OnMachine | undefined {
@@ -81,7 +81,7 @@
     return this.useByTeam.get(team) ?? { cpus: 0, gpus: 0 };
   }
 
-  /** To be called once for each look: remembers what teams use. */
+  /** Called once a second: records the current use of each team. */
   sampleUse(): void {
     for (const [team, used] of this.useByTeam) {
       const past = this.pastUseByTeam.get(team) ?? [];
@@ -99,38 +99,38 @@
     };
   }
 
-  /** What a machine of this size has free. */
+  /** Free capacity of a machine of this size. */
   room(machine: Place, size: { cpus: number; gpus: number; memoryGb: number }): Room {
-    const room: Room = { machine, ...size };
+    const free: Room = { machine, ...size };
     for (const { job } of this.byMachine.get(machine.id) ?? []) {
       const spec = this.specOf(job);
       if (spec === undefined) continue;
-      room.cpus -= spec.cpus;
-      room.gpus -= spec.gpus;
-      room.memoryGb -= spec.memoryGb;
+      free.cpus -= spec.cpus;
+      free.gpus -= spec.gpus;
+      free.memoryGb -= spec.memoryGb;
     }
-    return room;
+    return free;
   }
 }
 
 /**
- * Room that machines have had for several heartbeats. In a large fleet some task ends at every moment, so
- * some machine always has room that its controller has not heard of yet, or has given away already: that is
- * not room that a job is left beside.
+ * Free capacity that machines have had for several heartbeats. In a large fleet some task ends at every
+ * moment, so some machine always has free capacity that its controller has not been informed of yet or has
+ * already assigned. Jobs that wait despite such capacity break no rule.
  */
 export class LastingRooms {
-  /** The last looks at each machine. */
+  /** The last samples of each machine, by its id. */
   private readonly recentSamples = new Map<string, Room[]>();
 
-  /** To be called once for each look, with the room of every machine that is up. */
-  *look(rooms: Iterable<Room>): Iterable<Room> {
+  /** Called once a second with the free capacity of every machine that is up. */
+  *look(capacities: Iterable<Room>): Iterable<Room> {
     const up = new Set<string>();
-    for (const room of rooms) {
-      const { id } = room.machine;
+    for (const free of capacities) {
+      const { id } = free.machine;
       up.add(id);
       const past = this.recentSamples.get(id) ?? [];
       this.recentSamples.set(id, past);
-      past.push(room);
+      past.push(free);
       if (past.length > LASTING_SAMPLES) past.shift();
       if (past.length === LASTING_SAMPLES) yield minimumOf(past);
     }
@@ -138,11 +138,11 @@
   }
 }
 
-const minimumOf = (rooms: readonly Room[]): Room => ({
-  machine: rooms[0]!.machine,
-  cpus: Math.min(...rooms.map((room) => room.cpus)),
-  gpus: Math.min(...rooms.map((room) => room.gpus)),
-  memoryGb: Math.min(...rooms.map((room) => room.memoryGb)),
+const minimumOf = (samples: readonly Room[]): Room => ({
+  machine: samples[0]!.machine,
+  cpus: Math.min(...samples.map((sample) => sample.cpus)),
+  gpus: Math.min(...samples.map((sample) => sample.gpus)),
+  memoryGb: Math.min(...samples.map((sample) => sample.memoryGb)),
 });
 
 function getOrCreateGroup<K>(groups: Map<K, Set<TrackedPlacement>>, key: K): Set<TrackedPlacement> {
--- a/scripts/experiments/scale/resources.ts
+++ b/scripts/experiments/scale/resources.ts
@@ -1,26 +1,29 @@
-// What the scale experiment takes of the machine that it runs on, and whether that is there.
+// Estimates the resources that the scale experiment needs, and checks that this machine has them.
 import { existsSync, readFileSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { resolve } from 'node:path';
 
-/** Simulated workers in one process. */
+/** Maximum number of simulated workers in one host process. */
 export const WORKERS_PER_HOST = 500;
-/** Processes of a cluster. */
+/** Maximum number of processes of a cluster. */
 export const MAX_PROCESSES = 60;
-/** Upper estimates, in MB: a controller, a host full of workers, the services and the experiment itself. */
+/**
+ * Upper estimates of memory: a controller, a host with all its workers, and services and experiment together.
+ */
 const CONTROLLER_MB = 260;
 const HOST_MB = 500;
 const SERVICES_AND_EXPERIMENT_MB = 900;
+/** Fraction of the memory of the machine that the experiment may use. */
 const USABLE_MEMORY_FRACTION = 0.5;
-/** Files that a process has open beside one socket for each of its peers. */
+/** Open files of a process apart from one socket for each of its peers. */
 const BASE_FILES_PER_PROCESS = 500;
-/** A worker's own server, and its connection. */
+/** Upper estimate of the sockets of a worker: its server and its connections. */
 const FILES_PER_WORKER = 3;
 
-/** How many processes so many simulated workers take. */
+/** Number of host processes for `workers` simulated workers. */
 export const hostCountFor = (workers: number): number => Math.ceil(workers / WORKERS_PER_HOST);
 
-/** The daemon with the flags that production gives it. */
+/** The command line of the daemon, with the flags that are used in production. */
 export const daemonProgram = (): string[] => [
   process.execPath,
   '--max-old-space-size=4096',
@@ -37,7 +40,7 @@
   return limit === undefined || limit === 'unlimited' ? Number.POSITIVE_INFINITY : Number(limit);
 }
 
-/** Why the machine can't carry it, in one line; null if it can. */
+/** Returns in one line which resource this machine lacks for such an experiment; null if it lacks none. */
 export function lacking(workers: number, controllers: number): string | null {
   if (!existsSync(daemonProgram().at(-1)!)) return 'target/main.js is missing: npm run build';
   const hosts = hostCountFor(workers);
--- a/scripts/experiments/scale/run-faults.ts
+++ b/scripts/experiments/scale/run-faults.ts
@@ -1,4 +1,4 @@
-// The faults of a run of the scale experiment, each at its time, and how long takeovers last.
+// Injects the faults of a run of the scale experiment at their times, and measures how long takeovers take.
 import { seededRandom } from '../../../src/runtime/random.ts';
 import type { ScaleCluster } from './cluster.ts';
 import type { ControllerProcess } from './controller-group.ts';
@@ -12,7 +12,7 @@
 const TAKEOVER_POLL_INTERVAL_MS = 100;
 const TAKEOVER_TIMEOUT_S = 60;
 
-/** What faults act on. */
+/** Components that faults act on. */
 export interface FaultTargets {
   readonly cluster: ScaleCluster;
   readonly users: Users;
@@ -22,11 +22,11 @@
   readonly onProgress: (line: string) => void;
 }
 
-/** Plays the faults of one run. */
+/** Injects the faults of one run. */
 export class RunFaults {
-  /** From each end of a leader until the next has heard all machines, in seconds. */
+  /** Seconds from each loss of a leader until the next one has received heartbeats of all machines. */
   readonly takeoversS: number[] = [];
-  /** Figures of the first burst of starts. */
+  /** Figures during the first burst of starts; null if there was none. */
   burstFigures: Figures | null = null;
   private readonly random: ReturnType<typeof seededRandom>;
 
@@ -34,20 +34,20 @@
     this.random = seededRandom(targets.seed + 1);
   }
 
-  /** Plays all faults, until the last of them is over. */
+  /** Injects all faults, and resolves when the last of them is over. */
   async injectAll(faults: readonly ScaleFault[]): Promise<void> {
-    const began = performance.now();
+    const startedAt = performance.now();
     const sleepUntil = (seconds: number): Promise<void> =>
-      sleep(Math.max(0, seconds * 1000 - (performance.now() - began)));
-    const underWay: Promise<void>[] = [];
+      sleep(Math.max(0, seconds * 1000 - (performance.now() - startedAt)));
+    const activeFaults: Promise<void>[] = [];
     let endS = 0;
     for (const fault of [...faults].sort((a, b) => a.atS - b.atS)) {
       await sleepUntil(fault.atS);
       this.targets.onProgress(`fault: ${JSON.stringify(fault)}`);
-      underWay.push(this.inject(fault));
+      activeFaults.push(this.inject(fault));
       endS = Math.max(endS, fault.atS + ('forS' in fault ? fault.forS : 0));
     }
-    await Promise.all(underWay);
+    await Promise.all(activeFaults);
     await sleepUntil(endS);
   }
 
@@ -129,8 +129,8 @@
   private async restartWorkers(workers: number, seconds: number): Promise<void> {
     const { cluster } = this.targets;
     for (let i = 0; i < workers; i++) {
-      const { upMachines: up } = cluster;
-      const machine = up[this.random.below(Math.max(1, up.length))];
+      const { upMachines } = cluster;
+      const machine = upMachines[this.random.below(Math.max(1, upMachines.length))];
       if (machine !== undefined) cluster.restartMachine(machine.id);
       await sleep((seconds * 1000) / workers);
     }
@@ -140,15 +140,15 @@
     return ZONES[this.random.below(ZONES.length)]!;
   }
 
-  /** How long until another controller leads and has heard all machines. */
-  private async measureTakeover(except: ControllerProcess | null = null): Promise<void> {
+  /** Measures the time until another controller is leader and has received heartbeats of all machines. */
+  private async measureTakeover(excluded: ControllerProcess | null = null): Promise<void> {
     const { controllers } = this.targets.cluster;
-    const began = performance.now();
-    while (performance.now() - began < TAKEOVER_TIMEOUT_S * 1000) {
+    const startedAt = performance.now();
+    while (performance.now() - startedAt < TAKEOVER_TIMEOUT_S * 1000) {
       await sleep(TAKEOVER_POLL_INTERVAL_MS);
-      const others = controllers.all.filter((other) => other !== except && other.process !== null);
+      const others = controllers.all.filter((other) => other !== excluded && other.process !== null);
       if ((await controllers.leaderOf(others)) !== null) break;
     }
-    this.takeoversS.push((performance.now() - began) / 1000);
+    this.takeoversS.push((performance.now() - startedAt) / 1000);
   }
 }
--- a/scripts/experiments/scale/run-setup.ts
+++ b/scripts/experiments/scale/run-setup.ts
@@ -1,5 +1,5 @@
-// What a run of the scale experiment is set up with, and what comes of it.
-import { readLabOptions } from '../../../packages/local-cluster/src/index.ts';
+// The setup and the result of a run of the scale experiment.
+import { readLocalClusterOptions } from '../../../packages/local-cluster/src/index.ts';
 import type { Figures } from './measure.ts';
 import type { ConfigFigures } from './operator.ts';
 import type { UserFigures } from './users.ts';
@@ -13,7 +13,7 @@
   ZONES,
 } from './workload.ts';
 
-/** A fault `atS` seconds after the measurement, or something else that is done to the cluster then. */
+/** A fault or a burst of load that begins `atS` seconds after the measurement. */
 export type ScaleFault = { atS: number } & (
   | { kind: 'burst'; startsPerS: number; forS: number }
   | { kind: 'owner-ends' }
@@ -23,23 +23,23 @@
   | { kind: 'rack'; workers: number }
   | { kind: 'zone-cut'; forS: number }
   | { kind: 'restarts'; workers: number; forS: number }
-  /** So many documents changed within so many seconds. */
+  /** Changes `documents` configuration documents within `forS` seconds. */
   | { kind: 'config-burst'; documents: number; forS: number }
 );
 
-/** A run. Its fields are kept in files of figures. */
+/** The setup of a run. It is written to files of figures, so its fields keep their names. */
 export interface RunSetup {
   demand: Demand;
   controllers: number;
   seed: number;
-  /** Seconds from the start until it is measured, and for how long. */
+  /** Seconds from the start until the measurement, and the duration of the measurement. */
   fillS: number;
   measureS: number;
-  /** Starts a second in a burst beside the measurement; 0: none. */
+  /** Starts a second in a burst during the measurement; 0: no burst. */
   burst: number;
-  /** Changes of the configuration a minute; 0: none, and no documents. */
+  /** Configuration changes a minute; 0: none, so that there are no configuration documents. */
   changesPerMinute: number;
-  /** What goes wrong after the measurement. */
+  /** Faults after the measurement. */
   troubles: readonly ScaleFault[];
   /** Seconds from the last fault to the end. */
   calmS: number;
@@ -53,26 +53,29 @@
   maxS: number;
 }
 
-/** What came of a run. Its fields are kept in files of figures. */
+/** The result of a run. It is written to files of figures, so its fields keep their names. */
 export interface RunResult {
   setup: RunSetup;
   figures: Figures;
-  /** The same in the first burst of starts, with whatever goes wrong in it. */
+  /** Figures during the first burst of starts, including the faults that happen in it. */
   peak: Figures | null;
-  /** Of the whole run. */
+  /** Tasks on machines at the end of the measurement. */
   running: number;
+  /** Highest rate of task starts in the whole run. */
   peakStartsPerS: number;
+  /** Mean rate of task starts during the measurement. */
   meanStartsPerS: number;
+  /** Accepted jobs that were not over at the end of the measurement. */
   openJobs: number;
   urgent: UrgentFigures;
-  /** From each end of a leader until the next has heard all machines, in seconds. */
+  /** Seconds from each loss of a leader until the next one has received heartbeats of all machines. */
   takeoversS: number[];
   users: UserFigures;
   broken: string[];
   unfinished: number;
   lostByLease: number;
   rented: number;
-  /** Controllers that ended by themselves. */
+  /** How often controllers ended by themselves, without a signal. */
   ended: number;
   stateRefused: number;
   config: ConfigFigures;
@@ -84,17 +87,22 @@
 const CLOUD_SETTINGS = { rps: 8, list_lag_s: 8, latency_ms: 80 };
 const BOOT_S = 3;
 
-/** The local cluster's options for a run. */
-export function clusterOptions({ demand, controllers, seed }: RunSetup): ReturnType<typeof readLabOptions> {
-  const countOf = (part: number): number => Math.max(1, Math.round((demand.workers * part) / ZONES.length));
+/** The options of the local cluster for a run. */
+export function clusterOptions({
+  demand,
+  controllers,
+  seed,
+}: RunSetup): ReturnType<typeof readLocalClusterOptions> {
+  const countPerZone = (fraction: number): number =>
+    Math.max(1, Math.round((demand.workers * fraction) / ZONES.length));
   const teams = [...teamsFor(demand, seed), WAITING_TEAM];
-  return readLabOptions('(experiment)', {
+  return readLocalClusterOptions('(experiment)', {
     lab: [{ port: 0, controllers, seed, zones: ZONES }],
     team: Object.fromEntries(teams.map(({ name, ...limits }) => [name, [limits]])),
     type: {
-      plain: [{ ...PLAIN, price: 1, boot_s: BOOT_S, count: countOf(PLAIN_FRACTION), spot: 0 }],
+      plain: [{ ...PLAIN, price: 1, boot_s: BOOT_S, count: countPerZone(PLAIN_FRACTION), spot: 0 }],
       accelerated: [
-        { ...ACCELERATED, price: 2.5, boot_s: BOOT_S, count: countOf(1 - PLAIN_FRACTION), spot: 0 },
+        { ...ACCELERATED, price: 2.5, boot_s: BOOT_S, count: countPerZone(1 - PLAIN_FRACTION), spot: 0 },
       ],
     },
     workers: [WORKER_SETTINGS],
--- a/scripts/experiments/scale/run.ts
+++ b/scripts/experiments/scale/run.ts
@@ -33,10 +33,10 @@
 
 const SAMPLE_INTERVAL_MS = 1000;
 const CHECK_INTERVAL_MS = 200;
-/** Peaks are means over so many seconds. */
+/** A peak is the highest mean over this many seconds. */
 const PEAK_WINDOW_S = 10;
 
-/** What was running when it was measured. */
+/** Results of the measurement. */
 interface Measurement {
   figures: Figures;
   running: number;
@@ -44,7 +44,7 @@
   meanStartsPerS: number;
 }
 
-/** Limits that are 0 are none. */
+/** A limit of 0 in the settings means no limit. */
 const limitOrInfinity = (amount: number): number => (amount > 0 ? amount : Number.POSITIVE_INFINITY);
 
 const limitsOf = (teams: readonly TeamLimits[]): Map<string, TeamAmounts> =>
@@ -55,7 +55,7 @@
     ]),
   );
 
-/** Plays one run. */
+/** Executes one run. */
 export class ScaleRun {
   private readonly placesById = new Map<string, Place>();
   private readonly placements: TrackedPlacements;
@@ -66,7 +66,7 @@
   private readonly operator: ScaleOperator;
   private readonly faults: RunFaults;
   private readonly lastingFreeCapacity = new LastingRooms();
-  /** Free capacity that machines have had for long enough. */
+  /** Free capacity of machines that has lasted long enough to be checked by the rules. */
   private lastingCapacities: Room[] = [];
   private isSampling = true;
 
@@ -97,11 +97,14 @@
     this.faults = new RunFaults({ cluster, users, operator, meter, seed, onProgress });
   }
 
-  /** Plays it and takes everything down, whatever happens. */
-  static async play(
+  /**
+   * Executes a run and ends all its processes, also after an error. `registerStop` receives a function to end
+   * them.
+   */
+  static async run(
     setup: RunSetup,
     onProgress: (line: string) => void,
-    onCluster: (stop: () => Promise<void>) => void = () => {},
+    registerStop: (stop: () => Promise<void>) => void = () => {},
   ): Promise<RunResult> {
     const dir = mkdtempSync(join(tmpdir(), 'swiftford-scale-'));
     const cluster = await ScaleCluster.start({
@@ -111,10 +114,10 @@
       hostCount: hostCountFor(setup.demand.workers),
       seed: setup.seed,
     });
-    onCluster(() => cluster.stop());
+    registerStop(() => cluster.stop());
     const run = new ScaleRun(setup, cluster, onProgress);
     try {
-      return await run.play();
+      return await run.execute();
     } finally {
       run.isSampling = false;
       run.users.stop();
@@ -124,7 +127,7 @@
     }
   }
 
-  private async play(): Promise<RunResult> {
+  private async execute(): Promise<RunResult> {
     const { setup } = this;
     const loops = [this.sampleLoop(), this.checkLoop()];
     this.users.start();
@@ -160,13 +163,13 @@
   private async sampleLoop(): Promise<void> {
     const { controllers } = this.cluster;
     while (this.isSampling) {
-      const began = performance.now();
+      const startedAt = performance.now();
       const statuses = await Promise.all(controllers.all.map((controller) => controllers.status(controller)));
       this.meter.sample(statuses);
       this.placements.sampleUse();
       this.lastingCapacities = [...this.lastingFreeCapacity.look(this.freeCapacities())];
       this.reportProgress(statuses);
-      await sleep(Math.max(0, SAMPLE_INTERVAL_MS - (performance.now() - began)));
+      await sleep(Math.max(0, SAMPLE_INTERVAL_MS - (performance.now() - startedAt)));
     }
   }
 
@@ -186,8 +189,8 @@
   }
 
   private placeOf(id: string): Place | undefined {
-    const known = this.placesById.get(id);
-    if (known !== undefined) return known;
+    const cached = this.placesById.get(id);
+    if (cached !== undefined) return cached;
     const machine = this.cluster.machines.get(id);
     if (machine === undefined) return undefined;
     const { type, zone, spot } = machine;
@@ -212,7 +215,7 @@
     return total;
   }
 
-  /** The highest mean over some seconds. */
+  /** The highest mean of starts a second over a window of `PEAK_WINDOW_S`. */
   private peakStartsPerS(): number {
     let peak = 0;
     for (const second of this.observations.startsBySecond.keys())
@@ -221,9 +224,10 @@
   }
 
   private urgentFigures(): UrgentFigures {
-    const { urgentDelaysMs: urgent } = this.users;
-    const seconds = (percentile: number): number => urgent.getValueAtPercentile(percentile) / 1000;
-    return { n: urgent.totalCount, p50S: seconds(50), p99S: seconds(99), maxS: urgent.maxValue / 1000 };
+    const { urgentDelaysMs } = this.users;
+    const seconds = (percentile: number): number => urgentDelaysMs.getValueAtPercentile(percentile) / 1000;
+    const { totalCount, maxValue } = urgentDelaysMs;
+    return { n: totalCount, p50S: seconds(50), p99S: seconds(99), maxS: maxValue / 1000 };
   }
 
   private result({ figures, running, openJobs, meanStartsPerS }: Measurement): RunResult {
--- a/scripts/experiments/scale/services-process.ts
+++ b/scripts/experiments/scale/services-process.ts
@@ -1,8 +1,8 @@
-// The process that plays the key-value store and the cloud of the scale experiment. Machines that it rents
-// live in others.
+// The process that simulates the key-value store and the cloud of the scale experiment. The machines that the
+// cloud rents out are simulated in the host processes.
 import {
+  type CloudEnvironment,
   type CloudMachine,
-  type CloudPlace,
   type Listening,
   listen,
   OutsideServices,
@@ -13,7 +13,7 @@
 import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
 import { endWithParent, type FromServices, sendToParent, type ToServices } from './messages.ts';
 
-/** A machine whose worker lives in the process of a host. */
+/** A machine whose worker is simulated in a host process. */
 class RemoteMachine implements CloudMachine {
   addr = '';
   private isUp = false;
@@ -45,8 +45,8 @@
   }
 }
 
-/** The key-value store and the cloud. */
-class Services implements CloudPlace {
+/** Serves the key-value store and the cloud. */
+class Services implements CloudEnvironment {
   readonly workers = new Map<string, RemoteMachine>();
   private readonly outsideServices: OutsideServices;
 
@@ -71,14 +71,14 @@
     return machine;
   }
 
-  /** Begins to serve, and tells the parent process where. */
+  /** Starts to serve, and sends the addresses to the parent process. */
   async serve(): Promise<void> {
     const state: Listening = await listen(0, this.outsideServices.serveState);
     const cloud: Listening = await listen(0, this.outsideServices.serveCloud);
     sendToParent<FromServices>({ kind: 'ready', state: state.addr, cloud: cloud.addr });
   }
 
-  /** Carries out a message of the parent process. */
+  /** Handles a message of the parent process. */
   onMessage(message: Exclude<ToServices, { kind: 'begin' }>): void {
     switch (message.kind) {
       case 'listening': {
--- a/scripts/experiments/scale/slopes-plot.ts
+++ b/scripts/experiments/scale/slopes-plot.ts
@@ -1,4 +1,5 @@
-// The slopes of the scale experiment as an SVG: each measure against the workers, measured and predicted.
+// Plots the slopes of the scale experiment as SVG: each measure against the number of workers, measured and
+// predicted.
 import { parse, type Spec, View } from 'vega';
 
 /** Measures that are plotted. */
@@ -16,18 +17,18 @@
   measure: string;
   x: number;
   y: number;
-  kind: 'measured' | 'foretold';
+  kind: 'measured' | 'predicted';
 }
 
 const PANEL_WIDTH = 260;
 const PANEL_HEIGHT = 180;
 
-/** The plot as an SVG. */
+/** Renders the plot as SVG. */
 export async function plotSlopes(values: PlottedValue[]): Promise<string> {
   return new View(parse(plotSpec(values)), { renderer: 'none' }).toSVG();
 }
 
-/** Scales of a panel, from nothing on. */
+/** Linear scales of a panel, which start at zero. */
 function scalesOf(data: string) {
   const scale = { type: 'linear' as const, zero: true };
   return [
@@ -36,7 +37,7 @@
   ];
 }
 
-/** A measure against the workers. */
+/** The panel of one measure against the number of workers. */
 function panel(measure: string) {
   const data = `of-${measure}`;
   return {
@@ -63,7 +64,7 @@
           enter: {
             x: { scale: 'x', field: 'x' },
             y: { scale: 'y', field: 'y' },
-            fill: { scale: 'of', field: 'of' },
+            fill: { scale: 'kind', field: 'kind' },
           },
         },
       },
@@ -77,8 +78,8 @@
     padding: 20,
     layout: { columns: 3, padding: 50 },
     data: [{ name: 'values', values }],
-    scales: [{ name: 'of', type: 'ordinal', domain: ['measured', 'foretold'], range: 'category' }],
-    legends: [{ fill: 'of' }],
+    scales: [{ name: 'kind', type: 'ordinal', domain: ['measured', 'predicted'], range: 'category' }],
+    legends: [{ fill: 'kind' }],
     marks: PLOTTED_MEASURES.map(panel),
   };
 }
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -1,5 +1,5 @@
-// The slopes of the scale experiment: one thing varied at a time, a straight line through what each role
-// cost, and what the smaller sizes predict for the larger beside what those gave.
+// The slopes of the scale experiment: varies one parameter at a time, fits a straight line to the cost of
+// each role, and compares the prediction from smaller clusters with the measurement of larger ones.
 import { readFileSync, writeFileSync } from 'node:fs';
 import { fitLine } from './line-fit.ts';
 import type { Figures } from './measure.ts';
@@ -7,13 +7,13 @@
 import { type RunResult, type RunSetup, ScaleRun } from './run.ts';
 import { PLOTTED_MEASURES, type PlottedValue, plotSlopes } from './slopes-plot.ts';
 
-/** At the operators' size. */
+/** The expected production size. */
 const FULL_WORKERS = 2000;
 const FULL_RUNNING = 14_000;
 const JOBS_PER_S = 0.36;
 const URGENT_PER_S = 0.25;
 
-/** A load in proportion to the workers, without faults. */
+/** A setup whose load is proportional to the number of workers, without faults. */
 export function baseSetup(workers: number, controllers: number, teams: number, seed: number): RunSetup {
   return {
     demand: {
@@ -35,7 +35,7 @@
   };
 }
 
-/** Options of the command that slopes are played with. */
+/** Options of the command that apply to slopes. */
 export interface SlopesOptions {
   controllers: number;
   teams: number;
@@ -46,30 +46,32 @@
   only?: string[];
 }
 
-/** A run of a series, and the value of what varies in it. */
+/** A run of a series, and the value of the parameter that the series varies. */
 export interface Point {
   series: string;
   x: number;
   result: RunResult;
 }
 
-/** A point that is to be played. */
+/** A point that is to be measured. */
 interface PlannedPoint {
   series: string;
   x: number;
   setup: RunSetup;
 }
 
-/** A figure against what varies. */
+/** A figure `y` at the value `x` of the varied parameter. */
 interface Sample {
   x: number;
   y: number;
 }
 
-/** Workers at which the other things are varied. */
+/** Number of workers at which the other parameters are varied. */
 const MIDDLE_WORKERS = 1000;
 const WORKER_COUNTS = [250, 500, 1000, 2000, 3000];
-/** Sizes up to this, or a little more as they came about, predict the larger ones. */
+/**
+ * Predictions are fitted to clusters up to this size; the measured number of workers may be a little higher.
+ */
 const PREDICTION_MAX_WORKERS = 1000;
 const PREDICTION_MAX_MEASURED_WORKERS = PREDICTION_MAX_WORKERS * 1.05;
 const MAX_BROKEN_RULES_SHOWN = 5;
@@ -77,11 +79,11 @@
 function planPoints({ controllers, teams, seed, only }: SlopesOptions): PlannedPoint[] {
   const setupAt = (
     workers: number,
-    over: Partial<RunSetup> = {},
+    overrides: Partial<RunSetup> = {},
     demand: Partial<RunSetup['demand']> = {},
   ): RunSetup => {
     const base = baseSetup(workers, controllers, teams, seed);
-    return { ...base, ...over, demand: { ...base.demand, ...demand } };
+    return { ...base, ...overrides, demand: { ...base.demand, ...demand } };
   };
   const vary = (series: string, values: number[], setupOf: (x: number) => RunSetup): PlannedPoint[] =>
     values.map((x) => ({ series, x, setup: setupOf(x) }));
@@ -96,7 +98,7 @@
   ].filter(({ series }) => only === undefined || only.includes(series));
 }
 
-/** What is fitted: of each role, by name. */
+/** The measures that lines are fitted to, by name. */
 const MEASURES: Record<string, (figures: Figures) => number> = {
   owner_core: (figures) => figures.owner.core,
   owner_mb: (figures) => figures.owner.rssMb,
@@ -121,7 +123,9 @@
   cloud_calls_s: (figures) => figures.cloudCallsPerS,
 };
 
-/** What a series is plotted against: the value aimed at, or the one that came about. */
+/**
+ * The x value of a point: the configured value of the parameter or, where that may differ, the measured one.
+ */
 function xOf({ series, x, result }: Point): number {
   if (series === 'workers') return result.figures.workers;
   if (series === 'running') return result.running;
@@ -129,7 +133,7 @@
   return series === 'open-jobs' ? result.openJobs : x;
 }
 
-/** The abscissa in a series of the run at the middle size, which belongs to every series. */
+/** The x value in `series` of the run at the middle size, which is a point of every series. */
 function middleXOf(series: string, point: Point): number {
   const { setup } = point.result;
   if (series === 'changes') return setup.changesPerMinute;
@@ -138,7 +142,7 @@
   return xOf({ ...point, series });
 }
 
-/** A measure of all points of a series. */
+/** The samples of one measure at all points of a series. */
 function samplesOf(points: readonly Point[], series: string, measure: string): Sample[] {
   const samples: Sample[] = [];
   for (const point of points) {
@@ -159,12 +163,14 @@
     const { slope, intercept, residual } = fitLine(samples);
     const values = samples.map(({ x, y }) => `${Math.round(x)}:${roundTo4Digits(y)}`).join(' ');
     process.stdout.write(
-      `slope ${series} ${measure}: ${roundTo4Digits(slope)} each, ${roundTo4Digits(intercept)} at none, residual ${roundTo4Digits(residual)}; ${values}\n`,
+      `slope ${series} ${measure}: ${roundTo4Digits(slope)} per unit, ${roundTo4Digits(intercept)} at zero, residual ${roundTo4Digits(residual)}; ${values}\n`,
     );
   }
 }
 
-/** Of each size beyond those that the line is drawn through: predicted, measured, and how far apart. */
+/**
+ * Prints the prediction, the measurement and their deviation for each size that the line is not fitted to.
+ */
 function printPredictions(points: readonly Point[]): void {
   for (const measure of Object.keys(MEASURES)) {
     const samples = samplesOf(points, 'workers', measure);
@@ -174,40 +180,41 @@
     for (const { x, y } of samples) {
       if (x <= PREDICTION_MAX_MEASURED_WORKERS) continue;
       const predicted = intercept + slope * x;
-      const apart = predicted === 0 ? 0 : (100 * (y - predicted)) / predicted;
+      const deviationPercent = predicted === 0 ? 0 : (100 * (y - predicted)) / predicted;
       process.stdout.write(
-        `foretold ${measure} at ${Math.round(x)}: ${roundTo4Digits(predicted)}, measured ${roundTo4Digits(y)}, ${apart.toFixed(0)}%\n`,
+        `predicted ${measure} at ${Math.round(x)}: ${roundTo4Digits(predicted)}, measured ${roundTo4Digits(y)}, ${deviationPercent.toFixed(0)}%\n`,
       );
     }
   }
 }
 
-/** Points that a file of figures has already. */
+/** Points that the file of figures already contains, with `--resume`. */
 function readPoints({ resume, json }: SlopesOptions): Point[] {
   return resume && json !== undefined ? (JSON.parse(readFileSync(json, 'utf8')) as Point[]) : [];
 }
 
-/** Plays all series; prints their lines, and how far off predictions are. */
+/** Runs all series; prints the fitted lines and the deviations of predictions. */
 export async function runSlopes(
   options: SlopesOptions,
   onProgress: (line: string) => void,
-  onCluster: (stop: () => Promise<void>) => void,
+  registerStop: (stop: () => Promise<void>) => void,
 ): Promise<void> {
   const points = readPoints(options);
   let broken = 0;
   for (const { series, x, setup } of planPoints(options)) {
     if (points.some((point) => point.series === series && point.x === x)) continue;
-    const obstacle = lacking(setup.demand.workers, setup.controllers);
-    if (obstacle !== null) {
-      process.stdout.write(`not run ${series} ${x}: ${obstacle}\n`);
+    const shortage = lacking(setup.demand.workers, setup.controllers);
+    if (shortage !== null) {
+      process.stdout.write(`not run ${series} ${x}: ${shortage}\n`);
       continue;
     }
-    onProgress(`fault: none; ${series} ${x}`);
-    const result = await ScaleRun.play(setup, onProgress, onCluster);
+    // Progress lines that begin with `fault` are always written.
+    onProgress(`fault: none; series ${series}, value ${x}`);
+    const result = await ScaleRun.run(setup, onProgress, registerStop);
     points.push({ series, x, result });
     broken += result.broken.length;
-    for (const rule of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN))
-      process.stdout.write(`${series} ${x}: ${rule}\n`);
+    for (const line of result.broken.slice(0, MAX_BROKEN_RULES_SHOWN))
+      process.stdout.write(`${series} ${x}: ${line}\n`);
     if (options.json !== undefined) writeFileSync(options.json, `${JSON.stringify(points, null, 1)}\n`);
   }
   for (const series of new Set(points.map((point) => point.series))) printSeries(points, series);
@@ -217,14 +224,14 @@
   process.exitCode = broken > 0 ? 1 : 0;
 }
 
-/** Each measure against the workers, with the line through the smaller sizes. */
+/** Measured and predicted values of each plotted measure; predictions are fitted to the smaller sizes. */
 function plottedValues(points: readonly Point[]): PlottedValue[] {
   return PLOTTED_MEASURES.flatMap((measure) => {
     const samples = samplesOf(points, 'workers', measure);
     const { slope, intercept } = fitLine(samples.filter(({ x }) => x <= PREDICTION_MAX_MEASURED_WORKERS));
     return samples.flatMap(({ x, y }): PlottedValue[] => [
       { measure, x, y, kind: 'measured' },
-      { measure, x, y: intercept + slope * x, kind: 'foretold' },
+      { measure, x, y: intercept + slope * x, kind: 'predicted' },
     ]);
   });
 }
--- a/scripts/experiments/scale/users.ts
+++ b/scripts/experiments/scale/users.ts
@@ -1,4 +1,4 @@
-// The users of the scale experiment: they submit jobs over time, ask about them, and note what they are told.
+// The simulated users of the scale experiment: they submit jobs, poll their status, and record all responses.
 import { build as histogram } from 'hdr-histogram-js';
 import { bodyOf } from '../../../packages/client/src/request.ts';
 import type { JobSpec, UserRequest, UserResponse } from '../../../src/core/base/model.ts';
@@ -17,19 +17,19 @@
 import { wallClock } from './time.ts';
 import { type Demand, type DrawnJob, drawBetween, JobGenerator, type TeamLimits } from './workload.ts';
 
-/** At first so many pairs of arrays are submitted, one after the other. */
+/** The initial load: this many pairs of arrays are submitted one after the other. */
 const INITIAL_PAIRS = 40;
 const INITIAL_PAIR_INTERVAL_MS = 150;
 const INITIAL_MIN_RUN_S = 10;
-/** Arrays a second in a burst. */
 const BURST_ARRAYS_PER_S = 2;
+/** Fraction of the larger arrays that are cancelled. */
 const CANCELLED_FRACTION = 0.03;
 
 const POLL_INTERVAL_MS = 5000;
 const RETRY_DELAY_MS = 1000;
 const STATUS_TIMEOUT_MS = 2000;
 const SUBMIT_OR_CANCEL_TIMEOUT_MS = 5000;
-/** Users give up on a submission after this. */
+/** Users give up on a submission that is not answered within this time. */
 const SUBMISSION_TIMEOUT_MS = 60_000;
 
 /** A job as its user sees it. */
@@ -38,11 +38,11 @@
   body: string;
   submittedAt: number;
   isAccepted: boolean;
-  /** It is done, cancelled, refused, or its user has given up. */
+  /** The job is done, cancelled or refused, or its user has given up. */
   isOver: boolean;
 }
 
-/** What users have done and were told. */
+/** Counts of requests and of their results. */
 export interface UserFigures {
   submitted: number;
   accepted: number;
@@ -66,7 +66,7 @@
     requests: 0,
     unanswered: 0,
   };
-  /** From the submission of an urgent job to the start of its task, in milliseconds. */
+  /** Delays from the submission of an urgent job to the start of its task, in milliseconds. */
   readonly urgentDelaysMs = histogram({ numberOfSignificantValueDigits: 3 });
   private readonly jobs = new Map<string, UserJob>();
   private readonly startedUrgentTasks = new Set<string>();
@@ -88,19 +88,19 @@
     observations.onTaskStart = (task, at) => this.onTaskStart(task, at);
   }
 
-  /** What is known of a job that was submitted. */
+  /** The spec of a submitted job; undefined if the job is unknown. */
   specOf(job: string): JobSpec | undefined {
     return this.jobs.get(job)?.spec;
   }
 
-  /** Jobs that were accepted and are not over. */
+  /** Number of jobs that were accepted and are not over. */
   get openJobs(): number {
-    let open = 0;
-    for (const job of this.jobs.values()) if (job.isAccepted && !job.isOver) open++;
-    return open;
+    let count = 0;
+    for (const job of this.jobs.values()) if (job.isAccepted && !job.isOver) count++;
+    return count;
   }
 
-  /** Submits jobs from now on. */
+  /** Starts to submit jobs. */
   start(): void {
     const { demand, generator } = this;
     this.submitInitialLoad();
@@ -114,14 +114,14 @@
       );
   }
 
-  /** So many starts a second of short tasks, for so long. */
+  /** Submits short tasks at a rate of `startsPerS` for `seconds`. */
   burst(startsPerS: number, seconds: number): void {
     const tasks = Math.round(startsPerS / BURST_ARRAYS_PER_S);
     for (let i = 0; i < seconds * BURST_ARRAYS_PER_S; i++)
       this.schedule((i * 1000) / BURST_ARRAYS_PER_S, () => this.submit(this.generator.drawBurst(i, tasks)));
   }
 
-  /** Does nothing from now on. */
+  /** Stops all requests. */
   stop(): void {
     this.isStopped = true;
     for (const timer of this.timers) clearTimeout(timer);
@@ -135,7 +135,7 @@
     this.timers.add(timer);
   }
 
-  /** Calls again and again, so many times a second in the mean. */
+  /** Calls `run` repeatedly, at a mean rate of `perS` calls a second. */
   private repeatAtRate(perS: number, run: () => void): void {
     if (perS <= 0) return;
     const next = (): void => {
@@ -147,7 +147,7 @@
 
   // ---- submissions
 
-  /** As much as runs in the mean, with ends spread over the time that a task runs. */
+  /** Submits as many tasks as run in the mean, with end times spread over the run time of a task. */
   private submitInitialLoad(): void {
     const tasks = this.demand.running / INITIAL_PAIRS;
     for (let i = 0; i < INITIAL_PAIRS; i++)
@@ -157,7 +157,7 @@
       });
   }
 
-  /** A pair of arrays; the larger one may be cancelled. */
+  /** Submits a pair of arrays; the larger one may be cancelled. */
   private submitArrays(): void {
     const [onAccelerators, plain] = this.generator.drawArrays();
     this.submit(onAccelerators);
@@ -184,7 +184,7 @@
 
   // ---- requests and responses
 
-  /** Sends a request once; `onResponse` gets null if there was no response that says anything. */
+  /** Sends a request once; `onResponse` receives null without a valid response. */
   private sendRequest(
     job: UserJob,
     request: UserRequest,
@@ -199,14 +199,14 @@
     node.client.call({ ...callOf(job, request), timeoutMs }, (reply) => {
       if (this.isStopped) return;
       const body = reply?.body.toString('utf8') ?? '';
-      const response = reply === null ? null : responseOf(job.spec.id, request, reply.status, body);
+      const response = reply === null ? null : decodeResponse(job.spec.id, request, reply.status, body);
       if (response === null) this.figures.unanswered++;
       else this.observations.add([{ at: wallClock(), kind: 'told', sentAt, request, answer: response }]);
       onResponse(response);
     });
   }
 
-  /** Repeated until it is answered; a submission as long as its user would wait. */
+  /** Repeats a request until it is answered; a submission is repeated until its time-out only. */
   private sendUntilAnswered(job: UserJob, request: UserRequest): void {
     this.sendRequest(job, request, (response) => {
       if (response !== null && response.kind !== 'retry') return this.onResponse(job, request, response);
@@ -267,8 +267,8 @@
   }
 }
 
-/** Null: a response that says nothing, which a user takes as none. */
-function responseOf(id: JobId, request: UserRequest, status: number, body: string): UserResponse | null {
+/** Decodes a response; null if it is invalid, which a user treats as no response. */
+function decodeResponse(id: JobId, request: UserRequest, status: number, body: string): UserResponse | null {
   if (status === 404) return { kind: 'not-found' };
   if (status === 400) return { kind: 'too-large', reason: body };
   if (status === 422) return { kind: 'impossible', reason: body };
--- a/scripts/experiments/scale/worker-process.ts
+++ b/scripts/experiments/scale/worker-process.ts
@@ -1,12 +1,11 @@
-// A process that hosts simulated workers: each speaks the worker's protocol in full, over sockets of its own,
-// and runs nothing.
-
+// A host process of simulated workers: each implements the complete worker protocol over its own sockets, but
+// runs no programs.
 import {
   FakeWorker,
   type RunningTask,
   type WorkerEnvironment,
 } from '../../../packages/local-cluster/src/fake-worker.ts';
-import { type Listening, listen, error as refuse } from '../../../packages/local-cluster/src/index.ts';
+import { errorResponse, type Listening, listen } from '../../../packages/local-cluster/src/index.ts';
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 import type { ExitReason, Heartbeat, HeartbeatResponse } from '../../../src/core/base/model.ts';
 import { HttpClient } from '../../../src/http/client.ts';
@@ -28,16 +27,16 @@
 } from './messages.ts';
 
 const RESPONSE_MAX_BYTES = 4 << 20;
-/** Head of a heartbeat and of its response. */
+/** Estimated size of the HTTP headers of a heartbeat and its response together. */
 const HTTP_HEADERS_BYTES = 260;
 
-/** A node that workers report to. */
+/** A controller node that workers send heartbeats to. */
 interface HostNode {
   name: string;
   addr: string;
 }
 
-/** A worker's own connection to the node that it reports to. */
+/** The connection of a worker to the node that it sends heartbeats to. */
 interface NodeConnection {
   node: string;
   client: HttpClient;
@@ -52,7 +51,7 @@
   private readonly workers = new Map<string, FakeWorker>();
   private readonly servers = new Map<string, Listening>();
   private readonly connections = new Map<string, NodeConnection>();
-  /** When zones that are cut off are back. */
+  /** When zones that are disconnected become reachable again, in milliseconds. */
   private readonly cutOffUntil = new Map<string, number>();
   private readonly random: ReturnType<typeof seededRandom>;
   private readonly tasks: HostTasks;
@@ -75,7 +74,7 @@
     setTimeout(run, ms);
   }
 
-  /** Carries out a message of the parent process. */
+  /** Handles a message of the parent process. */
   onMessage(message: Exclude<ToHost, { kind: 'begin' }>): void {
     switch (message.kind) {
       case 'machine':
@@ -90,10 +89,10 @@
         return void this.cutOffUntil.set(message.zone, this.now + message.ms);
       case 'jobs':
         return this.tasks.addJobs(message.jobs);
-      case 'forget-jobs':
+      case 'remove-jobs':
         return this.tasks.removeJobs(message.ids);
       case 'gang':
-        return this.tasks.onGangEvent(message.key, message.what);
+        return this.tasks.onGangEvent(message.key, message.event);
       case 'count': {
         const counts = { ...this.counts, workers: this.workers.size };
         return sendToParent<FromHost>({ kind: 'counts', counts });
@@ -115,10 +114,10 @@
     });
     this.workers.set(id, worker);
     listen(0, (method, path, body, respond) => {
-      if (!worker.up) return respond(refuse(503, 'it is not up yet'));
-      if (method !== 'POST' || path !== '/orders') return respond(refuse(404, 'no such path'));
+      if (!worker.up) return respond(errorResponse(503, 'it is not up yet'));
+      if (method !== 'POST' || path !== '/orders') return respond(errorResponse(404, 'no such path'));
       const { token, session, commands } = decodeCommands(body);
-      if (session === null) return respond(refuse(400, 'the session is missing'));
+      if (session === null) return respond(errorResponse(400, 'the session is missing'));
       if (this.isCutOff(worker)) return;
       worker.orders(token, session, commands, (reply) => {
         if (reply.kind === 'heartbeat')
@@ -191,7 +190,7 @@
   }
 }
 
-/** Null for a response that can't be read, which a worker takes as none. */
+/** Decodes the response to a heartbeat; null if it is invalid, which a worker treats as no response. */
 function decodeHeartbeatReply(status: number, body: Buffer): HeartbeatResponse | null {
   try {
     return decodeHeartbeatResponse(status, JSON.parse(body.toString('utf8')));
--- a/scripts/experiments/scale/workload.ts
+++ b/scripts/experiments/scale/workload.ts
@@ -1,23 +1,23 @@
-// The load of the scale experiment: machines, teams and their limits, and the jobs that users submit, drawn
-// from a seed.
+// The load of the scale experiment: machines, teams and their limits, and the jobs that users submit. All
+// random values are drawn from a seed.
 import type { JobRequest } from '../../../packages/client/src/types.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
 
-/** How much is asked of a cluster. */
+/** The size and the load of a cluster. */
 export interface Demand {
   workers: number;
   teams: number;
-  /** Tasks on machines that ordinary jobs keep up. */
+  /** Mean number of running tasks that ordinary jobs maintain. */
   running: number;
   /** Ordinary jobs a second. */
   jobsPerS: number;
   /** Urgent one-task jobs a second. */
   urgentPerS: number;
-  /** Jobs that can't start while the experiment lasts, kept open all the time. */
+  /** Number of jobs that stay open but cannot start during the experiment. */
   waitingJobs: number;
 }
 
-/** A team's guarantee and limits, as a settings file has them; a limit of 0 is none. */
+/** A team's guarantee and limits, as in a settings file; a limit of 0 means no limit. */
 export interface TeamLimits {
   name: string;
   cpus: number;
@@ -26,25 +26,25 @@
   gpus_max: number;
 }
 
-/** What is asked for, and how long its tasks run. */
+/** A job request, and the run time of its tasks. */
 export interface DrawnJob {
   request: JobRequest;
   runS: number;
 }
 
-/** Machines: three in ten without accelerators, seven with two each. */
+/** Machines without accelerators: three in ten. */
 export const PLAIN = { cpus: 32, gpus: 0, memory_gb: 128 };
-/** Machines with accelerators. */
+/** Machines with two accelerators each: seven in ten. */
 export const ACCELERATED = { cpus: 16, gpus: 2, memory_gb: 128 };
-/** Part of the machines that are without accelerators. */
+/** Fraction of the machines that have no accelerators. */
 export const PLAIN_FRACTION = 0.3;
 /** Zones of the cloud. */
 export const ZONES = Array.from({ length: 10 }, (_, i) => `zone-${i}`);
 
-/** A team of the experiment's own whose jobs wait. */
+/** An additional team whose jobs wait for its limit during the whole experiment. */
 export const WAITING_TEAM: TeamLimits = { name: 'waiting', cpus: 0, cpus_max: 1, gpus: 0, gpus_max: 0 };
 
-/** What each task of a job takes. */
+/** Resources and mean run time of each task of a job. */
 interface TaskSize {
   cpus: number;
   memoryGb: number;
@@ -52,10 +52,11 @@
 }
 
 const SWEEP: TaskSize = { cpus: 2.3, memoryGb: 3, runS: 120 };
-/** Arrays on accelerators, one for each task: this part of the running tasks. */
+/** Arrays whose tasks use one accelerator each; `INFER_FRACTION` is their fraction of the running tasks. */
 const INFER: TaskSize = { cpus: 4, memoryGb: 16, runS: 120 };
 const INFER_FRACTION = 0.16;
 const GANG: TaskSize = { cpus: 4, memoryGb: 16, runS: 150 };
+/** Fraction of the ordinary jobs that are gangs. */
 const GANG_FRACTION = 0.12;
 const GANG_SIZES: readonly { tasks: number; weight: number }[] = [
   { tasks: 2, weight: 25 },
@@ -71,7 +72,7 @@
 const WAITING: TaskSize = { cpus: 1, memoryGb: 1, runS: 600 };
 const WAITING_TASKS = 20;
 const IMAGES = 20;
-/** Of the teams so many have no limit; they bring the bursts. */
+/** Number of teams without a limit; they submit the bursts. */
 const UNLIMITED_TEAMS = 5;
 
 type SeededRandom = ReturnType<typeof seededRandom>;
@@ -80,7 +81,7 @@
 export const drawBetween = (random: SeededRandom, min: number, max: number): number =>
   min + ((max - min) * random.below(10_001)) / 10_000;
 
-/** CPUs and accelerators of all machines together. */
+/** Total CPUs and accelerators of all machines. */
 export function capacityOf(workers: number): { cpus: number; gpus: number } {
   const plain = Math.round(workers * PLAIN_FRACTION);
   const accelerated = workers - plain;
@@ -90,12 +91,12 @@
   };
 }
 
-/** How often a team submits, beside the others. */
-const submissionWeight = (team: number): number => 1 / (1 + team * 0.03);
+/** Relative submission rate of the team with this index. */
+const submissionWeight = (teamIndex: number): number => 1 / (1 + teamIndex * 0.03);
 
 /**
- * Limits between a little more than a team asks for in the mean and several times that; guarantees half of
- * its even part.
+ * Draws the limits of teams: a CPU limit is 1.2 to 3 times the mean demand of its team. Each team is
+ * guaranteed half of an equal share of the capacity.
  */
 export function teamsFor(demand: Demand, seed: number): TeamLimits[] {
   const random = seededRandom(seed);
@@ -107,8 +108,8 @@
   return weights.map((weight, i) => {
     const name = `team-${String(i).padStart(2, '0')}`;
     if (i < UNLIMITED_TEAMS) return { name, cpus, cpus_max: 0, gpus, gpus_max: 0 };
-    const asksCpus = (demand.running * SWEEP.cpus * weight) / totalWeight;
-    const cpusMax = Math.max(64, cpus, Math.ceil(asksCpus * drawBetween(random, 1.2, 3)));
+    const meanDemandCpus = (demand.running * SWEEP.cpus * weight) / totalWeight;
+    const cpusMax = Math.max(64, cpus, Math.ceil(meanDemandCpus * drawBetween(random, 1.2, 3)));
     const gpusMax = Math.max(16, Math.round(capacity.gpus * drawBetween(random, 0.05, 0.2)));
     return { name, cpus, cpus_max: cpusMax, gpus, gpus_max: gpusMax };
   });
@@ -126,7 +127,7 @@
     this.totalWeight = teams.reduce((sum, _, i) => sum + submissionWeight(i), 0);
   }
 
-  /** Pairs of arrays a second. */
+  /** Mean number of pairs of arrays submitted each second. */
   get arrayPairsPerS(): number {
     return (this.demand.jobsPerS * (1 - GANG_FRACTION)) / 2;
   }
@@ -135,58 +136,67 @@
     return this.demand.jobsPerS * GANG_FRACTION;
   }
 
-  /** How long tasks of arrays run in the mean. */
+  /** Mean run time of the tasks of arrays. */
   get arrayRunS(): number {
     return SWEEP.runS;
   }
 
-  /** A pair of arrays that keeps its part of the tasks running. */
+  /**
+   * Draws a pair of arrays; at the rate `arrayPairsPerS` such pairs maintain the mean number of running
+   * tasks.
+   */
   drawArrays(): [onAccelerators: DrawnJob, plain: DrawnJob] {
     const meanTasks = this.demand.running / (this.arrayPairsPerS * SWEEP.runS);
     const runS = SWEEP.runS * drawBetween(this.random, 0.5, 1.5);
     return this.arraysOf(meanTasks * drawBetween(this.random, 0.3, 1.7), runS);
   }
 
-  /** So many tasks in two arrays, one of them on accelerators; the other is the larger one. */
+  /** Divides `tasks` between two arrays: a smaller one on accelerators and a larger one without. */
   arraysOf(tasks: number, runS: number): [onAccelerators: DrawnJob, plain: DrawnJob] {
-    const partOf = (part: number): number => Math.max(1, Math.round(tasks * part));
+    const tasksOf = (fraction: number): number => Math.max(1, Math.round(tasks * fraction));
     const infer = {
       ...this.baseRequest(this.drawTeam(), 'infer', INFER),
       gpus: 1,
-      tasks: partOf(INFER_FRACTION),
+      tasks: tasksOf(INFER_FRACTION),
+    };
+    const sweep = {
+      ...this.baseRequest(this.drawTeam(), 'sweep', SWEEP),
+      tasks: tasksOf(1 - INFER_FRACTION),
     };
-    const sweep = { ...this.baseRequest(this.drawTeam(), 'sweep', SWEEP), tasks: partOf(1 - INFER_FRACTION) };
     return [
       { request: infer, runS },
       { request: sweep, runS },
     ];
   }
 
-  /** A gang that its team's limits allow. */
+  /** Draws a gang that fits within the limits of its team. */
   drawGang(): DrawnJob {
     const team = this.drawTeam();
-    const drawn = this.drawGangSize();
+    const drawnTasks = this.drawGangSize();
     const capacity = capacityOf(this.demand.workers);
     const gpus = team.gpus_max > 0 ? team.gpus_max : capacity.gpus;
     const cpus = team.cpus_max > 0 ? team.cpus_max : capacity.cpus;
-    const tasks = Math.max(2, Math.min(drawn, Math.floor(gpus), Math.floor(cpus / GANG.cpus)));
+    const tasks = Math.max(2, Math.min(drawnTasks, Math.floor(gpus), Math.floor(cpus / GANG.cpus)));
     const request = { ...this.baseRequest(team, 'train', GANG), kind: 'gang' as const, gpus: 1, tasks };
     return { request, runS: GANG.runS * drawBetween(this.random, 0.5, 1.5) };
   }
 
-  /** An urgent job of one task. */
+  /** Draws an urgent job of one task. */
   drawUrgent(): DrawnJob {
     const request = this.baseRequest(this.drawTeam(), 'urgent', URGENT);
     return { request: { ...request, priority: 'urgent' }, runS: URGENT.runS };
   }
 
-  /** Waits for its team's limit, which a service uses up, for as long as the experiment lasts. */
+  /**
+   * Draws a job of the waiting team: a service uses its whole limit, so that arrays wait until the experiment
+   * ends.
+   */
   drawWaiting(kind: 'array' | 'service'): DrawnJob {
     const request = this.baseRequest(WAITING_TEAM, 'waiting', WAITING);
     return { request: { ...request, kind, tasks: kind === 'array' ? WAITING_TASKS : 1 }, runS: WAITING.runS };
   }
 
-  /** The `index`th array of a burst. */
+  /** Draws the array number `index` of a burst. */
   drawBurst(index: number, tasks: number): DrawnJob {
     const team = this.teams[index % UNLIMITED_TEAMS]!;
     return { request: { ...this.baseRequest(team, 'burst', BURST), tasks }, runS: BURST.runS };
@@ -194,18 +204,18 @@
 
   private drawGangSize(): number {
     const totalWeight = GANG_SIZES.reduce((sum, { weight }) => sum + weight, 0);
-    let rest = this.random.below(totalWeight);
+    let remainder = this.random.below(totalWeight);
     return GANG_SIZES.find(({ weight }) => {
-      rest -= weight;
-      return rest < 0;
+      remainder -= weight;
+      return remainder < 0;
     })!.tasks;
   }
 
   private drawTeam(): TeamLimits {
-    let rest = drawBetween(this.random, 0, this.totalWeight);
+    let remainder = drawBetween(this.random, 0, this.totalWeight);
     const found = this.teams.find((_, i) => {
-      rest -= submissionWeight(i);
-      return rest <= 0;
+      remainder -= submissionWeight(i);
+      return remainder <= 0;
     });
     return found ?? this.teams[0]!;
   }
