--- a/scripts/experiments/scale/host-tasks.ts
+++ b/scripts/experiments/scale/host-tasks.ts
@@ -1,5 +1,5 @@
-// The tasks on the simulated workers of one host: they run nothing, end when their time is over, and tell
-// when they are on a machine and when they are certainly gone from it.
+// The tasks on the simulated workers of one host process. They run no program and end after their run time;
+// events report when a task is on a machine and when it is certainly no longer there.
 import type { SimulationClock } from '../../../packages/local-cluster/src/clock.ts';
 import type { FakeWorker, RunningTask } from '../../../packages/local-cluster/src/fake-worker.ts';
 import type { ExitReason } from '../../../src/core/base/model.ts';
@@ -8,26 +8,26 @@
 
 const FLUSH_INTERVAL_MS = 100;
 
-/** A task that runs, or has ended. */
+/** A task that is running or has ended. */
 interface HostTask {
-  /** It is gone from its machine; false if it was before. */
-  leave(): boolean;
-  /** It ends by itself. */
+  /** Records that the task has left its machine; false if that was recorded before. */
+  recordLeft(): boolean;
+  /** Ends the task as if its program had exited. */
   exit(reason: ExitReason): void;
   onState(state: 'waiting' | 'running'): void;
 }
 
 /** A task of a gang on one of this host's machines. */
 interface GangMember {
-  begin(): void;
+  start(): void;
   exit(reason: ExitReason): void;
 }
 
-/** Runs tasks, and sends what happens to them to the parent process in batches. */
+/** Simulates tasks, and sends their events to the parent process in batches. */
 export class HostTasks {
   private readonly jobs = new Map<string, JobDescription>();
-  /** Members on this host, by job and attempt. */
-  private readonly gangs = new Map<string, Map<TaskId, GangMember>>();
+  /** Members on this host; the outer keys are made of the job and the attempt. */
+  private readonly gangMembers = new Map<string, Map<TaskId, GangMember>>();
   private events: TaskEvent[] = [];
 
   constructor(
@@ -37,24 +37,25 @@
     setInterval(() => this.flush(), FLUSH_INTERVAL_MS);
   }
 
-  /** Says what the tasks of jobs are like. */
-  describe(jobs: readonly JobDescription[]): void {
+  /** Stores the descriptions of jobs whose tasks may be launched here. */
+  addJobs(jobs: readonly JobDescription[]): void {
     for (const job of jobs) this.jobs.set(job.id, job);
   }
 
-  /** These jobs are over. */
-  forget(ids: readonly string[]): void {
+  /** Removes jobs that have ended. */
+  removeJobs(ids: readonly string[]): void {
     for (const id of ids) this.jobs.delete(id);
   }
 
-  /** A task is put on a machine. */
+  /** Records that a task was placed on a machine. */
   onPlaced(worker: FakeWorker, task: TaskId): void {
     this.events.push({ at: this.clock.now, kind: 'on', task, machine: worker.id });
-    // Nothing is launched for these: they end at once.
-    if (worker.faulty || worker.results.has(task)) this.onGone(worker, task);
+    // The worker does not launch the task, which ends at once: the worker is faulty or has completed it
+    // before.
+    if (worker.faulty || worker.results.has(task)) this.recordRemoval(worker, task);
   }
 
-  /** Runs a task on a machine, which begins in the state `running`. */
+  /** Launches a task on a machine; its first state is `running`. */
   launch(
     worker: FakeWorker,
     task: TaskId,
@@ -63,23 +64,23 @@
     onState: HostTask['onState'],
   ): RunningTask {
     const job = this.jobs.get(parseTaskId(task).job);
-    const hostTask = this.hostTask(worker, task, onExit, onState);
+    const hostTask = this.createHostTask(worker, task, onExit, onState);
     if (job === undefined) {
       this.clock.after(0, () => hostTask.exit('unknown'));
-      return { stop: () => {}, kill: () => void hostTask.leave() };
+      return { stop: () => {}, kill: () => void hostTask.recordLeft() };
     }
     if (job.kind === 'gang') return this.joinGang(job, task, attempt, hostTask);
     if (job.kind === 'array') this.clock.after(job.runMs, () => hostTask.exit('done'));
     return {
-      stop: (_graceS, onStopped) => hostTask.leave() && onStopped(false),
-      kill: () => void hostTask.leave(),
+      stop: (_graceS, onStopped) => hostTask.recordLeft() && onStopped(false),
+      kill: () => void hostTask.recordLeft(),
     };
   }
 
-  /** All members of a gang are there, on whatever hosts; or it has lost one after it began. */
-  onGang(key: string, what: 'start' | 'fail'): void {
-    for (const member of [...(this.gangs.get(key)?.values() ?? [])])
-      if (what === 'start') member.begin();
+  /** Starts the local members of a gang that is complete, or ends them after the gang has lost a member. */
+  onGangEvent(key: string, event: 'start' | 'fail'): void {
+    for (const member of [...(this.gangMembers.get(key)?.values() ?? [])])
+      if (event === 'start') member.start();
       else member.exit('peers');
   }
 
@@ -89,73 +90,77 @@
     this.events = [];
   }
 
-  /** A worker whose lease is over holds nothing from its end on, however late its timer fires. */
-  private onGone(worker: FakeWorker, task: TaskId): void {
+  /**
+   * Tasks count as removed from the moment when the lease of their worker expires, even if its timer fires
+   * later.
+   */
+  private recordRemoval(worker: FakeWorker, task: TaskId): void {
     const at = Math.min(this.clock.now, worker.leaseEndsAt);
     this.events.push({ at, kind: 'off', task, machine: worker.id });
   }
 
-  private hostTask(
+  private createHostTask(
     worker: FakeWorker,
     task: TaskId,
     onExit: (reason: ExitReason) => void,
     onState: HostTask['onState'],
   ): HostTask {
     let isOver = false;
-    const leave = (): boolean => {
+    const recordLeft = (): boolean => {
       if (isOver) return false;
       isOver = true;
-      this.onGone(worker, task);
+      this.recordRemoval(worker, task);
       return true;
     };
     const exit = (reason: ExitReason): void => {
       if (isOver) return;
       if (reason === 'done') this.events.push({ at: this.clock.now, kind: 'done', task });
-      leave();
+      recordLeft();
       onExit(reason);
     };
-    return { leave, exit, onState };
+    return { recordLeft, exit, onState };
   }
 
   /**
-   * The members of a gang may be on several hosts: the parent says when it begins, and when it has lost one.
+   * Members of a gang may be on several hosts, so the parent process decides when the gang starts and when it
+   * has lost a member.
    */
   private joinGang(job: JobDescription, task: TaskId, attempt: number, hostTask: HostTask): RunningTask {
     const key = `${job.id}@${attempt}`;
-    const members = this.gangs.get(key) ?? new Map<TaskId, GangMember>();
-    this.gangs.set(key, members);
-    let hasBegun = false;
-    const isWaiting = (): boolean => !hasBegun && members.has(task);
+    const members = this.gangMembers.get(key) ?? new Map<TaskId, GangMember>();
+    this.gangMembers.set(key, members);
+    let hasStarted = false;
+    const isWaiting = (): boolean => !hasStarted && members.has(task);
     const leave = (): void => this.leaveGang(key, members, task, job.tasks);
     const exit = (reason: ExitReason): void => {
       if (reason === 'done') members.delete(task);
       else leave();
       hostTask.exit(reason);
     };
-    const begin = (): void => {
-      hasBegun = true;
+    const start = (): void => {
+      hasStarted = true;
       hostTask.onState('running');
       this.clock.after(job.runMs, () => members.has(task) && exit('done'));
     };
-    members.set(task, { begin, exit });
+    members.set(task, { start, exit });
     this.clock.after(0, () => isWaiting() && hostTask.onState('waiting'));
     this.clock.after(this.gangWaitMs, () => isWaiting() && exit('alone'));
-    sendToParent<FromHost>({ kind: 'gang', key, task, tasks: job.tasks, what: 'joined' });
+    sendToParent<FromHost>({ kind: 'gang', key, task, tasks: job.tasks, event: 'joined' });
     return {
       stop: (_graceS, onStopped) => {
         leave();
-        if (hostTask.leave()) onStopped(false);
+        if (hostTask.recordLeft()) onStopped(false);
       },
       kill: () => {
         leave();
-        hostTask.leave();
+        hostTask.recordLeft();
       },
     };
   }
 
   private leaveGang(key: string, members: Map<TaskId, GangMember>, task: TaskId, tasks: number): void {
     if (!members.delete(task)) return;
-    if (members.size === 0) this.gangs.delete(key);
-    sendToParent<FromHost>({ kind: 'gang', key, task, tasks, what: 'left' });
+    if (members.size === 0) this.gangMembers.delete(key);
+    sendToParent<FromHost>({ kind: 'gang', key, task, tasks, event: 'left' });
   }
 }
--- a/scripts/experiments/scale/measure.ts
+++ b/scripts/experiments/scale/measure.ts
@@ -1,19 +1,19 @@
-// What each role of the scale experiment costs: processor time, memory, messages, bytes and sockets of its
-// processes, read from the kernel's own accounts once a second.
+// Measures the cost of each role of the scale experiment: processor time, memory, reads, writes, bytes and
+// sockets of its processes, read from /proc once a second.
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 import type { ServiceCounts } from '../../../packages/local-cluster/src/index.ts';
 import type { ScaleCluster } from './cluster.ts';
 import type { NodeStatus } from './controller-group.ts';
 
-/** Clock ticks a second in /proc. */
+/** Clock ticks per second in /proc. */
 const TICKS_PER_S = 100;
 const PAGE_BYTES = 4096;
-/** Sockets are counted at every so manyth reading. */
-const SOCKETS_INTERVAL = 10;
+/** Sockets are counted at every tenth sample only, as that reads one link for each open file. */
+const SOCKET_COUNT_INTERVAL_SAMPLES = 10;
 
-/** The accounts of a process at a moment. */
+/** Counters of a process at one moment. */
 interface Reading {
-  at: number;
+  atMs: number;
   cpuS: number;
   rssMb: number;
   reads: number;
@@ -22,7 +22,7 @@
   bytesOut: number;
 }
 
-/** The mean cost of a process of a role: per second, but for memory and sockets. */
+/** Mean cost of one process of a role: rates per second, and absolute values for memory and sockets. */
 export interface RoleFigures {
   core: number;
   rssMb: number;
@@ -34,16 +34,16 @@
   sockets: number;
 }
 
-/** What all roles cost in a measurement. */
+/** Cost of all roles in one measurement. */
 export interface Figures {
   seconds: number;
   /** The leader. */
   owner: RoleFigures;
-  /** Mean of the other controllers. */
+  /** The mean of the other controllers. */
   others: RoleFigures;
   /** The process with the key-value store and the cloud. */
   state: RoleFigures;
-  /** Of one worker: the hosts' processes divided by the workers in them. */
+  /** Per worker: the cost of the host processes divided by the number of workers in them. */
   worker: { core: number; mb: number; reportsPerS: number; bytesPerS: number; ioBytesPerS: number };
   stateRequestsPerS: number;
   stateChangesPerS: number;
@@ -53,11 +53,11 @@
   workers: number;
 }
 
-/** Reads the accounts of a process; null if it has ended. */
+/** Reads the counters of a process; null if it has ended. */
 function readProcess(pid: number): Reading | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
-    // What follows the name of the program: proc(5) counts its fields from 3.
+    // The fields after the name of the program; the first of them is field 3 in proc(5).
     const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
     const io = new Map(
       readFileSync(`/proc/${pid}/io`, 'utf8')
@@ -66,7 +66,7 @@
         .map(([name, value]) => [name, Number(value)] as const),
     );
     return {
-      at: performance.now(),
+      atMs: performance.now(),
       cpuS: (Number(fields[11]) + Number(fields[12])) / TICKS_PER_S,
       rssMb: (Number(fields[21]) * PAGE_BYTES) / 1e6,
       reads: io.get('syscr') ?? 0,
@@ -79,7 +79,7 @@
   }
 }
 
-function socketsOf(pid: number): number {
+function countSockets(pid: number): number {
   try {
     const dir = `/proc/${pid}/fd`;
     return readdirSync(dir).filter((fd) => {
@@ -94,7 +94,7 @@
   }
 }
 
-const noFigures = (): RoleFigures => ({
+const zeroFigures = (): RoleFigures => ({
   core: 0,
   rssMb: 0,
   heapMb: 0,
@@ -105,48 +105,48 @@
   sockets: 0,
 });
 
-/** Sums up what processes of one role cost from one reading to the next. */
-class Role {
-  private readonly sum = noFigures();
-  private readings = 0;
+/** Sums the cost of the processes of one role between consecutive readings. */
+class RoleTotals {
+  private readonly sum = zeroFigures();
+  private readingCount = 0;
   private heapReadings = 0;
   private socketReadings = 0;
-  private readonly last = new Map<number, Reading>();
+  private readonly lastReadings = new Map<number, Reading>();
 
-  /** Reads a process that has the role at this moment. */
+  /** Reads a process that currently has the role. */
   add(pid: number, withSockets: boolean, heapMb: number | null): void {
-    const now = readProcess(pid);
-    if (now === null) return;
-    const before = this.last.get(pid);
-    this.last.set(pid, now);
-    if (before === undefined) return;
-    const seconds = (now.at - before.at) / 1000;
-    this.readings++;
-    this.sum.core += (now.cpuS - before.cpuS) / seconds;
-    this.sum.rssMb += now.rssMb;
-    this.sum.reads += (now.reads - before.reads) / seconds;
-    this.sum.writes += (now.writes - before.writes) / seconds;
-    this.sum.bytesIn += (now.bytesIn - before.bytesIn) / seconds;
-    this.sum.bytesOut += (now.bytesOut - before.bytesOut) / seconds;
+    const current = readProcess(pid);
+    if (current === null) return;
+    const previous = this.lastReadings.get(pid);
+    this.lastReadings.set(pid, current);
+    if (previous === undefined) return;
+    const seconds = (current.atMs - previous.atMs) / 1000;
+    this.readingCount++;
+    this.sum.core += (current.cpuS - previous.cpuS) / seconds;
+    this.sum.rssMb += current.rssMb;
+    this.sum.reads += (current.reads - previous.reads) / seconds;
+    this.sum.writes += (current.writes - previous.writes) / seconds;
+    this.sum.bytesIn += (current.bytesIn - previous.bytesIn) / seconds;
+    this.sum.bytesOut += (current.bytesOut - previous.bytesOut) / seconds;
     if (heapMb !== null) {
       this.sum.heapMb += heapMb;
       this.heapReadings++;
     }
     if (withSockets) {
-      this.sum.sockets += socketsOf(pid);
+      this.sum.sockets += countSockets(pid);
       this.socketReadings++;
     }
   }
 
-  /** The process has another role from now on: what it cost meanwhile counts for neither. */
-  forget(pid: number): void {
-    this.last.delete(pid);
+  /** Called when the process changes its role: its cost since the last reading counts for neither role. */
+  dropLastReading(pid: number): void {
+    this.lastReadings.delete(pid);
   }
 
   /** The mean of all readings. */
   mean(): RoleFigures {
-    const mean = noFigures();
-    const readings = Math.max(1, this.readings);
+    const mean = zeroFigures();
+    const readings = Math.max(1, this.readingCount);
     for (const figure of Object.keys(mean) as (keyof RoleFigures)[])
       mean[figure] = this.sum[figure] / readings;
     mean.heapMb = this.sum.heapMb / Math.max(1, this.heapReadings);
@@ -155,7 +155,7 @@
   }
 }
 
-/** Heartbeats that workers have sent, and their bytes. */
+/** Number of heartbeats that workers have sent, and bytes of heartbeats and responses. */
 interface HeartbeatCounts {
   sent: number;
   bytes: number;
@@ -163,45 +163,45 @@
 
 /** Measures the processes of a cluster by role. */
 export class Meter {
-  private leader = new Role();
-  private others = new Role();
-  private state = new Role();
-  private hosts = new Role();
-  private began = performance.now();
-  private readings = 0;
-  private workers = 0;
-  private services: ServiceCounts | null = null;
-  private heartbeats: HeartbeatCounts | null = null;
-  /** The process of the last leader. */
-  private lastLeader: number | null = null;
+  private leaderTotals = new RoleTotals();
+  private othersTotals = new RoleTotals();
+  private servicesTotals = new RoleTotals();
+  private hostsTotals = new RoleTotals();
+  private startedAt = performance.now();
+  private sampleCount = 0;
+  private workerSum = 0;
+  private servicesAtStart: ServiceCounts | null = null;
+  private heartbeatsAtStart: HeartbeatCounts | null = null;
+  /** The process id of the last known leader. */
+  private lastLeaderPid: number | null = null;
 
   constructor(private readonly cluster: ScaleCluster) {}
 
-  /** Forgets what was measured so far. */
-  begin(): void {
-    this.leader = new Role();
-    this.others = new Role();
-    this.state = new Role();
-    this.hosts = new Role();
-    this.began = performance.now();
-    this.readings = 0;
-    this.workers = 0;
-    this.services = this.cluster.serviceCounts;
-    this.heartbeats = this.heartbeatCounts();
+  /** Discards all measurements and starts a new one. */
+  reset(): void {
+    this.leaderTotals = new RoleTotals();
+    this.othersTotals = new RoleTotals();
+    this.servicesTotals = new RoleTotals();
+    this.hostsTotals = new RoleTotals();
+    this.startedAt = performance.now();
+    this.sampleCount = 0;
+    this.workerSum = 0;
+    this.servicesAtStart = this.cluster.serviceCounts;
+    this.heartbeatsAtStart = this.heartbeatCounts();
   }
 
   private heartbeatCounts(): HeartbeatCounts {
     const all = this.cluster.hosts.map((host) => host.counts);
     return {
-      sent: all.reduce((sum, counts) => sum + counts.reports, 0),
+      sent: all.reduce((sum, counts) => sum + counts.heartbeats, 0),
       bytes: all.reduce((sum, counts) => sum + counts.bytes, 0),
     };
   }
 
-  /** To be called once a second. `statuses`: of the controllers, in their order. */
+  /** Takes a sample; called once a second with the statuses of all controllers, in the order of the group. */
   sample(statuses: readonly (NodeStatus | null)[]): void {
     const { cluster } = this;
-    const withSockets = this.readings++ % SOCKETS_INTERVAL === 0;
+    const withSockets = this.sampleCount++ % SOCKET_COUNT_INTERVAL_SAMPLES === 0;
     const leader = statuses.find((status) => status !== null)?.owner ?? null;
     cluster.controllers.all.forEach((controller, i) => {
       const pid = controller.process?.pid;
@@ -209,25 +209,25 @@
       const role = this.roleOf(pid, controller.name === leader);
       role.add(pid, withSockets, statuses[i]?.process?.heapMb ?? null);
     });
-    if (cluster.services?.pid !== undefined) this.state.add(cluster.services.pid, withSockets, null);
+    if (cluster.services?.pid !== undefined) this.servicesTotals.add(cluster.services.pid, withSockets, null);
     for (const { process: child } of cluster.hosts)
-      if (child.pid !== undefined) this.hosts.add(child.pid, false, null);
-    this.workers += cluster.up.length;
-    cluster.askCounts();
+      if (child.pid !== undefined) this.hostsTotals.add(child.pid, false, null);
+    this.workerSum += cluster.upMachines.length;
+    cluster.requestCounts();
   }
 
-  /** What all roles have cost since it began. */
+  /** Cost of all roles since the last reset. */
   figures(): Figures {
-    const seconds = (performance.now() - this.began) / 1000;
-    const workers = this.workers / Math.max(1, this.readings);
+    const seconds = (performance.now() - this.startedAt) / 1000;
+    const workers = this.workerSum / Math.max(1, this.sampleCount);
     const { serviceCounts } = this.cluster;
     const perS = (count: keyof ServiceCounts): number =>
-      ((serviceCounts?.[count] ?? 0) - (this.services?.[count] ?? 0)) / seconds;
+      ((serviceCounts?.[count] ?? 0) - (this.servicesAtStart?.[count] ?? 0)) / seconds;
     return {
       seconds,
-      owner: this.leader.mean(),
-      others: this.others.mean(),
-      state: this.state.mean(),
+      owner: this.leaderTotals.mean(),
+      others: this.othersTotals.mean(),
+      state: this.servicesTotals.mean(),
       worker: this.workerFigures(workers, seconds),
       stateRequestsPerS: perS('stateRequests'),
       stateChangesPerS: perS('stateChanges'),
@@ -238,26 +238,27 @@
     };
   }
 
-  private roleOf(pid: number, isLeader: boolean): Role {
-    if (!isLeader) return this.others;
-    if (this.lastLeader !== pid) {
-      this.others.forget(pid);
-      this.lastLeader = pid;
+  private roleOf(pid: number, isLeader: boolean): RoleTotals {
+    if (!isLeader) return this.othersTotals;
+    if (this.lastLeaderPid !== pid) {
+      this.othersTotals.dropLastReading(pid);
+      this.lastLeaderPid = pid;
     }
-    return this.leader;
+    return this.leaderTotals;
   }
 
   private workerFigures(workers: number, seconds: number): Figures['worker'] {
-    const host = this.hosts.mean();
+    const host = this.hostsTotals.mean();
     const heartbeats = this.heartbeatCounts();
-    const each = (perHost: number): number => (perHost * this.cluster.hosts.length) / Math.max(1, workers);
+    const perWorker = (perHost: number): number =>
+      (perHost * this.cluster.hosts.length) / Math.max(1, workers);
     const perS = (total: number): number => total / seconds / Math.max(1, workers);
     return {
-      core: each(host.core),
-      mb: each(host.rssMb),
-      reportsPerS: perS(heartbeats.sent - (this.heartbeats?.sent ?? 0)),
-      bytesPerS: perS(heartbeats.bytes - (this.heartbeats?.bytes ?? 0)),
-      ioBytesPerS: each(host.bytesIn + host.bytesOut),
+      core: perWorker(host.core),
+      mb: perWorker(host.rssMb),
+      reportsPerS: perS(heartbeats.sent - (this.heartbeatsAtStart?.sent ?? 0)),
+      bytesPerS: perS(heartbeats.bytes - (this.heartbeatsAtStart?.bytes ?? 0)),
+      ioBytesPerS: perWorker(host.bytesIn + host.bytesOut),
     };
   }
 }
--- a/scripts/experiments/scale/observation-queue.ts
+++ b/scripts/experiments/scale/observation-queue.ts
@@ -1,29 +1,33 @@
-// What users and workers have seen, put in the order of its times and given to the rule checker: hosts of simulated
-// workers tell it in batches.
+// Sorts the observations of users and workers by time and passes them to the rule checker; host processes
+// send theirs in batches, so that they arrive out of order.
 import type { UserRequest, UserResponse } from '../../../src/core/base/model.ts';
 import type { Place, RuleChecker } from '../../../test/support/rule-checker.ts';
 import type { TaskEvent } from './messages.ts';
 import type { TrackedPlacements } from './placements.ts';
 
-/** Batches of different processes, and news of changes in force, come this much apart at the most. */
+/** Longest delay until observations of other processes, or the news that a change is in force, arrive. */
 const SETTLE_MS = 1200;
-const LOOK_INTERVAL_MS = 1000;
+const TIMED_CHECK_INTERVAL_MS = 1000;
 
-/** What users, workers and the experiment itself have seen, by when it happened. */
+/**
+ * Something that users, workers or the experiment itself have observed, and when. `asked`: a user has sent a
+ * request. `told`: it has received the response to the request that it sent at `sentAt`. `over`: there are no
+ * faults from this moment on.
+ */
 type Observation =
   | TaskEvent
   | { at: number; kind: 'asked'; request: UserRequest }
   | { at: number; kind: 'told'; sentAt: number; request: UserRequest; answer: UserResponse }
   | { at: number; kind: 'over' };
 
-/** Gives what users and workers saw to the rule checker, in the order in which it happened. */
+/** Passes observations to the rule checker in the order of their times. */
 export class ObservationQueue {
   private pending: Observation[] = [];
-  private lastLookAt = 0;
-  /** Starts a second, by the second in which they fell. */
-  readonly starts = new Map<number, number>();
-  /** Is told of tasks that are put on machines. */
-  onStart: (task: string, at: number) => void = () => {};
+  private lastTimedCheckAt = 0;
+  /** Number of task starts in each second of wall time. */
+  readonly startsBySecond = new Map<number, number>();
+  /** Called when a task is placed on a machine. */
+  onTaskStart: (task: string, at: number) => void = () => {};
 
   constructor(
     private readonly rules: RuleChecker,
@@ -31,12 +35,12 @@
     private readonly machineOf: (id: string) => Place | undefined,
   ) {}
 
-  /** Takes what was seen, in any order. */
+  /** Adds observations, in any order. */
   add(observations: readonly Observation[]): void {
     for (const observation of observations) this.pending.push(observation);
   }
 
-  /** Checks all that no later batch can precede. */
+  /** Checks all observations that are so old that no later batch can contain an earlier one. */
   advance(now: number): void {
     const until = now - SETTLE_MS;
     this.pending.sort((a, b) => a.at - b.at);
@@ -44,13 +48,13 @@
     while (settled < this.pending.length && this.pending[settled]!.at <= until)
       this.check(this.pending[settled++]!);
     this.pending = this.pending.slice(settled);
-    if (until < this.lastLookAt + LOOK_INTERVAL_MS) return;
-    this.lastLookAt = until;
+    if (until < this.lastTimedCheckAt + TIMED_CHECK_INTERVAL_MS) return;
+    this.lastTimedCheckAt = until;
     this.rules.look(until);
   }
 
-  /** Tasks on machines. */
-  get running(): number {
+  /** Number of tasks on machines. */
+  get runningTasks(): number {
     return this.placements.size;
   }
 
@@ -58,7 +62,7 @@
     const { at } = observation;
     switch (observation.kind) {
       case 'on':
-        return this.onTask(at, observation.task, observation.machine);
+        return this.onTaskPlaced(at, observation.task, observation.machine);
       case 'off':
         return this.placements.remove(observation.task, observation.machine);
       case 'done':
@@ -72,12 +76,12 @@
     }
   }
 
-  private onTask(at: number, task: string, machineId: string): void {
+  private onTaskPlaced(at: number, task: string, machineId: string): void {
     const machine = this.machineOf(machineId);
     const second = Math.floor(at / 1000);
-    this.starts.set(second, (this.starts.get(second) ?? 0) + 1);
+    this.startsBySecond.set(second, (this.startsBySecond.get(second) ?? 0) + 1);
     if (machine !== undefined) this.rules.placing(at, task, machine);
     this.placements.add(task, machineId);
-    this.onStart(task, at);
+    this.onTaskStart(task, at);
   }
 }
--- a/scripts/experiments/scale/users.ts
+++ b/scripts/experiments/scale/users.ts
@@ -1,4 +1,4 @@
-// The users of the scale experiment: they submit jobs over time, ask about them, and note what they are told.
+// The simulated users of the scale experiment: they submit jobs, poll their status, and record all responses.
 import { build as histogram } from 'hdr-histogram-js';
 import { bodyOf } from '../../../packages/client/src/request.ts';
 import type { JobSpec, UserRequest, UserResponse } from '../../../src/core/base/model.ts';
@@ -17,32 +17,32 @@
 import { wallClock } from './time.ts';
 import { type Demand, type DrawnJob, drawBetween, JobGenerator, type TeamLimits } from './workload.ts';
 
-/** At first so many pairs of arrays are submitted, one after the other. */
-const FIRST_PAIRS = 40;
-const FIRST_PAIR_INTERVAL_MS = 150;
-const FIRST_RUN_S = 10;
-/** Arrays a second in a burst. */
-const BURST_ARRAYS = 2;
-const CANCELLED_PART = 0.03;
+/** The initial load: this many pairs of arrays are submitted one after the other. */
+const INITIAL_PAIRS = 40;
+const INITIAL_PAIR_INTERVAL_MS = 150;
+const INITIAL_MIN_RUN_S = 10;
+const BURST_ARRAYS_PER_S = 2;
+/** Fraction of the larger arrays that are cancelled. */
+const CANCELLED_FRACTION = 0.03;
 
 const POLL_INTERVAL_MS = 5000;
 const RETRY_DELAY_MS = 1000;
 const STATUS_TIMEOUT_MS = 2000;
-const CHANGE_TIMEOUT_MS = 5000;
-/** Users give up on a submission after this. */
-const PATIENCE_MS = 60_000;
+const SUBMIT_OR_CANCEL_TIMEOUT_MS = 5000;
+/** Users give up on a submission that is not answered within this time. */
+const SUBMISSION_TIMEOUT_MS = 60_000;
 
 /** A job as its user sees it. */
 interface UserJob {
   spec: JobSpec;
   body: string;
   submittedAt: number;
-  accepted: boolean;
-  /** It is done, cancelled, refused, or its user has given up. */
-  over: boolean;
+  isAccepted: boolean;
+  /** The job is done, cancelled or refused, or its user has given up. */
+  isOver: boolean;
 }
 
-/** What users have done and were told. */
+/** Counts of requests and of their results. */
 export interface UserFigures {
   submitted: number;
   accepted: number;
@@ -66,10 +66,10 @@
     requests: 0,
     unanswered: 0,
   };
-  /** From the submission of an urgent job to the start of its task, in milliseconds. */
-  readonly urgent = histogram({ numberOfSignificantValueDigits: 3 });
+  /** Delays from the submission of an urgent job to the start of its task, in milliseconds. */
+  readonly urgentDelaysMs = histogram({ numberOfSignificantValueDigits: 3 });
   private readonly jobs = new Map<string, UserJob>();
-  private readonly startedUrgent = new Set<string>();
+  private readonly startedUrgentTasks = new Set<string>();
   private readonly random: ReturnType<typeof seededRandom>;
   private readonly generator: JobGenerator;
   private readonly timers = new Set<NodeJS.Timeout>();
@@ -85,47 +85,49 @@
   ) {
     this.random = seededRandom(seed);
     this.generator = new JobGenerator(demand, teams, this.random);
-    observations.onStart = (task, at) => this.onTaskStart(task, at);
+    observations.onTaskStart = (task, at) => this.onTaskStart(task, at);
   }
 
-  /** What is known of a job that was submitted. */
+  /** The spec of a submitted job; undefined if the job is unknown. */
   specOf(job: string): JobSpec | undefined {
     return this.jobs.get(job)?.spec;
   }
 
-  /** Jobs that were accepted and are not over. */
-  get open(): number {
-    let open = 0;
-    for (const job of this.jobs.values()) if (job.accepted && !job.over) open++;
-    return open;
+  /** Number of jobs that were accepted and are not over. */
+  get openJobs(): number {
+    let count = 0;
+    for (const job of this.jobs.values()) if (job.isAccepted && !job.isOver) count++;
+    return count;
   }
 
-  /** Submits jobs from now on. */
-  begin(): void {
+  /** Starts to submit jobs. */
+  start(): void {
     const { demand, generator } = this;
-    this.fill();
-    this.repeat(generator.arrayPairsPerS, () => this.submitArrays());
-    this.repeat(generator.gangsPerS, () => this.submit(generator.drawGang()));
-    this.repeat(demand.urgentPerS, () => this.submit(generator.drawUrgent()));
+    this.submitInitialLoad();
+    this.repeatAtRate(generator.arrayPairsPerS, () => this.submitArrays());
+    this.repeatAtRate(generator.gangsPerS, () => this.submit(generator.drawGang()));
+    this.repeatAtRate(demand.urgentPerS, () => this.submit(generator.drawUrgent()));
     if (demand.waitingJobs > 0) this.submit(generator.drawWaiting('service'));
     for (let i = 0; i < demand.waitingJobs; i++)
-      this.after(drawBetween(this.random, 5000, 30_000), () => this.submit(generator.drawWaiting('array')));
+      this.schedule(drawBetween(this.random, 5000, 30_000), () =>
+        this.submit(generator.drawWaiting('array')),
+      );
   }
 
-  /** So many starts a second of short tasks, for so long. */
+  /** Submits short tasks at a rate of `startsPerS` for `seconds`. */
   burst(startsPerS: number, seconds: number): void {
-    const tasks = Math.round(startsPerS / BURST_ARRAYS);
-    for (let i = 0; i < seconds * BURST_ARRAYS; i++)
-      this.after((i * 1000) / BURST_ARRAYS, () => this.submit(this.generator.drawBurst(i, tasks)));
+    const tasks = Math.round(startsPerS / BURST_ARRAYS_PER_S);
+    for (let i = 0; i < seconds * BURST_ARRAYS_PER_S; i++)
+      this.schedule((i * 1000) / BURST_ARRAYS_PER_S, () => this.submit(this.generator.drawBurst(i, tasks)));
   }
 
-  /** Does nothing from now on. */
+  /** Stops all requests. */
   stop(): void {
     this.isStopped = true;
     for (const timer of this.timers) clearTimeout(timer);
   }
 
-  private after(ms: number, run: () => void): void {
+  private schedule(ms: number, run: () => void): void {
     const timer = setTimeout(() => {
       this.timers.delete(timer);
       if (!this.isStopped) run();
@@ -133,120 +135,124 @@
     this.timers.add(timer);
   }
 
-  /** Calls again and again, so many times a second in the mean. */
-  private repeat(perS: number, run: () => void): void {
+  /** Calls `run` repeatedly, at a mean rate of `perS` calls a second. */
+  private repeatAtRate(perS: number, run: () => void): void {
     if (perS <= 0) return;
     const next = (): void => {
       run();
-      this.after((1000 / perS) * drawBetween(this.random, 0.5, 1.5), next);
+      this.schedule((1000 / perS) * drawBetween(this.random, 0.5, 1.5), next);
     };
-    this.after((1000 / perS) * drawBetween(this.random, 0, 1), next);
+    this.schedule((1000 / perS) * drawBetween(this.random, 0, 1), next);
   }
 
   // ---- submissions
 
-  /** As much as runs in the mean, with ends spread over the time that a task runs. */
-  private fill(): void {
-    const tasks = this.demand.running / FIRST_PAIRS;
-    for (let i = 0; i < FIRST_PAIRS; i++)
-      this.after(i * FIRST_PAIR_INTERVAL_MS, () => {
-        const runS = (this.generator.arrayRunS * (i + 1)) / FIRST_PAIRS + FIRST_RUN_S;
+  /** Submits as many tasks as run in the mean, with end times spread over the run time of a task. */
+  private submitInitialLoad(): void {
+    const tasks = this.demand.running / INITIAL_PAIRS;
+    for (let i = 0; i < INITIAL_PAIRS; i++)
+      this.schedule(i * INITIAL_PAIR_INTERVAL_MS, () => {
+        const runS = (this.generator.arrayRunS * (i + 1)) / INITIAL_PAIRS + INITIAL_MIN_RUN_S;
         for (const drawn of this.generator.arraysOf(tasks, runS)) this.submit(drawn);
       });
   }
 
-  /** A pair of arrays; the larger one may be cancelled. */
+  /** Submits a pair of arrays; the larger one may be cancelled. */
   private submitArrays(): void {
     const [onAccelerators, plain] = this.generator.drawArrays();
     this.submit(onAccelerators);
     const job = this.submit(plain);
-    if (this.random.below(1000) < CANCELLED_PART * 1000)
-      this.after(drawBetween(this.random, 5000, 60_000), () => this.cancel(job));
+    if (this.random.below(1000) < CANCELLED_FRACTION * 1000)
+      this.schedule(drawBetween(this.random, 5000, 60_000), () => this.cancel(job));
   }
 
   private submit({ request, runS }: DrawnJob): UserJob {
     const id = `run-${String(++this.figures.submitted).padStart(6, '0')}`;
     const body = bodyOf(id, request);
     const spec = parseJob(JSON.parse(body));
-    const job: UserJob = { spec, body, submittedAt: wallClock(), accepted: false, over: false };
+    const job: UserJob = { spec, body, submittedAt: wallClock(), isAccepted: false, isOver: false };
     this.jobs.set(id, job);
     const { kind, tasks, cpus, gpus, memoryGb } = spec;
-    this.cluster.describe([{ id, kind, tasks, cpus, gpus, memoryGb, runMs: runS * 1000 }]);
-    this.insist(job, { op: 'submit', spec });
+    this.cluster.addJobs([{ id, kind, tasks, cpus, gpus, memoryGb, runMs: runS * 1000 }]);
+    this.sendUntilAnswered(job, { op: 'submit', spec });
     return job;
   }
 
   private cancel(job: UserJob): void {
-    if (!job.over) this.insist(job, { op: 'cancel', id: job.spec.id });
+    if (!job.isOver) this.sendUntilAnswered(job, { op: 'cancel', id: job.spec.id });
   }
 
   // ---- requests and responses
 
-  /** Sends a request once; `onResponse` gets null if there was no response that says anything. */
-  private ask(job: UserJob, request: UserRequest, onResponse: (response: UserResponse | null) => void): void {
+  /** Sends a request once; `onResponse` receives null without a valid response. */
+  private sendRequest(
+    job: UserJob,
+    request: UserRequest,
+    onResponse: (response: UserResponse | null) => void,
+  ): void {
     const sentAt = wallClock();
     const nodes = this.cluster.controllers.all;
     const node = nodes[this.nextNode++ % nodes.length]!;
-    const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : CHANGE_TIMEOUT_MS;
+    const timeoutMs = request.op === 'status' ? STATUS_TIMEOUT_MS : SUBMIT_OR_CANCEL_TIMEOUT_MS;
     this.figures.requests++;
     this.observations.add([{ at: sentAt, kind: 'asked', request }]);
     node.client.call({ ...callOf(job, request), timeoutMs }, (reply) => {
       if (this.isStopped) return;
       const body = reply?.body.toString('utf8') ?? '';
-      const response = reply === null ? null : responseOf(job.spec.id, request, reply.status, body);
+      const response = reply === null ? null : decodeResponse(job.spec.id, request, reply.status, body);
       if (response === null) this.figures.unanswered++;
       else this.observations.add([{ at: wallClock(), kind: 'told', sentAt, request, answer: response }]);
       onResponse(response);
     });
   }
 
-  /** Repeated until it is answered; a submission as long as its user would wait. */
-  private insist(job: UserJob, request: UserRequest): void {
-    this.ask(job, request, (response) => {
+  /** Repeats a request until it is answered; a submission is repeated until its time-out only. */
+  private sendUntilAnswered(job: UserJob, request: UserRequest): void {
+    this.sendRequest(job, request, (response) => {
       if (response !== null && response.kind !== 'retry') return this.onResponse(job, request, response);
-      if (request.op === 'cancel' || wallClock() - job.submittedAt < PATIENCE_MS)
-        return this.after(RETRY_DELAY_MS, () => this.insist(job, request));
+      if (request.op === 'cancel' || wallClock() - job.submittedAt < SUBMISSION_TIMEOUT_MS)
+        return this.schedule(RETRY_DELAY_MS, () => this.sendUntilAnswered(job, request));
       this.figures.gaveUp++;
-      job.over = true;
+      job.isOver = true;
     });
   }
 
   private onResponse(job: UserJob, request: UserRequest, response: UserResponse): void {
     if (response.kind === 'impossible' || response.kind === 'too-large' || response.kind === 'not-found') {
       this.figures.refused++;
-      job.over = true;
+      job.isOver = true;
       return;
     }
-    if (request.op === 'submit' && !job.accepted) {
-      job.accepted = true;
+    if (request.op === 'submit' && !job.isAccepted) {
+      job.isAccepted = true;
       this.figures.accepted++;
-      this.after(drawBetween(this.random, 0, POLL_INTERVAL_MS), () => this.poll(job));
+      this.schedule(drawBetween(this.random, 0, POLL_INTERVAL_MS), () => this.poll(job));
     }
     if ('status' in response && (response.status === 'done' || response.status === 'cancelled'))
-      this.close(job, response.status);
+      this.recordEnd(job, response.status);
   }
 
-  private close(job: UserJob, status: 'done' | 'cancelled'): void {
-    if (job.over) return;
-    job.over = true;
+  private recordEnd(job: UserJob, status: 'done' | 'cancelled'): void {
+    if (job.isOver) return;
+    job.isOver = true;
     this.figures[status]++;
-    this.cluster.forget([job.spec.id]);
+    this.cluster.removeJobs([job.spec.id]);
   }
 
   private poll(job: UserJob): void {
-    if (job.over) return;
+    if (job.isOver) return;
     const request: UserRequest = { op: 'status', id: job.spec.id };
-    this.ask(job, request, (response) => {
+    this.sendRequest(job, request, (response) => {
       if (response !== null && response.kind !== 'retry') this.onResponse(job, request, response);
-      this.after(POLL_INTERVAL_MS, () => this.poll(job));
+      this.schedule(POLL_INTERVAL_MS, () => this.poll(job));
     });
   }
 
   private onTaskStart(task: string, at: number): void {
     const job = this.jobs.get(parseTaskId(task as TaskId).job);
-    if (job?.spec.class !== 'urgent' || this.startedUrgent.has(task)) return;
-    this.startedUrgent.add(task);
-    this.urgent.recordValue(Math.max(1, Math.round(at - job.submittedAt)));
+    if (job?.spec.class !== 'urgent' || this.startedUrgentTasks.has(task)) return;
+    this.startedUrgentTasks.add(task);
+    this.urgentDelaysMs.recordValue(Math.max(1, Math.round(at - job.submittedAt)));
   }
 }
 
@@ -261,8 +267,8 @@
   }
 }
 
-/** Null: a response that says nothing, which a user takes as none. */
-function responseOf(id: JobId, request: UserRequest, status: number, body: string): UserResponse | null {
+/** Decodes a response; null if it is invalid, which a user treats as no response. */
+function decodeResponse(id: JobId, request: UserRequest, status: number, body: string): UserResponse | null {
   if (status === 404) return { kind: 'not-found' };
   if (status === 400) return { kind: 'too-large', reason: body };
   if (status === 422) return { kind: 'impossible', reason: body };
