--- a/packages/client/src/request.ts
+++ b/packages/client/src/request.ts
@@ -2,10 +2,10 @@
 // rejected here, before anything is sent.
 import { randomUUID } from 'node:crypto';
 import type { JobSpec } from '../../../src/core/base/model.ts';
-import { isJobId, PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
+import { isJobId, JOB_PRIORITIES, parseJob } from '../../../src/protocol/job.ts';
 import { InvalidMessageError } from '../../../src/protocol/json-fields.ts';
-import { encodeJob, withOurFieldName } from '../../../src/protocol/user.ts';
-import type { JobId, TeamName, TypeName, ZoneName } from '../../../src/types/index.ts';
+import { encodeJob, withClientFieldName } from '../../../src/protocol/user.ts';
+import type { JobId, MachineTypeName, TeamName, ZoneName } from '../../../src/types/index.ts';
 import { InvalidRequestError, type JobRequest } from './types.ts';
 
 /** All field names of a request. The type makes the compiler check that the list matches `JobRequest`. */
@@ -44,7 +44,7 @@
     parseJob(JSON.parse(body));
   } catch (error) {
     if (!(error instanceof InvalidMessageError)) throw error;
-    throw new InvalidRequestError(withOurFieldName(error.message), { cause: error });
+    throw new InvalidRequestError(withClientFieldName(error.message), { cause: error });
   }
   return body;
 }
@@ -54,8 +54,8 @@
   if (unknownField !== undefined) throw new InvalidRequestError(`${unknownField}: there is no such field`);
   if (!isJobId(id)) throw new InvalidRequestError(`${id}: a job id looks like run-000412`);
   const { priority } = request;
-  if (priority !== undefined && !Object.hasOwn(PRIORITIES, priority))
-    throw new InvalidRequestError(`priority must be one of ${Object.keys(PRIORITIES).join(', ')}`);
+  if (priority !== undefined && !Object.hasOwn(JOB_PRIORITIES, priority))
+    throw new InvalidRequestError(`priority must be one of ${Object.keys(JOB_PRIORITIES).join(', ')}`);
 }
 
 function specOf(id: JobId, request: JobRequest): JobSpec {
@@ -65,14 +65,14 @@
     class: request.class,
     team: request.team as TeamName,
     kind: request.kind ?? 'array',
-    priority: PRIORITIES[request.priority ?? 'normal']!,
+    priority: JOB_PRIORITIES[request.priority ?? 'normal']!,
     tasks: request.tasks ?? 1,
     cpus: request.cpus,
     gpus: request.gpus ?? 0,
     memoryGb: request.memoryGb,
     image: request.image,
     imageGb: request.imageGb,
-    machineTypes: (request.types ?? null) as TypeName[] | null,
+    machineTypes: (request.types ?? null) as MachineTypeName[] | null,
     zone: (request.zone ?? null) as ZoneName | null,
     oneZone: request.oneZone ?? false,
     spread: request.spread ?? false,
--- a/packages/local-cluster/src/cluster-storage.ts
+++ b/packages/local-cluster/src/cluster-storage.ts
@@ -82,7 +82,7 @@
 
   private recordChange(change: StoreChange): void {
     if ('lease' in change) return this.put(LEASE_KEY_PREFIX + change.lease, change.ttlMs);
-    this.put(STORE_KEY_PREFIX + change.key, change.kept === null ? null : { ...change.kept });
+    this.put(STORE_KEY_PREFIX + change.key, change.entry === null ? null : { ...change.entry });
     this.put(STORE_REVISION_KEY, change.revision);
   }
 
--- a/packages/local-cluster/src/fake-cloud.ts
+++ b/packages/local-cluster/src/fake-cloud.ts
@@ -1,12 +1,12 @@
 // A stand-in for the cloud: idempotent rentals by request name, limited capacity, boot times and stale
 // machine lists.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../../../src/core/base/model.ts';
-import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../../../src/types/index.ts';
 import type { SimulationClock } from './clock.ts';
 
 /** A rented machine. */
 export interface CloudMachine {
-  readonly type: TypeName;
+  readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
   /** Its entry in the cloud's list of machines. */
@@ -14,7 +14,7 @@
   /** Called when the machine has booted. */
   boot(): void;
   /** Called when the machine is terminated. */
-  die(): void;
+  terminate(): void;
 }
 
 /** The environment of the cloud: a clock, and the machines. */
@@ -22,7 +22,7 @@
   /** Currently rented machines, by id. */
   readonly workers: Map<string, CloudMachine>;
   /** Creates a machine that has not booted, and adds it to `workers`. */
-  machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): CloudMachine;
+  createMachine(id: MachineId, type: MachineTypeName, zone: ZoneName, spot: boolean): CloudMachine;
 }
 
 type RentRequest = Extract<CloudRequest, { kind: 'rent' }>;
@@ -47,22 +47,22 @@
   /** Set to execute the next rental without answering it. */
   loseNextAnswer = false;
   /** The rented machines of each request, by request name. */
-  readonly hires = new Map<string, MachineId[]>();
+  readonly rentalsByRequest = new Map<string, MachineId[]>();
   /** Machines that were released. */
   readonly released: string[] = [];
   /** Number of machines ever created, used in their ids: ids are never reused. */
-  made = 0;
+  machinesCreated = 0;
   /** Limits by type, zone and spot: maximum number of such machines rented at a time; null for none. */
-  room: ((type: TypeName, zone: ZoneName, spot: boolean) => number) | null = null;
+  capacityOf: ((type: MachineTypeName, zone: ZoneName, spot: boolean) => number) | null = null;
   /** Boot time of a machine in milliseconds; negative if it never boots. */
-  bootMs = (_type: TypeName): number => this.bootS * 1000;
+  bootMs = (_type: MachineTypeName): number => this.bootS * 1000;
   /** Age of the machine lists that are returned, in milliseconds. */
   listLagMs = 0;
   private readonly lists: MachineList[] = [];
   /** Machine types on offer. */
   types: MachineType[] = [
     {
-      name: 'box' as TypeName,
+      name: 'box' as MachineTypeName,
       cpus: 8,
       gpus: 0,
       memoryGb: 32,
@@ -74,7 +74,7 @@
       zones: ['north', 'south'] as ZoneName[],
     },
     {
-      name: 'gpu' as TypeName,
+      name: 'gpu' as MachineTypeName,
       cpus: 8,
       gpus: 2,
       memoryGb: 64,
@@ -107,8 +107,8 @@
 
   /** A repeated request gets the machines of the first one. */
   private rent(request: RentRequest): CloudReply {
-    const machines = this.hires.get(request.request) ?? this.createMachines(request);
-    this.hires.set(request.request, machines);
+    const machines = this.rentalsByRequest.get(request.request) ?? this.createMachines(request);
+    this.rentalsByRequest.set(request.request, machines);
     if (this.loseNextAnswer) {
       this.loseNextAnswer = false;
       return { kind: 'no-answer' };
@@ -123,18 +123,18 @@
     return ids;
   }
 
-  private availableMachines(type: TypeName, zone: ZoneName, spot: boolean): number {
+  private availableMachines(type: MachineTypeName, zone: ZoneName, spot: boolean): number {
     const { workers } = this.environment;
-    if (this.room === null) return this.capacity - workers.size;
+    if (this.capacityOf === null) return this.capacity - workers.size;
     const rented = [...workers.values()].filter(
       (machine) => machine.type === type && machine.zone === zone && machine.spot === spot,
     );
-    return this.room(type, zone, spot) - rented.length;
+    return this.capacityOf(type, zone, spot) - rented.length;
   }
 
-  private createMachine(type: TypeName, zone: ZoneName, spot: boolean): MachineId {
-    const id = `i-${String(++this.made).padStart(MACHINE_NUMBER_DIGITS, '0')}` as MachineId;
-    const machine = this.environment.machine(id, type, zone, spot);
+  private createMachine(type: MachineTypeName, zone: ZoneName, spot: boolean): MachineId {
+    const id = `i-${String(++this.machinesCreated).padStart(MACHINE_NUMBER_DIGITS, '0')}` as MachineId;
+    const machine = this.environment.createMachine(id, type, zone, spot);
     const bootMs = this.bootMs(type);
     if (bootMs >= 0) this.environment.after(bootMs, () => machine.boot());
     return id;
@@ -143,7 +143,7 @@
   private release(id: MachineId): void {
     const { workers } = this.environment;
     this.released.push(id);
-    workers.get(id)?.die();
+    workers.get(id)?.terminate();
     workers.delete(id);
   }
 
--- a/packages/local-cluster/src/fake-store.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -19,7 +19,7 @@
  * if it has ended).
  */
 export type StoreChange =
-  | { key: string; kept: StoredEntry | null; revision: number }
+  | { key: string; entry: StoredEntry | null; revision: number }
   | { lease: number; ttlMs: number | null };
 
 type CompareAndSwap = Extract<StoreRequest, { kind: 'compare-and-swap' }>;
@@ -40,32 +40,32 @@
 /** A simulated key-value store. Its writable public fields inject faults. */
 export class FakeStore implements WatchedStore {
   /** All entries, by key. */
-  readonly keys = new Map<string, StoredEntry>();
+  readonly entries = new Map<string, StoredEntry>();
   /** Revision of the newest change. */
   revision = 0;
   /** During an outage; every request is refused. */
   down = false;
   /** Nodes whose requests are refused while the store serves the others. */
-  readonly refused = new Set<string>();
+  readonly refusedNodes = new Set<string>();
   /** All requests that were executed, in order. */
-  readonly served: StoreRequest[] = [];
+  readonly executedRequests: StoreRequest[] = [];
   /** List requests for exactly this prefix are refused. */
-  unreadable: string | null = null;
+  refusedListPrefix: string | null = null;
   /** Reads of single keys that begin with this prefix are refused. */
-  unread: string | null = null;
+  refusedReadPrefix: string | null = null;
   /** Limits of a transaction; null for none. */
   limits: { valueBytes: number; txnOps: number } | null = null;
   /** Refuses every second request as over the rate limit; requests for leases and watches are exempt. */
-  halfRefused = false;
+  refusesEverySecond = false;
   /** Number of requests counted for refusing every second one. */
-  refusals = 0;
+  refusalCandidateCount = 0;
   /** Set to lose the reply to the next transaction that writes a value. */
   loseNextAnswer = false;
   /**
    * Returns the delay in milliseconds after which a transaction of the node is executed, possibly after newer
    * ones and without a reply; null to execute it at once.
    */
-  lateMs: ((node: string) => number | null) | null = null;
+  executionDelayMs: ((node: string) => number | null) | null = null;
   /** Delay of replies to watches, in milliseconds. */
   watchLagMs = 0;
   /** Returns whether the reply to an executed transaction or lease renewal is lost. */
@@ -73,7 +73,7 @@
   /** Number of replies that were lost. */
   answersLost = 0;
   /** Number of delayed transactions that were executed after a newer one of the same node. */
-  lateAfterNewer = 0;
+  executedAfterNewer = 0;
   /** Called with every change, in order, before the reply to its request. */
   onChange: ((change: StoreChange) => void) | null = null;
   /** Sequence number of the newest undelayed transaction, by node. */
@@ -106,7 +106,7 @@
   ): void {
     this.revision = revision;
     this.watches.beginAfter(revision);
-    for (const [key, entry] of entries) this.keys.set(key, entry);
+    for (const [key, entry] of entries) this.entries.set(key, entry);
     for (const [id, ttlMs] of leases) {
       this.leases.set(id, { ttlMs, expiresAt: this.clock.now + ttlMs });
       this.nextLeaseId = Math.max(this.nextLeaseId, id + 1);
@@ -116,12 +116,12 @@
 
   /** Executes a request of a node; `respond` is called once, or never if a fault loses the reply. */
   serve(node: string, request: StoreRequest, respond: Respond): void {
-    if (this.down || this.refused.has(node)) return respond(REFUSED);
+    if (this.down || this.refusedNodes.has(node)) return respond(REFUSED);
     if (this.isUnreadable(request)) return respond(BUSY);
     if (request.kind === 'compare-and-swap' && this.scheduleIfDelayed(node, request)) return;
     this.expireLeases();
     if (this.isEverySecondRequest(request)) return respond(BUSY);
-    this.served.push(request);
+    this.executedRequests.push(request);
     if (request.kind === 'watch') return this.watch(node, request, respond);
     const reply = this.execute(request);
     if (this.isAnswerLost(node, request, reply)) this.answersLost++;
@@ -132,14 +132,18 @@
   // ---- faults
 
   private isUnreadable(request: StoreRequest): boolean {
-    if (request.kind === 'list') return request.prefix === this.unreadable;
-    return request.kind === 'get' && this.unread !== null && request.key.startsWith(this.unread);
+    if (request.kind === 'list') return request.prefix === this.refusedListPrefix;
+    return (
+      request.kind === 'get' &&
+      this.refusedReadPrefix !== null &&
+      request.key.startsWith(this.refusedReadPrefix)
+    );
   }
 
   /** Schedules a transaction for later execution if a delay is set for its node; returns whether one is. */
   private scheduleIfDelayed(node: string, request: CompareAndSwap): boolean {
     const number = ++this.transactionCount;
-    const delayMs = this.lateMs?.(node) ?? null;
+    const delayMs = this.executionDelayMs?.(node) ?? null;
     if (delayMs === null) {
       this.newestByNode.set(node, number);
       return false;
@@ -154,12 +158,12 @@
     this.expireLeases();
     const reply = this.execute(request);
     const isOvertaken = (this.newestByNode.get(node) ?? 0) > number;
-    if (reply.kind === 'committed' && isOvertaken) this.lateAfterNewer++;
+    if (reply.kind === 'committed' && isOvertaken) this.executedAfterNewer++;
     this.watches.notify();
   }
 
   private isEverySecondRequest(request: StoreRequest): boolean {
-    if (!this.halfRefused) return false;
+    if (!this.refusesEverySecond) return false;
     switch (request.kind) {
       case 'grant-lease':
       case 'renew-lease':
@@ -167,7 +171,7 @@
       case 'watch':
         return false;
       default:
-        return ++this.refusals % 2 === 0;
+        return ++this.refusalCandidateCount % 2 === 0;
     }
   }
 
@@ -186,7 +190,7 @@
   private execute(request: Exclude<StoreRequest, { kind: 'watch' }>): StoreReply {
     switch (request.kind) {
       case 'get':
-        return this.keys.has(request.key)
+        return this.entries.has(request.key)
           ? { kind: 'item', item: this.item(request.key) }
           : { kind: 'missing' };
       case 'list':
@@ -204,12 +208,12 @@
   }
 
   private item(key: string): StoreItem {
-    const entry = this.keys.get(key)!;
+    const entry = this.entries.get(key)!;
     return { key, value: structuredClone(entry.value), revision: entry.revision as Revision };
   }
 
   private list(prefix: string, after: string | null): StoreReply {
-    const keys = [...this.keys.keys()]
+    const keys = [...this.entries.keys()]
       .filter((key) => key.startsWith(prefix) && (after === null || key > after))
       .sort();
     return {
@@ -224,7 +228,7 @@
     const violation = this.limitViolation(request);
     if (violation !== null) return { kind: 'rejected', reason: violation };
     const failed = request.conditions
-      .filter(({ key, revision }) => (this.keys.get(key)?.revision ?? 0) !== revision)
+      .filter(({ key, revision }) => (this.entries.get(key)?.revision ?? 0) !== revision)
       .map(({ key }) => key);
     if (failed.length > 0) return { kind: 'conflict', failed };
     if (request.puts.some(({ lease }) => lease !== undefined && !this.leases.has(lease)))
@@ -244,16 +248,16 @@
   private apply({ puts, deletes }: CompareAndSwap): void {
     if (puts.length + deletes.length > 0) this.revision++;
     for (const { key, value, lease } of puts) {
-      this.keys.set(key, { value: structuredClone(value), revision: this.revision, hold: lease ?? null });
+      this.entries.set(key, { value: structuredClone(value), revision: this.revision, hold: lease ?? null });
       this.recordChange(key, this.item(key));
     }
-    for (const key of deletes) if (this.keys.delete(key)) this.recordChange(key, null);
+    for (const key of deletes) if (this.entries.delete(key)) this.recordChange(key, null);
   }
 
   private recordChange(key: string, item: StoreItem | null): void {
     const { revision } = this;
     this.watches.record({ key, item, revision });
-    this.onChange?.({ key, kept: item === null ? null : this.keys.get(key)!, revision });
+    this.onChange?.({ key, entry: item === null ? null : this.entries.get(key)!, revision });
   }
 
   // ---- leases
@@ -276,9 +280,9 @@
 
   private endLease(id: number): void {
     if (this.leases.delete(id)) this.onChange?.({ lease: id, ttlMs: null });
-    for (const [key, { hold }] of this.keys) {
+    for (const [key, { hold }] of this.entries) {
       if (hold !== id) continue;
-      this.keys.delete(key);
+      this.entries.delete(key);
       this.revision++;
       this.recordChange(key, null);
     }
@@ -312,7 +316,7 @@
    * Whether watches of the node can be answered: they wait during an outage and while the node is refused.
    */
   canAnswer(node: string): boolean {
-    return !this.down && !this.refused.has(node);
+    return !this.down && !this.refusedNodes.has(node);
   }
 
   answerWatch({ respond }: Watch, reply: StoreReply): void {
--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -7,7 +7,7 @@
   ListedMachine,
   WorkerReply,
 } from '../../../src/core/base/model.ts';
-import type { FencingToken, MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { FencingToken, MachineId, MachineTypeName, ZoneName } from '../../../src/types/index.ts';
 import type { EnvironmentOf } from './worker-environment.ts';
 import { type StopCommand, type TaskOwner, type WorkerTask, WorkerTasks } from './worker-tasks.ts';
 
@@ -39,30 +39,30 @@
 export interface FakeWorkerInit {
   environment: WorkerEnvironment;
   id: MachineId;
-  type: TypeName;
+  type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
   /** Index in `nodeNames` of the node that gets its first heartbeat. */
-  target: number;
+  firstNodeIndex: number;
 }
 
 /** A simulated machine and the agent on it. Times are in milliseconds. */
 export class FakeWorker implements TaskOwner {
   addr: string;
   /** The agent epoch. */
-  session = 1;
+  agentEpoch = 1;
   /** Sequence number of the last heartbeat. */
   seq = 0;
   /** The newest fencing token that it has received. */
-  token = 0;
+  fencingToken = 0;
   /** Whether the machine has booted. */
   up = false;
   /** When it booted. */
   upSince = Number.NEGATIVE_INFINITY;
   /** Whether the machine was terminated. */
-  dead = false;
+  isTerminated = false;
   /** Remaining seconds reported as its preemption notice; null without one. */
-  noticeS: number | null = null;
+  preemptionNoticeS: number | null = null;
   /** Number of tasks that it killed because its lease had expired. */
   lostByLease = 0;
   /** How often it switched to another node, by a redirect or after a missing response. */
@@ -83,7 +83,7 @@
   private readonly unreadResponses: (() => void)[] = [];
   private readonly environment: WorkerEnvironment;
   readonly id: MachineId;
-  readonly type: TypeName;
+  readonly type: MachineTypeName;
   readonly zone: ZoneName;
   readonly spot: boolean;
   private nodeIndex: number;
@@ -94,7 +94,7 @@
     this.type = init.type;
     this.zone = init.zone;
     this.spot = init.spot;
-    this.nodeIndex = init.target;
+    this.nodeIndex = init.firstNodeIndex;
     const { environment, id } = init;
     this.addr = `10.1.0.1:${id}`;
     this.createdAt = environment.now;
@@ -109,7 +109,7 @@
   }
 
   /** Tasks that it has completed. */
-  get results(): Set<string> {
+  get completedTasks(): Set<string> {
     return this.workerTasks.completedTasks;
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Stop commands received for tasks that had not ended. */
-  get stops(): StopCommand[] {
+  get stopCommands(): StopCommand[] {
     return this.workerTasks.stopCommands;
   }
 
@@ -133,7 +133,7 @@
   }
 
   /** Tasks that have not ended. */
-  live(): WorkerTask[] {
+  activeTasks(): WorkerTask[] {
     return this.workerTasks.activeTasks();
   }
 
@@ -158,8 +158,8 @@
   /**
    * Whether its tasks count as ended: it was terminated, or its lease has expired, even if the agent hangs.
    */
-  get over(): boolean {
-    return this.dead || this.isLeaseExpired();
+  get isTerminatedOrExpired(): boolean {
+    return this.isTerminated || this.isLeaseExpired();
   }
 
   /** When its lease expires unless a further response renews it. */
@@ -171,7 +171,7 @@
 
   /** Starts the agent: the machine has booted. */
   boot(): void {
-    if (this.dead) return;
+    if (this.isTerminated) return;
     this.up = true;
     this.upSince = this.environment.now;
     this.leaseRenewedAt = this.environment.now;
@@ -179,11 +179,11 @@
   }
 
   /** Terminates the machine with all its tasks. */
-  die(): void {
-    if (this.dead) return;
-    this.dead = true;
+  terminate(): void {
+    if (this.isTerminated) return;
+    this.isTerminated = true;
     this.workerTasks.clear();
-    this.environment.gone(this);
+    this.environment.onMachineTerminated(this);
   }
 
   /** Suspends the agent for `ms`; it then resumes as if no time had passed. */
@@ -202,10 +202,10 @@
    */
   restart(): void {
     this.workerTasks.clear();
-    this.results.clear();
-    this.session = 1;
+    this.completedTasks.clear();
+    this.agentEpoch = 1;
     this.seq = 0;
-    this.token = 0;
+    this.fencingToken = 0;
     this.heartbeatNumber++;
     this.isAwaitingResponse = false;
     this.leaseRenewedAt = this.environment.now;
@@ -227,7 +227,7 @@
   }
 
   private armTimer(): void {
-    if (this.dead || !this.up) return;
+    if (this.isTerminated || !this.up) return;
     const timerAt = Math.max(this.environment.now, this.dueAt());
     if (timerAt >= this.timerDueAt) return;
     this.timerDueAt = timerAt;
@@ -239,7 +239,7 @@
   }
 
   private runDueActions(): void {
-    if (this.dead || this.isHanging) return;
+    if (this.isTerminated || this.isHanging) return;
     if (this.isLeaseExpired()) this.beginEpoch();
     if (!this.isAwaitingResponse && this.environment.now >= this.dueAt()) this.sendHeartbeat();
     this.armTimer();
@@ -253,8 +253,8 @@
    * Kills all tasks after the lease has expired, as they may already run elsewhere, and begins a new epoch.
    */
   private beginEpoch(): void {
-    this.session++;
-    this.lostByLease += this.live().length;
+    this.agentEpoch++;
+    this.lostByLease += this.activeTasks().length;
     this.workerTasks.clear();
     this.leaseRenewedAt = this.environment.now;
     this.hasUnreportedChanges = true;
@@ -263,7 +263,7 @@
   // ---- heartbeats
 
   /** Returns the next heartbeat, and increments the sequence number. */
-  report(): Heartbeat {
+  nextHeartbeat(): Heartbeat {
     this.seq++;
     return {
       machine: this.id,
@@ -271,10 +271,10 @@
       type: this.type,
       zone: this.zone,
       spot: this.spot,
-      agentEpoch: this.session,
+      agentEpoch: this.agentEpoch,
       seq: this.seq,
-      fencingToken: this.token as FencingToken,
-      preemptionNoticeS: this.noticeS,
+      fencingToken: this.fencingToken as FencingToken,
+      preemptionNoticeS: this.preemptionNoticeS,
       tasks: this.workerTasks.statuses(),
     };
   }
@@ -282,20 +282,20 @@
   private sendHeartbeat(): void {
     const sent = {
       number: ++this.heartbeatNumber,
-      agentEpoch: this.session,
+      agentEpoch: this.agentEpoch,
       sentAt: this.environment.now,
     };
     this.isAwaitingResponse = true;
     this.hasUnreportedChanges = false;
     this.lastHeartbeatAt = sent.sentAt;
-    const heartbeat = this.report();
-    this.environment.sendReport(this, this.node, heartbeat, RESPONSE_TIMEOUT_MS, (response) =>
+    const heartbeat = this.nextHeartbeat();
+    this.environment.sendHeartbeat(this, this.node, heartbeat, RESPONSE_TIMEOUT_MS, (response) =>
       this.handleResponse(sent, response),
     );
   }
 
   private handleResponse(sent: SentHeartbeat, response: HeartbeatResponse | null): void {
-    if (sent.number !== this.heartbeatNumber || this.dead) return;
+    if (sent.number !== this.heartbeatNumber || this.isTerminated) return;
     if (this.isHanging) {
       this.unreadResponses.push(() => {
         // A response handled late counts as missing only if the time-out has passed.
@@ -307,7 +307,7 @@
     this.isAwaitingResponse = false;
     if (response === null) this.tryNextNode();
     else if (response.kind === 'redirect') this.followRedirect(response.node);
-    else if (sent.agentEpoch === this.session && response.fencingToken >= this.token)
+    else if (sent.agentEpoch === this.agentEpoch && response.fencingToken >= this.fencingToken)
       this.applyResponse(sent, response.fencingToken, response.commands);
     this.armTimer();
   }
@@ -334,8 +334,8 @@
   }
 
   private adoptFencingToken(token: number): void {
-    if (token > this.token) this.hasUnreportedChanges = true;
-    this.token = token;
+    if (token > this.fencingToken) this.hasUnreportedChanges = true;
+    this.fencingToken = token;
   }
 
   // ---- commands
@@ -344,15 +344,20 @@
    * Handles commands that a controller sends other than in a heartbeat response. They are executed only if
    * token and epoch are current.
    */
-  orders(token: number, session: number, commands: Command[], respond: (reply: WorkerReply) => void): void {
-    if (this.dead || !this.up || this.isHanging) return;
-    const executed = token >= this.token && session === this.session;
+  handleCommands(
+    token: number,
+    session: number,
+    commands: Command[],
+    respond: (reply: WorkerReply) => void,
+  ): void {
+    if (this.isTerminated || !this.up || this.isHanging) return;
+    const executed = token >= this.fencingToken && session === this.agentEpoch;
     if (executed) {
       this.adoptFencingToken(token);
       this.executeAll(commands);
     }
     this.armTimer();
-    respond({ kind: 'heartbeat', heartbeat: this.report(), executed });
+    respond({ kind: 'heartbeat', heartbeat: this.nextHeartbeat(), executed });
   }
 
   taskChanged(): void {
--- a/packages/local-cluster/src/fault-injector.ts
+++ b/packages/local-cluster/src/fault-injector.ts
@@ -33,7 +33,7 @@
       case 'freeze-controller':
         return this.freezeController(fault);
       case 'state-outage':
-        services.state.outage(seconds);
+        services.store.outage(seconds);
         return `the state service is down for ${seconds} s`;
       case 'state-silent':
         services.storeSilentUntil = clock.now + durationMs(fault);
@@ -90,7 +90,7 @@
     const { machines, clock } = this.targets;
     const spotWorkers = machines.runningWorkers().filter((worker) => worker.spot);
     for (const worker of spotWorkers) {
-      worker.noticeS = fault.seconds;
+      worker.preemptionNoticeS = fault.seconds;
       clock.after(durationMs(fault), () => machines.terminate(worker));
     }
     return `${spotWorkers.length} spot machines are taken back in ${fault.seconds} s`;
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -38,7 +38,7 @@
 
 /** A running cluster; `stop` ends all processes and servers that it started. */
 export class LocalCluster implements ControllableCluster {
-  readonly state: FakeStore;
+  readonly store: FakeStore;
   readonly cloud: FakeCloud;
   /** Address of the cluster's own HTTP API. */
   addr = '';
@@ -74,7 +74,7 @@
     this.machines = machines;
     this.services = services;
     this.faults = new FaultInjector({ clock, zones: lab.zones, controllers, machines, services });
-    this.state = services.state;
+    this.store = services.store;
     this.cloud = services.cloud;
   }
 
@@ -94,7 +94,7 @@
     const { dir, data } = this.setup;
     mkdirSync(dir, { recursive: true });
     if (data !== undefined) await this.openStorage(data);
-    const state = await this.serve(0, this.services.serveState);
+    const state = await this.serve(0, this.services.serveStore);
     const cloud = await this.serve(0, this.services.serveCloud);
     await this.startControllers({ state: state.addr, cloud: cloud.addr });
     const api = await this.serve(this.options.lab.port, new ControlApi(this).serve);
@@ -109,14 +109,14 @@
       ),
     );
     this.storage = storage;
-    await storage.attach(this.state);
+    await storage.attach(this.store);
     const { jobs, doneTasks } = await storage.readWork();
     const { tasks } = this.machines;
     for (const [job, description] of jobs) tasks.describe(job, description);
     for (const task of doneTasks) tasks.restoreDoneTask(task as TaskId);
     tasks.onDone = (task) => storage.recordDone(task);
-    this.machines.onMachineCreated = () => storage.onMachineNumberUsed(this.cloud.made);
-    this.cloud.made = await storage.reserveMachineNumbers();
+    this.machines.onMachineCreated = () => storage.onMachineNumberUsed(this.cloud.machinesCreated);
+    this.cloud.machinesCreated = await storage.reserveMachineNumbers();
   }
 
   private async serve(port: number, handler: RequestHandler): Promise<Listening> {
@@ -175,8 +175,8 @@
   }
 
   /** The value of a key in the store; undefined if there is none. */
-  recorded(key: string): unknown {
-    return this.state.keys.get(key)?.value;
+  storedValue(key: string): unknown {
+    return this.store.entries.get(key)?.value;
   }
 
   // ---- operations of the HTTP API
--- a/packages/local-cluster/src/local-machines.ts
+++ b/packages/local-cluster/src/local-machines.ts
@@ -9,7 +9,7 @@
   decodeHeartbeatResponse,
   encodeHeartbeat,
 } from '../../../src/protocol/worker-agent.ts';
-import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { MachineId, MachineTypeName, TaskId, ZoneName } from '../../../src/types/index.ts';
 import type { ControllerGroup } from './controller-group.ts';
 import type { CloudEnvironment } from './fake-cloud.ts';
 import { FakeWorker, type RunningTask, type TaskProgress, type WorkerEnvironment } from './fake-worker.ts';
@@ -73,12 +73,12 @@
 
   /** Workers whose machine has booted and was not terminated. */
   runningWorkers(): FakeWorker[] {
-    return [...this.workers.values()].filter((worker) => worker.up && !worker.dead);
+    return [...this.workers.values()].filter((worker) => worker.up && !worker.isTerminated);
   }
 
   /** Terminates a machine without notice. */
   terminate(worker: FakeWorker): void {
-    worker.die();
+    worker.terminate();
     this.workers.delete(worker.id);
   }
 
@@ -89,21 +89,21 @@
 
   /** Terminates all machines. */
   stop(): void {
-    for (const worker of [...this.workers.values()]) worker.die();
+    for (const worker of [...this.workers.values()]) worker.terminate();
   }
 
   // ---- cloud environment
 
-  machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
+  createMachine(id: MachineId, type: MachineTypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const { random, clock } = this.dependencies;
     const firstNode = random.below(this.nodeNames.length);
-    const worker = new FakeWorker({ environment: this, id, type, zone, spot, target: firstNode });
+    const worker = new FakeWorker({ environment: this, id, type, zone, spot, firstNodeIndex: firstNode });
     this.workers.set(id, worker);
     this.onMachineCreated();
     listen(0, (method, path, body, respond) => this.serve(worker, { method, path, body }, respond)).then(
       (listening) => {
         worker.addr = listening.addr;
-        if (worker.dead || clock.isStopped) listening.close();
+        if (worker.isTerminated || clock.isStopped) listening.close();
         else this.listeners.set(worker, listening);
       },
     );
@@ -119,21 +119,23 @@
   ): void {
     if (!worker.up) return respond(errorResponse(503, 'it is not up yet'));
     if (method === 'GET' && path === '/inspect')
-      return respond({ status: 200, body: encodeHeartbeat(worker.report()) });
+      return respond({ status: 200, body: encodeHeartbeat(worker.nextHeartbeat()) });
     if (method !== 'POST' || path !== '/orders') return respond(errorResponse(404, 'no such path'));
     this.serveCommands(worker, body, respond);
   }
 
   private serveCommands(worker: FakeWorker, body: unknown, respond: Respond): void {
-    const { token, session, commands } = decodeCommands(body);
+    const { fencingToken: token, agentEpoch: session, commands } = decodeCommands(body);
     if (session === null) return respond(errorResponse(400, 'the session is missing'));
     const partition = this.partitionOf(worker);
     if (partition !== null) {
       if (partition.delaysMessages)
-        this.after(partition.until - this.now, () => worker.orders(token, session, commands, () => {}));
+        this.after(partition.until - this.now, () =>
+          worker.handleCommands(token, session, commands, () => {}),
+        );
       return;
     }
-    worker.orders(token, session, commands, (reply) => {
+    worker.handleCommands(token, session, commands, (reply) => {
       if (reply.kind === 'heartbeat')
         respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
     });
@@ -141,7 +143,7 @@
 
   // ---- worker environment
 
-  sendReport(
+  sendHeartbeat(
     worker: FakeWorker,
     node: string,
     heartbeat: Heartbeat,
@@ -167,7 +169,7 @@
     return partition !== undefined && this.now < partition.until ? partition : null;
   }
 
-  placed(): void {}
+  onTaskPlaced(): void {}
 
   launch(
     worker: FakeWorker,
@@ -181,7 +183,7 @@
     return this.tasks.launch(machine, task, attempt, onExit, onProgress);
   }
 
-  gone(worker: FakeWorker): void {
+  onMachineTerminated(worker: FakeWorker): void {
     this.listeners.get(worker)?.close();
     this.listeners.delete(worker);
   }
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -5,7 +5,7 @@
 import { TokenBucket } from '../../../src/core/base/token-bucket.ts';
 import { decodeCloudRequest, encodeCloudReply } from '../../../src/protocol/cloud-service.ts';
 import { decodeStoreRequest, encodeStoreReply } from '../../../src/protocol/store-service.ts';
-import type { Instant, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { Instant, MachineTypeName, ZoneName } from '../../../src/types/index.ts';
 import { type CloudEnvironment, FakeCloud } from './fake-cloud.ts';
 import { FakeStore } from './fake-store.ts';
 import { errorResponse, type RequestHandler, type Respond } from './json-server.ts';
@@ -33,7 +33,7 @@
 
 /** The key-value store and the cloud with their request handlers. */
 export class OutsideServices {
-  readonly state: FakeStore;
+  readonly store: FakeStore;
   readonly cloud: FakeCloud;
   readonly counts: ServiceCounts = {
     stateRequests: 0,
@@ -61,8 +61,8 @@
     this.storeRequestLimit = new TokenBucket(state.rps, state.rps);
     this.storeWriteLimit = new TokenBucket(state.write_rps, state.write_rps);
     this.cloudLimit = new TokenBucket(cloud.rps, CLOUD_BURST_S * cloud.rps);
-    this.state = new FakeStore(environment);
-    this.state.limits = { valueBytes: state.value_kb * 1024, txnOps: state.txn_ops };
+    this.store = new FakeStore(environment);
+    this.store.limits = { valueBytes: state.value_kb * 1024, txnOps: state.txn_ops };
     this.cloud = new FakeCloud(environment);
     this.configureCloud();
   }
@@ -71,27 +71,27 @@
     const { lab, cloud, types } = this.options;
     this.cloud.listLagMs = cloud.list_lag_s * 1000;
     this.cloud.types = Object.entries(types).map(([name, type]) => machineType(name, type, lab.zones));
-    this.cloud.room = (type, _zone, spot) => types[type]?.[spot ? 'spot' : 'count'] ?? 0;
+    this.cloud.capacityOf = (type, _zone, spot) => types[type]?.[spot ? 'spot' : 'count'] ?? 0;
     this.cloud.bootMs = (type) =>
       ((types[type]!.boot_s * 1000) / lab.speed) *
       (MIN_BOOT_FRACTION + this.random.below(BOOT_SPREAD_PERCENT) / 100);
   }
 
   /** Handles requests to the key-value store. */
-  readonly serveState: RequestHandler = (method, path, body, respond) => {
+  readonly serveStore: RequestHandler = (method, path, body, respond) => {
     const call = decodeStoreRequest(method, path, body);
     if (call === null) return respond(errorResponse(404, 'no such path'));
-    const { op } = call;
+    const { request: op } = call;
     const changes = op.kind === 'compare-and-swap' ? op.puts.length + op.deletes.length : 0;
     this.counts.stateRequests++;
-    if (!this.state.down && this.isOverStoreLimit(changes)) {
+    if (!this.store.down && this.isOverStoreLimit(changes)) {
       this.counts.stateRefused++;
       return respond(errorResponse(429, 'too many requests'));
     }
     this.counts.stateChanges += changes;
     const remainingDelayMs = this.storeLateUntil - this.environment.now;
     if (remainingDelayMs > 0 && op.kind !== 'watch')
-      return this.environment.after(remainingDelayMs, () => this.state.serve('', op, () => {}));
+      return this.environment.after(remainingDelayMs, () => this.store.serve('', op, () => {}));
     this.executeStoreCall(call, respond);
   };
 
@@ -101,14 +101,14 @@
     return changes > 0 && !this.storeWriteLimit.take(now, changes);
   }
 
-  private executeStoreCall({ op, page }: StoreCall, respond: Respond): void {
+  private executeStoreCall({ request: op, pageSize: page }: StoreCall, respond: Respond): void {
     const isReplyLost = this.environment.now < this.storeSilentUntil && this.random.below(2) === 0;
-    this.state.serve('', op, (reply) => {
+    this.store.serve('', op, (reply) => {
       if (isReplyLost) return;
-      const response = encodeStoreReply(op, reply, page, this.state.revision);
+      const response = encodeStoreReply(op, reply, page, this.store.revision);
       this.respondAfter(this.options.state.latency_ms, () => respond(response));
     });
-    this.state.served.length = 0;
+    this.store.executedRequests.length = 0;
   }
 
   /** Handles requests to the cloud. */
@@ -120,9 +120,9 @@
       this.counts.cloudRefused++;
       return respond(errorResponse(429, 'too many requests'));
     }
-    const reply = this.cloud.serve(call.op);
+    const reply = this.cloud.serve(call.request);
     this.cloud.released.length = 0;
-    const response = encodeCloudReply(call.op, reply, call.page);
+    const response = encodeCloudReply(call.request, reply, call.pageSize);
     this.respondAfter(this.options.cloud.latency_ms, () => respond(response));
   };
 
@@ -136,7 +136,7 @@
   options: LocalClusterOptions['types'][string],
   zones: readonly string[],
 ): MachineType => ({
-  name: name as TypeName,
+  name: name as MachineTypeName,
   cpus: options.cpus,
   gpus: options.gpus,
   memoryGb: options.memory_gb,
--- a/packages/local-cluster/src/worker-environment.ts
+++ b/packages/local-cluster/src/worker-environment.ts
@@ -27,7 +27,7 @@
   /**
    * Sends a heartbeat. `onResponse` gets null if there is no response within `timeoutMs` or no connection.
    */
-  sendReport(
+  sendHeartbeat(
     worker: Worker,
     node: string,
     heartbeat: Heartbeat,
@@ -35,7 +35,7 @@
     onResponse: (response: HeartbeatResponse | null) => void,
   ): void;
   /** Called when a task is started on a machine; the environment may check whether it is allowed there. */
-  placed(worker: Worker, task: TaskId): void;
+  onTaskPlaced(worker: Worker, task: TaskId): void;
   /**
    * Runs a task, whose first state is `running`. `onExit` is called when it ends other than by `stop` or
    * `kill`, `onProgress` when its state changes before.
@@ -48,5 +48,5 @@
     onProgress: (progress: TaskProgress) => void,
   ): RunningTask;
   /** Called when the machine is terminated with all its tasks. */
-  gone(worker: Worker): void;
+  onMachineTerminated(worker: Worker): void;
 }
--- a/packages/local-cluster/src/worker-tasks.ts
+++ b/packages/local-cluster/src/worker-tasks.ts
@@ -10,7 +10,7 @@
   attempt: number;
   state: TaskStatus['state'];
   /** Why it ended; null while it runs. */
-  why: TaskStatus['exitReason'];
+  exitReason: TaskStatus['exitReason'];
   /** Whether its progress was saved when it was stopped. */
   isProgressSaved: boolean;
   /** The running task in the environment; null before its launch. */
@@ -20,7 +20,7 @@
 /** The worker that the tasks are on. */
 export interface TaskOwner {
   /** Whether its machine was terminated. */
-  readonly dead: boolean;
+  readonly isTerminated: boolean;
   /** Called when the state of a task has changed, to send the next heartbeat soon. */
   taskChanged(): void;
 }
@@ -30,7 +30,7 @@
   task: TaskId;
   graceS: number;
   /** When it was received, in milliseconds. */
-  at: number;
+  receivedAt: number;
 }
 
 /** The tasks of one worker, and counts and results of earlier ones. */
@@ -68,7 +68,7 @@
       task: task.task,
       attempt: task.attempt as never,
       state: task.state,
-      exitReason: task.why,
+      exitReason: task.exitReason,
       checkpointed: task.isProgressSaved,
     }));
   }
@@ -90,7 +90,7 @@
   }
 
   private stop(task: WorkerTask, graceS: number): void {
-    this.stopCommands.push({ task: task.task, graceS, at: this.environment.now });
+    this.stopCommands.push({ task: task.task, graceS, receivedAt: this.environment.now });
     // While a task saves its checkpoint, only a stop command without grace time ends it.
     if (task.state === 'saving' && graceS > 0) return;
     task.state = 'saving';
@@ -107,11 +107,11 @@
       job: parseTaskId(id).job,
       attempt,
       state: 'running',
-      why: null,
+      exitReason: null,
       isProgressSaved: false,
       runningTask: null,
     };
-    this.environment.placed(this.worker, id);
+    this.environment.onTaskPlaced(this.worker, id);
     this.starts++;
     this.tasks.set(key, task);
     if (this.faulty) return this.exit(task, 'error');
@@ -121,7 +121,7 @@
 
   private launch(key: string, task: WorkerTask): void {
     const isEnded = (): boolean =>
-      this.worker.dead || this.tasks.get(key) !== task || task.state === 'exited';
+      this.worker.isTerminated || this.tasks.get(key) !== task || task.state === 'exited';
     const onExit = (reason: ExitReason): void => {
       if (isEnded()) return;
       if (reason === 'done') this.completedTasks.add(task.task);
@@ -137,7 +137,7 @@
 
   private exit(task: WorkerTask, reason: ExitReason): void {
     task.state = 'exited';
-    task.why = reason;
+    task.exitReason = reason;
     this.worker.taskChanged();
   }
 }
--- a/scripts/experiments/client.ts
+++ b/scripts/experiments/client.ts
@@ -126,14 +126,14 @@
 
 const lines = existsSync(outcomesFile) ? readFileSync(outcomesFile, 'utf8').trim().split('\n') : [];
 const reported = lines.map((line) => JSON.parse(line) as ReportedOutcome);
-const finished = [...cluster.state.keys.keys()]
+const finished = [...cluster.store.entries.keys()]
   .filter((key) => key.startsWith(FINAL_STATE_PREFIX))
   .map((key) => key.slice(FINAL_STATE_PREFIX.length));
 const audit = new ClientAudit(
   jobs,
   {
     finished,
-    stateOf: (id) => (cluster.recorded(`${FINAL_STATE_PREFIX}${id}`) as { s?: string } | undefined)?.s,
+    stateOf: (id) => (cluster.storedValue(`${FINAL_STATE_PREFIX}${id}`) as { s?: string } | undefined)?.s,
     runs: cluster.runs,
   },
   log,
--- a/scripts/experiments/fleet-controllers.ts
+++ b/scripts/experiments/fleet-controllers.ts
@@ -108,7 +108,7 @@
     if (worker === undefined || !this.environment.isReachable(worker))
       return inputLater(timeoutMs, () => ({ kind: 'worker', tag, reply: { kind: 'no-answer' } }));
     this.environment.after(WORKER_MS, () =>
-      worker.orders(fencingToken, agentEpoch, [], (reply: WorkerReply) =>
+      worker.handleCommands(fencingToken, agentEpoch, [], (reply: WorkerReply) =>
         inputLater(WORKER_MS, () => ({ kind: 'worker', tag, reply })),
       ),
     );
--- a/scripts/experiments/fleet-days.ts
+++ b/scripts/experiments/fleet-days.ts
@@ -1,7 +1,7 @@
 // The days of the fleet experiment: the load and the faults of each. Figures are relative to the number of
 // machines, so that a day can be run with a fleet of any size.
 import type { MachineType } from '../../src/core/base/model.ts';
-import type { TeamName, TypeName, ZoneName } from '../../src/types/index.ts';
+import type { MachineTypeName, TeamName, ZoneName } from '../../src/types/index.ts';
 
 /**
  * A fault that is injected `atS` seconds into a day. `fraction`: of the running machines. `zone`: index into
@@ -73,8 +73,8 @@
 export const ZONES = ['east', 'mid', 'west'] as ZoneName[];
 /** Fractions of the machines that are in each zone, in the order of `ZONES`. */
 const ZONE_FRACTIONS = [0.5, 0.3, 0.2];
-const PLAIN_TYPE = 'box' as TypeName;
-const GPU_TYPE = 'lens' as TypeName;
+const PLAIN_TYPE = 'box' as MachineTypeName;
+const GPU_TYPE = 'lens' as MachineTypeName;
 /** Fraction of the machines that have no accelerators. */
 const PLAIN_FRACTION = 0.75;
 /** CPUs of every machine. */
@@ -87,7 +87,7 @@
 ].map((type) => ({ ...type, cacheGb: 50, fetchGbPerS: 0.4, zones: ZONES }));
 
 /** Number of machines of a type that can be rented in a zone, for a fleet of `machines` machines. */
-export function machinesToRent(machines: number, type: TypeName, zone: ZoneName): number {
+export function machinesToRent(machines: number, type: MachineTypeName, zone: ZoneName): number {
   const typeFraction = type === PLAIN_TYPE ? PLAIN_FRACTION : 1 - PLAIN_FRACTION;
   return Math.max(1, Math.round(machines * typeFraction * ZONE_FRACTIONS[ZONES.indexOf(zone)]!));
 }
--- a/scripts/experiments/fleet-fairness.ts
+++ b/scripts/experiments/fleet-fairness.ts
@@ -93,7 +93,7 @@
   private capacity(): Resources {
     const capacity = [...NO_RESOURCES];
     for (const worker of this.environment.workers.values()) {
-      if (!worker.up || worker.dead) continue;
+      if (!worker.up || worker.isTerminated) continue;
       const { cpus, gpus, memoryGb } = TYPES.find((type) => type.name === worker.type)!;
       [cpus, gpus, memoryGb].forEach((amount, i) => {
         capacity[i] = capacity[i]! + amount;
--- a/scripts/experiments/fleet-machines.ts
+++ b/scripts/experiments/fleet-machines.ts
@@ -130,7 +130,7 @@
     const job = jobs.ofTask(task);
     if (job === undefined) return report('invented');
     const previous = this.machineOf.get(task);
-    if (previous !== undefined && !previous.over) report(`ran_twice with ${previous.id}`);
+    if (previous !== undefined && !previous.isTerminatedOrExpired) report(`ran_twice with ${previous.id}`);
     this.machineOf.set(task, worker);
     if (job.cancelledAt !== null && now > job.cancelledAt + CANCEL_DEADLINE_MS) report('ran_cancelled');
     for (const violation of this.zoneViolations(job, worker)) report(violation);
@@ -156,7 +156,7 @@
     const machines: FakeWorker[] = [];
     for (let i = 0; i < tasks; i++) {
       const machine = this.machineOf.get(`${job}/${i}` as TaskId);
-      if (machine !== undefined && !machine.over) machines.push(machine);
+      if (machine !== undefined && !machine.isTerminatedOrExpired) machines.push(machine);
     }
     return machines;
   }
--- a/scripts/experiments/fleet-world.ts
+++ b/scripts/experiments/fleet-world.ts
@@ -10,7 +10,7 @@
 } from '../../packages/local-cluster/src/fake-worker.ts';
 import type { Random } from '../../src/core/base/io.ts';
 import type { Heartbeat, HeartbeatResponse } from '../../src/core/base/model.ts';
-import type { MachineId, TaskId, TypeName, ZoneName } from '../../src/types/index.ts';
+import type { MachineId, MachineTypeName, TaskId, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from '../../test/support/event-queue.ts';
 import { type Arrival, arrivals } from './fleet-arrivals.ts';
 import { type ControllerEnvironment, FleetControllers, NODES } from './fleet-controllers.ts';
@@ -69,7 +69,7 @@
     this.controllers = new FleetControllers(this, library, setup);
     this.fairness = new FleetFairness(this, arriveS * 1000);
     this.cloud.types = structuredClone(TYPES);
-    this.cloud.room = (type, zone) => machinesToRent(machines, type, zone);
+    this.cloud.capacityOf = (type, zone) => machinesToRent(machines, type, zone);
     this.cloud.bootMs = (type) =>
       TYPES.find((candidate) => candidate.name === type)!.bootS * (700 + this.random.below(600));
     NODES.forEach((name, i) => {
@@ -100,7 +100,7 @@
 
   // ---- machines
 
-  machine(id: string, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
+  createMachine(id: string, type: MachineTypeName, zone: ZoneName, spot: boolean): FakeWorker {
     const firstNode = this.random.below(NODES.length);
     const worker = new FakeWorker({
       environment: this,
@@ -108,14 +108,14 @@
       type,
       zone,
       spot,
-      target: firstNode,
+      firstNodeIndex: firstNode,
     });
     this.workers.set(id, worker);
     this.rented.push(worker);
     return worker;
   }
 
-  sendReport(
+  sendHeartbeat(
     worker: FakeWorker,
     node: string,
     heartbeat: Heartbeat,
@@ -135,11 +135,11 @@
     return this.machines.launch(worker, task, attempt, onExit, onState);
   }
 
-  placed(worker: FakeWorker, task: TaskId): void {
+  onTaskPlaced(worker: FakeWorker, task: TaskId): void {
     this.machines.onPlaced(worker, task);
   }
 
-  gone(): void {}
+  onMachineTerminated(): void {}
 
   isReachable(worker: FakeWorker): boolean {
     return this.machines.isReachable(worker);
@@ -178,11 +178,11 @@
   }
 
   private injectMachineFault(fault: Extract<DayFault, { fraction: number }>): void {
-    const running = [...this.workers.values()].filter((worker) => worker.up && !worker.dead);
+    const running = [...this.workers.values()].filter((worker) => worker.up && !worker.isTerminated);
     const count = Math.min(running.length, Math.round(running.length * fault.fraction));
     for (let i = 0; i < count; i++) {
       const [worker] = running.splice(this.random.below(running.length), 1);
-      if (fault.kind === 'crash') worker!.die();
+      if (fault.kind === 'crash') worker!.terminate();
       else if (fault.kind === 'hang') worker!.hang(fault.forS * 1000);
       else this.machines.slowdown.set(worker!.id, fault.factor);
     }
--- a/scripts/experiments/scale.ts
+++ b/scripts/experiments/scale.ts
@@ -3,7 +3,7 @@
 // `--slopes` varies one parameter at a time; `--quick` is a short run in which the leader is killed once.
 import { writeFileSync } from 'node:fs';
 import { Command, InvalidArgumentError } from 'commander';
-import { lacking } from './scale/resources.ts';
+import { findResourceShortage } from './scale/resources.ts';
 import { type RunResult, type RunSetup, type ScaleFault, ScaleRun } from './scale/run.ts';
 import { baseSetup, runSlopes } from './scale/slopes.ts';
 
@@ -117,7 +117,7 @@
 }
 
 async function main(options: Options): Promise<void> {
-  const shortage = lacking(options.workers, options.controllers);
+  const shortage = findResourceShortage(options.workers, options.controllers);
   if (shortage !== null) {
     process.stderr.write(`scale: ${shortage}\n`);
     process.exit(USAGE_ERROR_EXIT_CODE);
--- a/scripts/experiments/scale/host-tasks.ts
+++ b/scripts/experiments/scale/host-tasks.ts
@@ -52,7 +52,7 @@
     this.events.push({ at: this.clock.now, kind: 'on', task, machine: worker.id });
     // The worker does not launch the task, which ends at once: the worker is faulty or has completed it
     // before.
-    if (worker.faulty || worker.results.has(task)) this.recordRemoval(worker, task);
+    if (worker.faulty || worker.completedTasks.has(task)) this.recordRemoval(worker, task);
   }
 
   /** Launches a task on a machine; its first state is `running`. */
--- a/scripts/experiments/scale/observation-queue.ts
+++ b/scripts/experiments/scale/observation-queue.ts
@@ -1,7 +1,7 @@
 // Sorts the observations of users and workers by time and passes them to the rule checker; host processes
 // send theirs in batches, so that they arrive out of order.
 import type { UserRequest, UserResponse } from '../../../src/core/base/model.ts';
-import type { Place, RuleChecker } from '../../../test/support/rule-checker.ts';
+import type { MachineInfo, RuleChecker } from '../../../test/support/rule-checker.ts';
 import type { TaskEvent } from './messages.ts';
 import type { TrackedPlacements } from './placements.ts';
 
@@ -32,7 +32,7 @@
   constructor(
     private readonly rules: RuleChecker,
     private readonly placements: TrackedPlacements,
-    private readonly machineOf: (id: string) => Place | undefined,
+    private readonly machineOf: (id: string) => MachineInfo | undefined,
   ) {}
 
   /** Adds observations, in any order. */
@@ -50,7 +50,7 @@
     this.pending = this.pending.slice(settled);
     if (until < this.lastTimedCheckAt + TIMED_CHECK_INTERVAL_MS) return;
     this.lastTimedCheckAt = until;
-    this.rules.look(until);
+    this.rules.checkTimeLimits(until);
   }
 
   /** Number of tasks on machines. */
@@ -66,13 +66,13 @@
       case 'off':
         return this.placements.remove(observation.task, observation.machine);
       case 'done':
-        return this.rules.completed(observation.task);
+        return this.rules.onTaskDone(observation.task);
       case 'asked':
-        return this.rules.asked(at, observation.request);
+        return this.rules.onRequest(at, observation.request);
       case 'told':
-        return this.rules.told(at, observation.sentAt, observation.request, observation.answer);
+        return this.rules.onResponse(at, observation.sentAt, observation.request, observation.answer);
       case 'over':
-        return this.rules.troublesOver(at);
+        return this.rules.onFaultsEnded(at);
     }
   }
 
@@ -80,7 +80,7 @@
     const machine = this.machineOf(machineId);
     const second = Math.floor(at / 1000);
     this.startsBySecond.set(second, (this.startsBySecond.get(second) ?? 0) + 1);
-    if (machine !== undefined) this.rules.placing(at, task, machine);
+    if (machine !== undefined) this.rules.onTaskStart(at, task, machine);
     this.placements.add(task, machineId);
     this.onTaskStart(task, at);
   }
--- a/scripts/experiments/scale/operator.ts
+++ b/scripts/experiments/scale/operator.ts
@@ -3,9 +3,9 @@
 // force, and those of every later revision in the store.
 import { build as histogram } from 'hdr-histogram-js';
 import {
-  askOverHttp,
   ConfigClient,
   ConfigConflictError,
+  callStoreOverHttp,
   StoreUnavailableError,
   storeClient,
 } from '../../../src/cli/config-client.ts';
@@ -87,7 +87,7 @@
     seed: number,
   ) {
     this.http = storeClient(settings);
-    this.client = new ConfigClient(askOverHttp(this.http), settings);
+    this.client = new ConfigClient(callStoreOverHttp(this.http), settings);
     this.random = seededRandom(seed);
   }
 
--- a/scripts/experiments/scale/placements.ts
+++ b/scripts/experiments/scale/placements.ts
@@ -1,7 +1,13 @@
 // An index of the tasks on machines, and the free capacity that machines have had for some time.
 import type { JobSpec } from '../../../src/core/base/model.ts';
 import { parseTaskId, type TaskId } from '../../../src/types/index.ts';
-import type { OnMachine, Place, Placements, Room, TeamAmounts } from '../../../test/support/rule-checker.ts';
+import type {
+  FreeCapacity,
+  MachineInfo,
+  PlacedTask,
+  Placements,
+  TeamAmounts,
+} from '../../../test/support/rule-checker.ts';
 
 /**
  * Number of consecutive samples in which capacity, on a machine or under a limit, must have been free. At one
@@ -10,7 +16,7 @@
 const LASTING_SAMPLES = 15;
 
 /** A task on a machine, and its job. */
-interface TrackedPlacement extends OnMachine {
+interface TrackedPlacement extends PlacedTask {
   job: string;
 }
 
@@ -25,7 +31,7 @@
   size = 0;
 
   constructor(
-    private readonly machineOf: (id: string) => Place | undefined,
+    private readonly machineOf: (id: string) => MachineInfo | undefined,
     private readonly specOf: (job: string) => JobSpec | undefined,
   ) {}
 
@@ -65,15 +71,15 @@
     });
   }
 
-  *all(): Iterable<OnMachine> {
+  *all(): Iterable<PlacedTask> {
     for (const placements of this.byTask.values()) yield* placements;
   }
 
-  ofTask(task: string): OnMachine | undefined {
+  ofTask(task: string): PlacedTask | undefined {
     return this.byTask.get(task)?.[0];
   }
 
-  ofJob(job: string): Iterable<OnMachine> {
+  ofJob(job: string): Iterable<PlacedTask> {
     return this.byJob.get(job) ?? [];
   }
 
@@ -91,7 +97,7 @@
     }
   }
 
-  lastingUseOf(team: string): TeamAmounts {
+  recentPeakUseOf(team: string): TeamAmounts {
     const past = [...(this.pastUseByTeam.get(team) ?? []), this.usedBy(team)];
     return {
       cpus: Math.max(...past.map((use) => use.cpus)),
@@ -100,8 +106,8 @@
   }
 
   /** Free capacity of a machine of this size. */
-  room(machine: Place, size: { cpus: number; gpus: number; memoryGb: number }): Room {
-    const free: Room = { machine, ...size };
+  freeCapacityOf(machine: MachineInfo, size: { cpus: number; gpus: number; memoryGb: number }): FreeCapacity {
+    const free: FreeCapacity = { machine, ...size };
     for (const { job } of this.byMachine.get(machine.id) ?? []) {
       const spec = this.specOf(job);
       if (spec === undefined) continue;
@@ -118,12 +124,12 @@
  * moment, so some machine always has free capacity that its controller has not been informed of yet or has
  * already assigned. Jobs that wait despite such capacity break no rule.
  */
-export class LastingRooms {
+export class LastingFreeCapacity {
   /** The last samples of each machine, by its id. */
-  private readonly recentSamples = new Map<string, Room[]>();
+  private readonly recentSamples = new Map<string, FreeCapacity[]>();
 
   /** Called once a second with the free capacity of every machine that is up. */
-  *look(capacities: Iterable<Room>): Iterable<Room> {
+  *sample(capacities: Iterable<FreeCapacity>): Iterable<FreeCapacity> {
     const up = new Set<string>();
     for (const free of capacities) {
       const { id } = free.machine;
@@ -138,7 +144,7 @@
   }
 }
 
-const minimumOf = (samples: readonly Room[]): Room => ({
+const minimumOf = (samples: readonly FreeCapacity[]): FreeCapacity => ({
   machine: samples[0]!.machine,
   cpus: Math.min(...samples.map((sample) => sample.cpus)),
   gpus: Math.min(...samples.map((sample) => sample.gpus)),
--- a/scripts/experiments/scale/resources.ts
+++ b/scripts/experiments/scale/resources.ts
@@ -41,7 +41,7 @@
 }
 
 /** Returns in one line which resource this machine lacks for such an experiment; null if it lacks none. */
-export function lacking(workers: number, controllers: number): string | null {
+export function findResourceShortage(workers: number, controllers: number): string | null {
   if (!existsSync(daemonProgram().at(-1)!)) return 'target/main.js is missing: npm run build';
   const hosts = hostCountFor(workers);
   const processes = hosts + controllers + 2;
--- a/scripts/experiments/scale/run.ts
+++ b/scripts/experiments/scale/run.ts
@@ -4,8 +4,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import {
-  type Place,
-  type Room,
+  type FreeCapacity,
+  type MachineInfo,
   RuleChecker,
   type TeamAmounts,
   UNLIMITED,
@@ -15,7 +15,7 @@
 import { type Figures, Meter } from './measure.ts';
 import { ObservationQueue } from './observation-queue.ts';
 import { ScaleOperator } from './operator.ts';
-import { LastingRooms, TrackedPlacements } from './placements.ts';
+import { LastingFreeCapacity, TrackedPlacements } from './placements.ts';
 import { daemonProgram, hostCountFor } from './resources.ts';
 import { RunFaults } from './run-faults.ts';
 import {
@@ -57,7 +57,7 @@
 
 /** Executes one run. */
 export class ScaleRun {
-  private readonly placesById = new Map<string, Place>();
+  private readonly placesById = new Map<string, MachineInfo>();
   private readonly placements: TrackedPlacements;
   private readonly rules: RuleChecker;
   private readonly observations: ObservationQueue;
@@ -65,9 +65,9 @@
   private readonly meter: Meter;
   private readonly operator: ScaleOperator;
   private readonly faults: RunFaults;
-  private readonly lastingFreeCapacity = new LastingRooms();
+  private readonly lastingFreeCapacity = new LastingFreeCapacity();
   /** Free capacity of machines that has lasted long enough to be checked by the rules. */
-  private lastingCapacities: Room[] = [];
+  private lastingCapacities: FreeCapacity[] = [];
   private isSampling = true;
 
   private constructor(
@@ -77,7 +77,7 @@
   ) {
     const { demand, seed } = setup;
     const teams = teamsFor(demand, seed);
-    const machineOf = (id: string): Place | undefined => this.placeOf(id);
+    const machineOf = (id: string): MachineInfo | undefined => this.placeOf(id);
     this.placements = new TrackedPlacements(machineOf, (job) => this.users.specOf(job));
     this.rules = new RuleChecker(
       {
@@ -139,7 +139,7 @@
     this.isSampling = false;
     await Promise.all(loops);
     this.observations.advance(wallClock());
-    this.rules.close(wallClock());
+    this.rules.checkAnyTaskStarted(wallClock());
     return this.result(measurement);
   }
 
@@ -167,7 +167,7 @@
       const statuses = await Promise.all(controllers.all.map((controller) => controllers.status(controller)));
       this.meter.sample(statuses);
       this.placements.sampleUse();
-      this.lastingCapacities = [...this.lastingFreeCapacity.look(this.freeCapacities())];
+      this.lastingCapacities = [...this.lastingFreeCapacity.sample(this.freeCapacities())];
       this.reportProgress(statuses);
       await sleep(Math.max(0, SAMPLE_INTERVAL_MS - (performance.now() - startedAt)));
     }
@@ -184,11 +184,11 @@
     const leader = statuses.find((status) => status !== null)?.owner ?? 'none';
     this.onProgress(
       `leader ${leader}, ${this.cluster.upMachines.length} workers, ${this.observations.runningTasks} tasks on them, ` +
-        `${this.users.openJobs} jobs open, ${this.rules.broken.length} rules broken`,
+        `${this.users.openJobs} jobs open, ${this.rules.violations.length} rules broken`,
     );
   }
 
-  private placeOf(id: string): Place | undefined {
+  private placeOf(id: string): MachineInfo | undefined {
     const cached = this.placesById.get(id);
     if (cached !== undefined) return cached;
     const machine = this.cluster.machines.get(id);
@@ -199,10 +199,10 @@
     return place;
   }
 
-  private *freeCapacities(): Iterable<Room> {
+  private *freeCapacities(): Iterable<FreeCapacity> {
     for (const machine of this.cluster.upMachines) {
       const { cpus, gpus, memory_gb } = machine.type === 'plain' ? PLAIN : ACCELERATED;
-      yield this.placements.room(machine, { cpus, gpus, memoryGb: memory_gb });
+      yield this.placements.freeCapacityOf(machine, { cpus, gpus, memoryGb: memory_gb });
     }
   }
 
@@ -243,8 +243,8 @@
       urgent: this.urgentFigures(),
       takeoversS: this.faults.takeoversS,
       users: this.users.figures,
-      broken: rules.broken,
-      unfinished: rules.unfinished().length,
+      broken: rules.violations,
+      unfinished: rules.unfinishedJobs().length,
       lostByLease: cluster.hosts.reduce((total, host) => total + host.counts.lostByLease, 0),
       rented: cluster.rentedCount,
       ended: cluster.controllers.all.reduce((total, controller) => total + controller.unexpectedExits, 0),
--- a/scripts/experiments/scale/services-process.ts
+++ b/scripts/experiments/scale/services-process.ts
@@ -10,7 +10,7 @@
 import type { LocalClusterOptions } from '../../../packages/local-cluster/src/options.ts';
 import type { ListedMachine } from '../../../src/core/base/model.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
-import type { MachineId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../../../src/types/index.ts';
 import { endWithParent, type FromServices, sendToParent, type ToServices } from './messages.ts';
 
 /** A machine whose worker is simulated in a host process. */
@@ -21,7 +21,7 @@
 
   constructor(
     private readonly id: MachineId,
-    readonly type: TypeName,
+    readonly type: MachineTypeName,
     readonly zone: ZoneName,
     readonly spot: boolean,
     now: number,
@@ -40,7 +40,7 @@
     sendToParent<FromServices>({ kind: 'boot', id: this.id });
   }
 
-  die(): void {
+  terminate(): void {
     sendToParent<FromServices>({ kind: 'released', id: this.id });
   }
 }
@@ -64,7 +64,7 @@
     setTimeout(run, ms);
   }
 
-  machine(id: MachineId, type: TypeName, zone: ZoneName, spot: boolean): RemoteMachine {
+  createMachine(id: MachineId, type: MachineTypeName, zone: ZoneName, spot: boolean): RemoteMachine {
     const machine = new RemoteMachine(id, type, zone, spot, this.now);
     this.workers.set(id, machine);
     sendToParent<FromServices>({ kind: 'rented', machine: { id, type, zone, spot } });
@@ -73,7 +73,7 @@
 
   /** Starts to serve, and sends the addresses to the parent process. */
   async serve(): Promise<void> {
-    const state: Listening = await listen(0, this.outsideServices.serveState);
+    const state: Listening = await listen(0, this.outsideServices.serveStore);
     const cloud: Listening = await listen(0, this.outsideServices.serveCloud);
     sendToParent<FromServices>({ kind: 'ready', state: state.addr, cloud: cloud.addr });
   }
@@ -90,7 +90,7 @@
         for (const id of message.ids) this.workers.delete(id);
         return;
       case 'outage':
-        return this.outsideServices.state.outage(message.seconds);
+        return this.outsideServices.store.outage(message.seconds);
       case 'count':
         return sendToParent<FromServices>({ kind: 'counts', counts: { ...this.outsideServices.counts } });
     }
--- a/scripts/experiments/scale/slopes.ts
+++ b/scripts/experiments/scale/slopes.ts
@@ -3,7 +3,7 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { fitLine } from './line-fit.ts';
 import type { Figures } from './measure.ts';
-import { lacking } from './resources.ts';
+import { findResourceShortage } from './resources.ts';
 import { type RunResult, type RunSetup, ScaleRun } from './run.ts';
 import { PLOTTED_MEASURES, type PlottedValue, plotSlopes } from './slopes-plot.ts';
 
@@ -203,7 +203,7 @@
   let broken = 0;
   for (const { series, x, setup } of planPoints(options)) {
     if (points.some((point) => point.series === series && point.x === x)) continue;
-    const shortage = lacking(setup.demand.workers, setup.controllers);
+    const shortage = findResourceShortage(setup.demand.workers, setup.controllers);
     if (shortage !== null) {
       process.stdout.write(`not run ${series} ${x}: ${shortage}\n`);
       continue;
--- a/scripts/experiments/scale/worker-process.ts
+++ b/scripts/experiments/scale/worker-process.ts
@@ -15,7 +15,7 @@
   encodeHeartbeat,
 } from '../../../src/protocol/worker-agent.ts';
 import { seededRandom } from '../../../src/runtime/random.ts';
-import type { MachineId, TaskId, TypeName, ZoneName } from '../../../src/types/index.ts';
+import type { MachineId, MachineTypeName, TaskId, ZoneName } from '../../../src/types/index.ts';
 import { HostTasks } from './host-tasks.ts';
 import {
   endWithParent,
@@ -82,7 +82,7 @@
       case 'boot':
         return this.workers.get(message.id)?.boot();
       case 'die':
-        return this.workers.get(message.id)?.die();
+        return this.workers.get(message.id)?.terminate();
       case 'restart':
         return this.workers.get(message.id)?.restart();
       case 'cut':
@@ -107,19 +107,19 @@
     const worker = new FakeWorker({
       environment: this,
       id: id as MachineId,
-      type: type as TypeName,
+      type: type as MachineTypeName,
       zone: zone as ZoneName,
       spot,
-      target: firstNode,
+      firstNodeIndex: firstNode,
     });
     this.workers.set(id, worker);
     listen(0, (method, path, body, respond) => {
       if (!worker.up) return respond(errorResponse(503, 'it is not up yet'));
       if (method !== 'POST' || path !== '/orders') return respond(errorResponse(404, 'no such path'));
-      const { token, session, commands } = decodeCommands(body);
+      const { fencingToken: token, agentEpoch: session, commands } = decodeCommands(body);
       if (session === null) return respond(errorResponse(400, 'the session is missing'));
       if (this.isCutOff(worker)) return;
-      worker.orders(token, session, commands, (reply) => {
+      worker.handleCommands(token, session, commands, (reply) => {
         if (reply.kind === 'heartbeat')
           respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
       });
@@ -128,12 +128,12 @@
 
   private onListening(worker: FakeWorker, server: Listening): void {
     worker.addr = server.addr;
-    if (worker.dead) return server.close();
+    if (worker.isTerminated) return server.close();
     this.servers.set(worker.id, server);
     sendToParent<FromHost>({ kind: 'listening', id: worker.id, addr: server.addr });
   }
 
-  gone(worker: FakeWorker): void {
+  onMachineTerminated(worker: FakeWorker): void {
     this.counts.lostByLease += worker.lostByLease;
     this.servers.get(worker.id)?.close();
     this.servers.delete(worker.id);
@@ -155,7 +155,7 @@
     return client;
   }
 
-  sendReport(
+  sendHeartbeat(
     worker: FakeWorker,
     node: string,
     heartbeat: Heartbeat,
@@ -169,13 +169,14 @@
     const request = { method: 'POST', path: '/checkin', body, timeoutMs } as const;
     this.clientOf(worker, node).call(request, (reply) => {
       this.counts.bytes += reply?.body.length ?? 0;
-      if (!worker.dead) onReply(reply === null ? null : decodeHeartbeatReply(reply.status, reply.body));
+      if (!worker.isTerminated)
+        onReply(reply === null ? null : decodeHeartbeatReply(reply.status, reply.body));
     });
   }
 
   // ---- tasks
 
-  placed(worker: FakeWorker, task: TaskId): void {
+  onTaskPlaced(worker: FakeWorker, task: TaskId): void {
     this.tasks.onPlaced(worker, task);
   }
 
--- a/scripts/scenario-result.ts
+++ b/scripts/scenario-result.ts
@@ -16,7 +16,7 @@
 /** The result of one day with one seed. */
 export interface ScenarioResult {
   /** The bench's score of the day; null if the bench printed none. */
-  mark: number | null;
+  score: number | null;
   /** Number of violations of the users' rules. */
   broken: number;
   leastClass: ServedFractions | null;
@@ -72,7 +72,7 @@
     ({ restarts }) => restarts.filter((restart) => restart.why !== 'fault').length,
   );
   return {
-    mark: scoreLine === null ? null : Number(scoreLine[1]),
+    score: scoreLine === null ? null : Number(scoreLine[1]),
     broken: report.rules_broken.total,
     leastClass: leastServedClass(report),
     leastTeam: leastServed(leastTeams),
@@ -94,7 +94,7 @@
   if (result.broken > 0) failures.push(`${result.broken} broken rules`);
   if (result.unexpectedExits > 0) failures.push(`${result.unexpectedExits} processes ended by themselves`);
   if (result.cpuS > CPU_MAX_S) failures.push(`${Math.round(result.cpuS)} s of processor time`);
-  if (result.mark === null || result.mark <= 0) failures.push('the day is worth nothing');
+  if (result.score === null || result.score <= 0) failures.push('the day is worth nothing');
   return [...failures, ...serviceFailures(result), ...refusedLeaderFailures(result)];
 }
 
--- a/scripts/scenario-row.ts
+++ b/scripts/scenario-row.ts
@@ -30,7 +30,7 @@
   Math.max(...results.map(of));
 
 const meanScore = (results: readonly ScenarioResult[]): number =>
-  meanOf(results, (result) => result.mark ?? 0);
+  meanOf(results, (result) => result.score ?? 0);
 
 function formatLeast(
   results: readonly ScenarioResult[],
--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -2,14 +2,14 @@
 // if the response to it is lost, a retry with the same id finds that the change was made.
 import type { JobSpec, Settings, StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
 import {
-  changesBackTo,
-  changesTo,
+  changeTransaction,
   type DocumentChange,
+  decodeHistoryEntry,
   type HistoryEntry,
-  preparation,
-  readHistory,
+  planChanges,
+  planRollback,
+  preparationTransaction,
   type StoreTransaction,
-  transactionOf,
 } from '../core/configuration/change.ts';
 import { type ConfigDocument, type ConfigSnapshot, readSnapshot } from '../core/configuration/documents.ts';
 import type { InForceRecord } from '../core/configuration/rollout.ts';
@@ -40,7 +40,7 @@
 export type CallStore = (request: StoreRequest) => Promise<StoreReply>;
 
 /** Sends requests to the store over HTTP. */
-export const askOverHttp =
+export const callStoreOverHttp =
   (client: HttpClient): CallStore =>
   (request) =>
     new Promise((resolve) => {
@@ -97,7 +97,7 @@
   /** The last changes, oldest first. */
   async history(): Promise<HistoryEntry[]> {
     const items = await this.list(CONFIG_HISTORY_PREFIX);
-    return items.map(readHistory).filter((entry) => entry !== null);
+    return items.map(decodeHistoryEntry).filter((entry) => entry !== null);
   }
 
   /** The leader's record of the revision that is in force. */
@@ -114,14 +114,14 @@
 
   /** The changes from a snapshot to the given documents. */
   plan(snapshot: ConfigSnapshot, documents: readonly ConfigDocument[]): DocumentChange[] {
-    return changesTo(snapshot, documents);
+    return planChanges(snapshot, documents);
   }
 
   /**
    * The changes back to the state after change `number`; null if the history no longer holds what they need.
    */
   async planRollback(snapshot: ConfigSnapshot, number: number): Promise<DocumentChange[] | null> {
-    return changesBackTo(snapshot, await this.history(), number);
+    return planRollback(snapshot, await this.history(), number);
   }
 
   /** The change with this id, or null if it was not made. */
@@ -130,9 +130,9 @@
     if (head !== null && head.number > 0 && head.id === id)
       return { revision, number: head.number, repeated: true };
     const items = await this.list(CONFIG_HISTORY_PREFIX);
-    const item = items.find((candidate) => readHistory(candidate)?.id === id);
+    const item = items.find((candidate) => decodeHistoryEntry(candidate)?.id === id);
     if (item === undefined) return null;
-    return { revision: item.revision, number: readHistory(item)!.number, repeated: true };
+    return { revision: item.revision, number: decodeHistoryEntry(item)!.number, repeated: true };
   }
 
   /**
@@ -147,7 +147,7 @@
     const base = isFirst ? await this.snapshot() : snapshot;
     if (isFirst && base.head !== null && base.head.number > 0 && base.head.id !== id)
       throw this.conflictError(base);
-    const transaction = transactionOf(base, changes, id, this.now(), movedAt, this.settings.store);
+    const transaction = changeTransaction(base, changes, id, this.now(), movedAt, this.settings.store);
     return this.commit(transaction, (base.head?.number ?? 0) + 1, id);
   }
 
@@ -212,7 +212,7 @@
   private async moveLeaderRecord(id: string): Promise<Revision> {
     const movedBefore = await this.leaderRecordMovedAt();
     if (movedBefore !== null) return movedBefore;
-    await this.read({ kind: 'compare-and-swap', ...preparation(id, this.now()) });
+    await this.read({ kind: 'compare-and-swap', ...preparationTransaction(id, this.now()) });
     const deadlineMs = this.now() + LEADER_RECORD_MOVE_TIMEOUT_MS;
     while (this.now() < deadlineMs) {
       await this.sleep(POLL_INTERVAL_MS);
--- a/src/cli/config-command.ts
+++ b/src/cli/config-command.ts
@@ -6,9 +6,9 @@
 import { InvalidSettingsError, parseSettings } from '../protocol/settings.ts';
 import { type ChangeFlags, EXIT, makeChange } from './config-change.ts';
 import {
-  askOverHttp,
   ConfigClient,
   ConfigConflictError,
+  callStoreOverHttp,
   StoreUnavailableError,
   storeClient,
 } from './config-client.ts';
@@ -35,7 +35,7 @@
   try {
     const settings = parseSettings(flags.config, readText(flags.config));
     http = storeClient(settings);
-    process.exitCode = await run(new ConfigClient(askOverHttp(http), settings), settings);
+    process.exitCode = await run(new ConfigClient(callStoreOverHttp(http), settings), settings);
   } catch (error) {
     process.exitCode = exitCodeOf(error);
     printError(error);
--- a/src/cli/config-plan.ts
+++ b/src/cli/config-plan.ts
@@ -5,7 +5,7 @@
   type ConfigDocument,
   type ConfigSnapshot,
   documentKey,
-  documentValue,
+  encodeDocument,
   overlay,
 } from '../core/configuration/documents.ts';
 import { quotaViolation } from '../core/teams/quota.ts';
@@ -53,7 +53,7 @@
 
 function describeDocument(document: ConfigDocument | null): string {
   if (document === null) return 'none';
-  const { v: _, ...fields } = documentValue(document);
+  const { v: _, ...fields } = encodeDocument(document);
   return JSON.stringify(fields);
 }
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -6,7 +6,7 @@
 import { registerControllerCommands } from './controller-cli.ts';
 import { registerLocalClusterCommands } from './local-cluster-cli.ts';
 
-const VERSION = '0.10.0';
+const VERSION = '0.10.1';
 
 const program = new Command('swiftford').description('Cluster scheduler').version(VERSION);
 registerControllerCommands(program);
--- a/src/core/admission/fallback-admission.ts
+++ b/src/core/admission/fallback-admission.ts
@@ -116,9 +116,9 @@
       { key: OPEN_JOB_PREFIX + spec.id, revision: 0 as Revision },
       { key: FINAL_STATE_PREFIX + spec.id, revision: 0 as Revision },
       // The write fails if the job was checked against an older configuration than the stored one.
-      { key: CONFIG_NOTIFICATION_KEY, revision: this.configuration.applied },
+      { key: CONFIG_NOTIFICATION_KEY, revision: this.configuration.appliedRevision },
     ];
-    this.io.store(
+    this.io.sendStoreRequest(
       { kind: 'compare-and-swap', conditions, puts: this.encodeRecord(spec)!, deletes: [] },
       StorePriority.query,
       (reply) => this.onWriteReply(spec, reply, respond),
--- a/src/core/admission/feasibility.ts
+++ b/src/core/admission/feasibility.ts
@@ -1,6 +1,6 @@
 // Feasibility checks: finds jobs that can never run, so that their submission is refused at once with the
 // reason.
-import type { TeamName, TypeName, WallTime } from '../../types/index.ts';
+import type { MachineTypeName, TeamName, WallTime } from '../../types/index.ts';
 import type { JobSpec, MachineType, StoreLimits, Team } from '../base/model.ts';
 import { canEverRun, isBoundToOneZone } from '../jobs/placement-constraints.ts';
 import { jobRecordPuts } from '../storage/job-record.ts';
@@ -9,7 +9,7 @@
 /** The reason why the job can never run with these machine types and teams; null if it can run. */
 export function infeasibilityReason(
   spec: JobSpec,
-  types: ReadonlyMap<TypeName, MachineType>,
+  types: ReadonlyMap<MachineTypeName, MachineType>,
   teams: ReadonlyMap<TeamName, Team>,
 ): string | null {
   const team = teams.get(spec.team);
--- a/src/core/admission/load-shedder.ts
+++ b/src/core/admission/load-shedder.ts
@@ -148,7 +148,7 @@
    * Milliseconds by which to extend the timeout of a submission that is forwarded to `node`, because a loaded
    * controller is slow but not unreachable.
    */
-  slownessMs(node: NodeId): number {
+  extraTimeoutMs(node: NodeId): number {
     const load = this.validLoadOf(node);
     return load === null ? 0 : load.backlogS * 1000 + load.level * EXTRA_TIMEOUT_PER_LEVEL_MS;
   }
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -4,9 +4,9 @@
   addMs,
   type Instant,
   LONG_AGO,
+  type MachineTypeName,
   type Millis,
   type Revision,
-  type TypeName,
 } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { MachineType, Settings } from '../base/model.ts';
@@ -46,13 +46,13 @@
   estimates: RuntimeEstimates;
   ordering: JobOrdering;
   term: Revision;
-  types: Map<TypeName, MachineType>;
+  types: Map<MachineTypeName, MachineType>;
 }
 
 /** Adjusts the size of the fleet to its workload. */
 export class Autoscaler {
   /** The machine types that the cloud offers. */
-  readonly types: Map<TypeName, MachineType>;
+  readonly types: Map<MachineTypeName, MachineType>;
   /** Spare capacity for jobs that are expected to arrive. */
   readonly spareCapacity: SpareCapacity;
   private nextPlanAt: Instant = LONG_AGO;
--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -127,14 +127,14 @@
   private tasksAllowedByZone(job: Job): Map<ZoneName, number> {
     const zones = job.spec.zone !== null ? [job.spec.zone] : this.offers.allZones();
     const limit = maxTasksPerZone(job.spec);
-    return new Map(zones.map((zone) => [zone, limit - (job.zones.get(zone) ?? 0)]));
+    return new Map(zones.map((zone) => [zone, limit - (job.tasksByZone.get(zone) ?? 0)]));
   }
 
   /**
    * The zones where the tasks of a job bound to one zone may run: that of its placed tasks, if there are any.
    */
   private eligibleZones(job: Job): ZoneName[] {
-    if (job.zones.size > 0) return [...job.zones.keys()];
+    if (job.tasksByZone.size > 0) return [...job.tasksByZone.keys()];
     if (job.spec.zone !== null) return [job.spec.zone];
     return this.offers.allZones();
   }
--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -32,7 +32,7 @@
   spot: machine.spot,
   cpus: machine.type.cpus - machine.usedCpus,
   gpus: machine.type.gpus - machine.usedGpus,
-  memoryGb: machine.type.memoryGb - machine.usedMemory,
+  memoryGb: machine.type.memoryGb - machine.usedMemoryGb,
   machine,
 });
 
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -5,9 +5,9 @@
   type Instant,
   LONG_AGO,
   type MachineId,
+  type MachineTypeName,
   type Millis,
   NEVER,
-  type TypeName,
 } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply, ListedMachine, MachineType } from '../base/model.ts';
@@ -24,7 +24,7 @@
   constructor(
     private readonly io: ControllerIo,
     private readonly machines: MachineTable,
-    private readonly types: ReadonlyMap<TypeName, MachineType>,
+    private readonly types: ReadonlyMap<MachineTypeName, MachineType>,
     /**
      * Whether a request for machines is in flight: its machines may be listed before the response arrives.
      */
@@ -43,7 +43,7 @@
   }
 
   private requestPage(after: MachineId | null, recovered: boolean): void {
-    this.io.cloud({ kind: 'list', after }, (reply) => this.onPage(reply, recovered));
+    this.io.sendCloudRequest({ kind: 'list', after }, (reply) => this.onPage(reply, recovered));
   }
 
   private onPage(reply: CloudReply, recovered: boolean): void {
@@ -69,7 +69,7 @@
 
   private releaseFailedMachine(machine: Machine): void {
     this.machines.removeAllTasks(machine);
-    machine.drainReason ??= 'failed';
+    machine.cordonReason ??= 'failed';
     machine.isReconciled = true;
     machine.isUp = true;
     this.machines.beginRelease(machine);
--- a/src/core/autoscaling/demand-planner.ts
+++ b/src/core/autoscaling/demand-planner.ts
@@ -1,5 +1,5 @@
 // Plans capacity for the demand: open jobs in the order of `unplacedJobs`, then spare capacity.
-import type { MachineId, TeamName, TypeName } from '../../types/index.ts';
+import type { MachineId, MachineTypeName, TeamName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import type { JobTable } from '../jobs/job-table.ts';
@@ -19,7 +19,7 @@
 export interface DemandPlannerDependencies {
   jobs: JobTable;
   quota: Quota;
-  types: ReadonlyMap<TypeName, MachineType>;
+  types: ReadonlyMap<MachineTypeName, MachineType>;
   supplyForecast: SupplyForecast;
   spareCapacity: SpareCapacity;
   offers: OfferSelection;
@@ -33,7 +33,7 @@
   readonly neededMachines = new Set<MachineId>();
   private readonly jobs: JobTable;
   private readonly quota: Quota;
-  private readonly types: ReadonlyMap<TypeName, MachineType>;
+  private readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   private readonly supplyForecast: SupplyForecast;
   private readonly spareCapacity: SpareCapacity;
   private readonly offers: OfferSelection;
@@ -73,7 +73,7 @@
    */
   private unplacedJobs(): Job[] {
     const jobs = [...this.jobs.openJobs.values()].filter(
-      (job) => !job.isCancelling && job.unplacedTasks > 0 && job.failedOn.size < MAX_FAILED_MACHINES,
+      (job) => !job.isCancelling && job.unplacedTasks > 0 && job.failedMachines.size < MAX_FAILED_MACHINES,
     );
     return jobs.sort(
       (a, b) =>
--- a/src/core/autoscaling/offer-selection.ts
+++ b/src/core/autoscaling/offer-selection.ts
@@ -1,5 +1,5 @@
 // Selects the cloud's offers that a job's tasks can run on, and orders them by price per task.
-import type { TypeName, ZoneName } from '../../types/index.ts';
+import type { MachineTypeName, ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { JobSpec, MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
@@ -34,7 +34,7 @@
 /** Dependencies of {@link OfferSelection}. */
 export interface OfferSelectionDependencies {
   io: ControllerIo;
-  types: ReadonlyMap<TypeName, MachineType>;
+  types: ReadonlyMap<MachineTypeName, MachineType>;
   ordering: JobOrdering;
   backoff: OfferBackoff;
   reachability: ZoneReachability;
@@ -43,7 +43,7 @@
 /** Selects the offers for a job. */
 export class OfferSelection {
   private readonly io: ControllerIo;
-  private readonly types: ReadonlyMap<TypeName, MachineType>;
+  private readonly types: ReadonlyMap<MachineTypeName, MachineType>;
   private readonly ordering: JobOrdering;
   private readonly backoff: OfferBackoff;
   private readonly reachability: ZoneReachability;
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -106,7 +106,7 @@
       return ageMs > timeoutMs ? 'never came up' : null;
     }
     if (!machine.isEmpty || hasUnrecordedResults(machine)) return null;
-    if (machine.drainReason !== null) return machine.drainReason;
+    if (machine.cordonReason !== null) return machine.cordonReason;
     if (!machine.isReconciled || ageMs < MIN_AGE_MS || this.neededMachines.has(machine.id)) return null;
     return now - machine.idleSince > bootS * IDLE_MS_PER_BOOT_S ? 'idle' : null;
   }
@@ -116,7 +116,7 @@
     const ids = machines.map((machine) => machine.id);
     this.io.log('info', 'releasing machines', { reasons: Object.fromEntries(reasons), machines: ids });
     this.isCallInFlight = true;
-    this.io.cloud({ kind: 'release', machines: ids }, (reply) => this.onReply(machines, reply));
+    this.io.sendCloudRequest({ kind: 'release', machines: ids }, (reply) => this.onReply(machines, reply));
   }
 
   private onReply(machines: readonly Machine[], reply: CloudReply): void {
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -77,7 +77,7 @@
       if (!this.callBudget.take(this.io.now)) continue;
       request.isInFlight = true;
       const { name, type, zone, spot, count } = request;
-      this.io.cloud({ kind: 'rent', request: name, type: type.name, zone, spot, count }, (reply) =>
+      this.io.sendCloudRequest({ kind: 'rent', request: name, type: type.name, zone, spot, count }, (reply) =>
         this.onReply(request, reply),
       );
     }
--- a/src/core/autoscaling/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -102,7 +102,7 @@
     if (elapsedMs(this.io.now, last.at) > MAX_SILENCE_GAPS * gapMs) return null;
     // Arrivals during a boot are assumed to be Poisson distributed, so that their variance equals their mean.
     const expectedJobs = (readyS * 1000) / gapMs;
-    const jobs = expectedJobs + quantile(objective.share) * Math.sqrt(expectedJobs);
+    const jobs = expectedJobs + standardNormalQuantile(objective.share) * Math.sqrt(expectedJobs);
     const tasksPerJob = arrivals.reduce((sum, arrival) => sum + arrival.tasks, 0) / arrivals.length;
     return {
       job: latest,
@@ -152,7 +152,7 @@
  * The quantile of the standard normal distribution for probabilities of at least 0.5, with an error of a few
  * hundredths at most (Abramowitz and Stegun, 26.2.22).
  */
-export function quantile(share: number): number {
+export function standardNormalQuantile(share: number): number {
   const probability = Math.min(MAX_PROBABILITY, Math.max(MIN_PROBABILITY, share));
   const t = Math.sqrt(-2 * Math.log(1 - probability));
   return Math.max(0, t - (2.30753 + 0.27061 * t) / (1 + 0.99229 * t + 0.04481 * t * t));
--- a/src/core/autoscaling/supply-forecast.ts
+++ b/src/core/autoscaling/supply-forecast.ts
@@ -56,7 +56,7 @@
     const pending = new Map<MachineType, number>();
     this.reachability.update(this.machines.byId.values());
     for (const machine of this.machines.byId.values()) {
-      if (machine.isReleasing || machine.drainReason !== null) continue;
+      if (machine.isReleasing || machine.cordonReason !== null) continue;
       if (this.reachability.isUnreachable(machine.zone)) continue;
       // Machines that are only requested do not count as pending: the cloud may not provide them.
       if (!machine.isUp) pending.set(machine.type, (pending.get(machine.type) ?? 0) + 1);
--- a/src/core/autoscaling/zone-reachability.ts
+++ b/src/core/autoscaling/zone-reachability.ts
@@ -57,7 +57,7 @@
     if (!machine.isUp || machine.isReleasing) continue;
     const counts = zones.get(machine.zone) ?? { reporting: 0, silent: 0 };
     zones.set(machine.zone, counts);
-    if (machine.isOverdue || machine.drainReason === CordonReason.silent) counts.silent++;
+    if (machine.isOverdue || machine.cordonReason === CordonReason.silent) counts.silent++;
     else counts.reporting++;
   }
   return zones;
--- a/src/core/base/agent-model.ts
+++ b/src/core/base/agent-model.ts
@@ -3,9 +3,9 @@
   Attempt,
   FencingToken,
   MachineId,
+  MachineTypeName,
   NodeId,
   TaskId,
-  TypeName,
   ZoneName,
 } from '../../types/index.ts';
 
@@ -38,7 +38,7 @@
   machine: MachineId;
   /** Address at which the agent answers probes. */
   addr: string;
-  type: TypeName;
+  type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
   /**
--- a/src/core/base/cloud-model.ts
+++ b/src/core/base/cloud-model.ts
@@ -1,9 +1,9 @@
 // Machine types, and the requests and replies of the cloud API from which machines are rented.
-import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../../types/index.ts';
 
 /** A machine type that can be rented. */
 export interface MachineType {
-  name: TypeName;
+  name: MachineTypeName;
   cpus: number;
   gpus: number;
   memoryGb: number;
@@ -25,7 +25,7 @@
 export interface ListedMachine {
   id: MachineId;
   addr: string;
-  type: TypeName;
+  type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
   status: 'booting' | 'running' | 'failed';
@@ -37,7 +37,7 @@
 export type CloudRequest =
   | { kind: 'types' }
   /** `request`: idempotency key. */
-  | { kind: 'rent'; request: string; type: TypeName; zone: ZoneName; spot: boolean; count: number }
+  | { kind: 'rent'; request: string; type: MachineTypeName; zone: ZoneName; spot: boolean; count: number }
   | { kind: 'release'; machines: MachineId[] }
   /** Lists machines in the order of their ids, starting after the id `after`. */
   | { kind: 'list'; after: MachineId | null };
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -143,7 +143,7 @@
    * Sends a request to the store as soon as the budget allows. A request that is dropped from the queue
    * before that gets the reply `refused`.
    */
-  store(
+  sendStoreRequest(
     request: StoreRequest,
     priority: StorePriority,
     onReply: (reply: StoreReply) => void,
@@ -161,7 +161,11 @@
   }
 
   /** Sends a request to the cloud. */
-  cloud(request: CloudRequest, onReply: (reply: CloudReply) => void, timeoutMs = CLOUD_TIMEOUT_MS): void {
+  sendCloudRequest(
+    request: CloudRequest,
+    onReply: (reply: CloudReply) => void,
+    timeoutMs = CLOUD_TIMEOUT_MS,
+  ): void {
     const receive = (reply: CloudReply): void => {
       this.recordHealth(this.cloudHealth, reply);
       onReply(reply);
--- a/src/core/base/job-model.ts
+++ b/src/core/base/job-model.ts
@@ -1,5 +1,5 @@
 // The specification of a job as its user submits it, and its status.
-import type { JobId, TeamName, TypeName, ZoneName } from '../../types/index.ts';
+import type { JobId, MachineTypeName, TeamName, ZoneName } from '../../types/index.ts';
 
 /**
  * `array`: tasks run independently. `gang`: all tasks run at once. `service`: tasks run until the job is
@@ -29,7 +29,7 @@
   /** Size of the container image. */
   imageGb: number;
   /** Machine types on which tasks may run; null for any. */
-  machineTypes: TypeName[] | null;
+  machineTypes: MachineTypeName[] | null;
   /** The only zone in which tasks may run; null for any. */
   zone: ZoneName | null;
   /** All tasks must run in one zone. */
--- a/src/core/configuration/change.ts
+++ b/src/core/configuration/change.ts
@@ -6,19 +6,19 @@
 
 export {
   type DocumentChange,
-  decodeHistoryEntry as readHistory,
+  decodeHistoryEntry,
   HISTORY_LENGTH,
   type HistoryEntry,
 } from './change-history.ts';
 export {
   ChangeTooLargeError,
-  changeTransaction as transactionOf,
-  preparationTransaction as preparation,
+  changeTransaction,
+  preparationTransaction,
   type StoreTransaction,
 } from './change-transaction.ts';
 
 /** The changes that lead from the snapshot to the wanted documents; all other documents stay as they are. */
-export function changesTo(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
+export function planChanges(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
   return diffDocuments(
     snapshot,
     wanted.map((document) => [documentKey(document), document]),
@@ -29,7 +29,7 @@
  * The changes that lead from the snapshot back to the documents as of the change with this number; null if
  * the history does not reach back that far.
  */
-export function changesBackTo(
+export function planRollback(
   snapshot: ConfigSnapshot,
   history: readonly HistoryEntry[],
   number: number,
--- a/src/core/configuration/configuration.ts
+++ b/src/core/configuration/configuration.ts
@@ -45,9 +45,9 @@
   /** The settings and documents that this controller acts on. */
   effective: EffectiveConfig;
   /** The revision of the applied documents; 0 if there are none. */
-  applied = 0 as Revision;
+  appliedRevision = 0 as Revision;
   /** The newest revision that this controller knows of. */
-  newest = 0 as Revision;
+  newestRevision = 0 as Revision;
   /** The time since which a newer revision than the applied one has been known; null if none is known. */
   private laggingSince: Instant | null = null;
   private appliedAt: Instant = LONG_AGO;
@@ -71,7 +71,7 @@
 
   /** Whether there are documents, or an operator has announced the first ones. */
   get hasDocuments(): boolean {
-    return this.newest > 0;
+    return this.newestRevision > 0;
   }
 
   /** The time for which a newer revision has been known but not applied. */
@@ -80,15 +80,15 @@
   }
 
   /** Whether the applied revision has been outdated for so long that no tasks may be started under it. */
-  get isOverdue(): boolean {
+  get isTooStaleToStart(): boolean {
     return this.lagMs > STOP_STARTS_LAG_MS;
   }
 
   /** Called with a revision that is on record in the store or applied by another node. */
   onRevisionSeen(revision: Revision): void {
-    if (revision <= this.newest) return;
-    this.newest = revision;
-    if (this.applied < revision) this.laggingSince ??= this.io.now;
+    if (revision <= this.newestRevision) return;
+    this.newestRevision = revision;
+    if (this.appliedRevision < revision) this.laggingSince ??= this.io.now;
     this.readIfBehind();
   }
 
@@ -98,14 +98,19 @@
   }
 
   private readIfBehind(): void {
-    if (this.isReading || this.applied >= this.newest || this.io.now < this.nextReadAt) return;
+    if (this.isReading || this.appliedRevision >= this.newestRevision || this.io.now < this.nextReadAt)
+      return;
     this.isReading = true;
     this.nextReadAt = addMs(this.io.now, MIN_READ_INTERVAL_MS + this.io.random.below(READ_JITTER_MS));
     // Leases and the writes of the leader have a higher priority.
-    this.io.store({ kind: 'list', prefix: CONFIG_PREFIX, after: null }, StorePriority.work, (reply) => {
-      this.isReading = false;
-      this.onRead(reply);
-    });
+    this.io.sendStoreRequest(
+      { kind: 'list', prefix: CONFIG_PREFIX, after: null },
+      StorePriority.work,
+      (reply) => {
+        this.isReading = false;
+        this.onRead(reply);
+      },
+    );
   }
 
   private onRead(reply: StoreReply): void {
@@ -115,7 +120,7 @@
       const snapshot = reply.more ? null : readSnapshot(reply.items);
       // The snapshot is applied even if a newer revision is known already: during frequent changes that is
       // always so, and otherwise no revision would be applied.
-      if (snapshot === null || snapshot.revision <= this.applied) return this.backOff();
+      if (snapshot === null || snapshot.revision <= this.appliedRevision) return this.backOff();
       this.apply(snapshot);
     } catch (error) {
       if (!(error instanceof UnreadableDocumentError)) throw error;
@@ -137,28 +142,28 @@
   }
 
   private apply(snapshot: ConfigSnapshot): void {
-    const from = this.applied;
+    const from = this.appliedRevision;
     const previous = this.effective;
     const afterMs = Math.round(this.lagMs);
     this.consecutiveFailures = 0;
     this.loggedUnreadable = null;
-    this.applied = snapshot.revision;
-    this.newest = Math.max(this.newest, snapshot.revision) as Revision;
-    this.laggingSince = this.applied < this.newest ? this.io.now : null;
+    this.appliedRevision = snapshot.revision;
+    this.newestRevision = Math.max(this.newestRevision, snapshot.revision) as Revision;
+    this.laggingSince = this.appliedRevision < this.newestRevision ? this.io.now : null;
     this.appliedAt = this.io.now;
     this.documentCount = snapshot.documents.length;
     this.effective = overlay(this.base, snapshot.documents);
     const number = snapshot.head?.number ?? 0;
-    this.io.log('info', 'configuration applied', { from, to: this.applied, number, afterMs });
-    this.onApplied({ from, to: this.applied, isLimitLowered: lowersLimit(previous, this.effective) });
+    this.io.log('info', 'configuration applied', { from, to: this.appliedRevision, number, afterMs });
+    this.onApplied({ from, to: this.appliedRevision, isLimitLowered: lowersLimit(previous, this.effective) });
   }
 
   /** The status output for operators. */
   describe(): Record<string, unknown> {
     const wasApplied = this.appliedAt !== LONG_AGO;
     return {
-      revision: this.applied,
-      newest: this.newest,
+      revision: this.appliedRevision,
+      newest: this.newestRevision,
       documents: this.documentCount,
       ageS: wasApplied ? Math.round(elapsedMs(this.io.now, this.appliedAt) / 1000) : null,
       lagS: Math.round(this.lagMs / 100) / 10,
--- a/src/core/configuration/documents.ts
+++ b/src/core/configuration/documents.ts
@@ -6,7 +6,7 @@
 import { decodeDocument, decodeHead } from './document-codec.ts';
 import type { ConfigSnapshot } from './document-types.ts';
 
-export { documentKey, encodeDocument as documentValue, UnreadableDocumentError } from './document-codec.ts';
+export { documentKey, encodeDocument, UnreadableDocumentError } from './document-codec.ts';
 export type {
   ConfigDocument,
   ConfigHead,
--- a/src/core/configuration/rollout.ts
+++ b/src/core/configuration/rollout.ts
@@ -64,7 +64,7 @@
    * Called when the term has loaded its records. Start commands of an earlier leader may still be in transit.
    */
   begin(): void {
-    if (this.configuration.hasDocuments) this.addPending(this.configuration.applied, true);
+    if (this.configuration.hasDocuments) this.addPending(this.configuration.appliedRevision, true);
   }
 
   /** Called when the leader has applied a revision. */
@@ -80,7 +80,7 @@
     if (holdsLease) this.declareNext();
     if (this.io.now < this.nextLagCheckAt) return;
     this.nextLagCheckAt = addMs(this.io.now, LAG_CHECK_INTERVAL_MS);
-    for (const peer of this.peerRevisions()) this.lagMonitor.check(peer, this.configuration.applied);
+    for (const peer of this.peerRevisions()) this.lagMonitor.check(peer, this.configuration.appliedRevision);
   }
 
   /** The status output for operators: the revision in force, and the lag of each lagging node in seconds. */
--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -245,7 +245,7 @@
         memoryShort: load.memoryShort,
         workers: this.connectionBalancer.weight,
         backlogS,
-        configRevision: this.configuration.applied,
+        configRevision: this.configuration.appliedRevision,
       },
       this.election.term,
     );
--- a/src/core/controller/command-authority.ts
+++ b/src/core/controller/command-authority.ts
@@ -69,7 +69,7 @@
    * configuration documents, no task is started after the lease has expired.
    */
   mayStart(): boolean {
-    if (this.configuration.isOverdue) return false;
+    if (this.configuration.isTooStaleToStart) return false;
     if (this.election.holdsLease) return true;
     if (this.configuration.hasDocuments) return false;
     return this.settings.peers.every((peer) => this.peerLiveness.isAlive(peer.node));
--- a/src/core/controller/controller-status.ts
+++ b/src/core/controller/controller-status.ts
@@ -70,7 +70,7 @@
     const { io, settings, leadership, peers, connectionBalancer, loadShedder } = this.dependencies;
     const { leaderTerm, election } = leadership;
     const machines = [...(leaderTerm?.machines.byId.values() ?? [])];
-    const draining = machines.filter((machine) => machine.drainReason !== null);
+    const draining = machines.filter((machine) => machine.cordonReason !== null);
     return {
       node: settings.node,
       owner: election.leader?.node ?? null,
@@ -91,7 +91,7 @@
       configuration: this.describeConfiguration(),
       finalStatesToRead: leaderTerm?.dependencies.unresolvedCount ?? 0,
       machines: machines.length,
-      draining: draining.map((machine) => `${machine.id}: ${machine.drainReason}`),
+      draining: draining.map((machine) => `${machine.id}: ${machine.cordonReason}`),
     };
   }
 
--- a/src/core/controller/heartbeat-router.ts
+++ b/src/core/controller/heartbeat-router.ts
@@ -125,6 +125,6 @@
   private shouldDefer(leader: LeaderRecord | null, isConnected: boolean): boolean {
     if (isConnected) return leader !== null && this.forwarder.leaderMayHaveEnded(leader.node);
     if (this.peers.connectedPeers.size === 0) return false;
-    return leader === null || this.forwarder.disconnectedRecently(leader.node);
+    return leader === null || this.forwarder.wasDisconnectedRecently(leader.node);
   }
 }
--- a/src/core/controller/leader-requests.ts
+++ b/src/core/controller/leader-requests.ts
@@ -72,7 +72,7 @@
     const job = term.jobs.openJobs.get(request.id);
     // The write that ends or cancels the job is in progress: respond once its result is known.
     if (job?.terminalWrite?.progress === 'sent') {
-      job.afterEnd.push(() => this.serveAgain(term, request, respond));
+      job.afterWriteCallbacks.push(() => this.serveAgain(term, request, respond));
       return;
     }
     const known = term.userRequests.status(request.id);
--- a/src/core/controller/leadership.ts
+++ b/src/core/controller/leadership.ts
@@ -46,7 +46,7 @@
       io,
       self: settings.node,
       rank: settings.peers.filter((peer) => peer.node < settings.node).length,
-      nodes: settings.peers.length + 1,
+      nodeCount: settings.peers.length + 1,
       listener: this,
     });
     const { election } = this;
--- a/src/core/controller/user-request-router.ts
+++ b/src/core/controller/user-request-router.ts
@@ -162,7 +162,7 @@
    */
   private forwardTimeoutMs(op: UserRequest['op'], leader: NodeId): number {
     if (op !== 'submit') return FORWARD_TIMEOUT_MS[op];
-    const timeoutMs = FORWARD_TIMEOUT_MS.submit + this.loadShedder.slownessMs(leader);
+    const timeoutMs = FORWARD_TIMEOUT_MS.submit + this.loadShedder.extraTimeoutMs(leader);
     return Math.min(timeoutMs, SERVE_TIMEOUT_MS.submit);
   }
 }
--- a/src/core/heartbeats/heartbeat-forwarder.ts
+++ b/src/core/heartbeats/heartbeat-forwarder.ts
@@ -205,7 +205,7 @@
   }
 
   /** Whether the link to the peer was lost within the last seconds. */
-  disconnectedRecently(node: NodeId): boolean {
+  wasDisconnectedRecently(node: NodeId): boolean {
     return this.liveness.wasDisconnectedRecently(node);
   }
 
--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -44,13 +44,13 @@
   }
 
   private list(after: string | null): void {
-    this.io.store({ kind: 'list', prefix: OPEN_JOB_PREFIX, after }, StorePriority.work, (reply) =>
+    this.io.sendStoreRequest({ kind: 'list', prefix: OPEN_JOB_PREFIX, after }, StorePriority.work, (reply) =>
       this.onList(reply),
     );
   }
 
   private watch(after: Revision): void {
-    this.io.store(
+    this.io.sendStoreRequest(
       { kind: 'watch', prefix: OPEN_JOB_PREFIX, after, waitMs: WATCH_WAIT_MS },
       StorePriority.work,
       (reply) => this.onChanges(reply),
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -64,10 +64,10 @@
     let cancelledDependency: JobId | null = null;
     for (const id of new Set(job.spec.dependsOn)) {
       const openDependency = this.jobs.openJobs.get(id);
-      const final = this.jobs.finalState(id);
+      const final = this.jobs.cachedFinalState(id);
       if (openDependency?.cancelled || final?.status === 'cancelled') cancelledDependency ??= id;
       if (final?.status === 'done') {
-        job.readyWall = Math.max(job.readyWall, final.endedAt) as WallTime;
+        job.readyWallTime = Math.max(job.readyWallTime, final.endedAt) as WallTime;
         continue;
       }
       this.addEdge(job, id);
@@ -103,7 +103,7 @@
     this.dependents.delete(id);
     for (const job of dependents) {
       job.unmetDependencies.delete(id);
-      job.readyWall = Math.max(job.readyWall, endedAt) as WallTime;
+      job.readyWallTime = Math.max(job.readyWallTime, endedAt) as WallTime;
       if (job.unmetDependencies.size === 0) this.unblock(job);
     }
   }
@@ -144,7 +144,7 @@
     if (job.cancelled || job.isOver) return false;
     job.cancelled = true;
     this.io.log('info', 'job cancelled because a dependency is cancelled', { job: job.id, dependency });
-    this.jobs.onEnded(job);
+    this.jobs.onSchedulingEnded(job);
     return true;
   }
 
@@ -190,7 +190,7 @@
   private latestStart(job: Job): number {
     const { deadlineS } = job.spec;
     const ownDeadline = deadlineS === null ? Number.POSITIVE_INFINITY : job.acceptedAt + deadlineS * 1000;
-    return Math.min(job.inheritedDeadline, ownDeadline) - this.estimates.runS(job) * 1000;
+    return Math.min(job.inheritedDeadline, ownDeadline) - this.estimates.expectedRunS(job) * 1000;
   }
 
   // ---- uncertainty
@@ -201,7 +201,7 @@
    * get a status of the job from this leader: another controller may already have responded that it is
    * cancelled.
    */
-  isUncertain(job: Job): boolean {
+  mayBeCancelledByDependency(job: Job): boolean {
     if (job.unmetDependencies.size === 0) return false;
     if (this.lookup.unresolvedCount === 0 && !this.jobs.hasPendingCancellations) return false;
     // Dependencies of dependencies are added to the set during the iteration, which then visits them too.
--- a/src/core/jobs/final-state-lookup.ts
+++ b/src/core/jobs/final-state-lookup.ts
@@ -109,7 +109,7 @@
 
   private read(id: JobId): void {
     this.readsInFlight++;
-    this.io.store({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.work, (reply) => {
+    this.io.sendStoreRequest({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.work, (reply) => {
       this.readsInFlight--;
       this.onReply(id, reply);
       this.sendReads();
@@ -122,7 +122,7 @@
       return;
     }
     // A repeated submission of the job may have caused its final state to be read in the meantime.
-    const cached = this.jobs.finalState(id);
+    const cached = this.jobs.cachedFinalState(id);
     if (cached !== null) return this.consumer.onFinalState(id, cached.status, cached.endedAt);
     if (reply.kind === 'item') {
       const { status, endedAt } = decodeFinalState(reply.item);
--- a/src/core/jobs/final-states.ts
+++ b/src/core/jobs/final-states.ts
@@ -40,7 +40,7 @@
 
   /** Reads a final state from the store, caches it, and responds with it or with `not-found`. */
   read(id: JobId, respond: (response: UserResponse) => void): void {
-    this.io.store({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.query, (reply) => {
+    this.io.sendStoreRequest({ kind: 'get', key: FINAL_STATE_PREFIX + id }, StorePriority.query, (reply) => {
       if (reply.kind === 'item') {
         const { status, endedAt } = decodeFinalState(reply.item);
         this.set(id, status, endedAt ?? undefined);
--- a/src/core/jobs/job-acceptance.ts
+++ b/src/core/jobs/job-acceptance.ts
@@ -89,7 +89,7 @@
       verifyKey: OPEN_JOB_PREFIX + spec.id,
       writeId,
       priority: WritePriority.accept,
-      turn: pendingWrites,
+      teamQueuePosition: pendingWrites,
       onResult: (result) => this.onWritten(spec, acceptedAt, dependencyParts, result),
     });
   }
--- a/src/core/jobs/job-events.ts
+++ b/src/core/jobs/job-events.ts
@@ -23,7 +23,7 @@
   /** A job that is not cancelled has become open. */
   onAccepted(job: Job): void;
   /** No more tasks of the job may start: it has ended, or its cancellation is stored or being written. */
-  onEnded(job: Job): void;
+  onSchedulingEnded(job: Job): void;
   /** A cancellation could not be stored: the job's tasks have to be scheduled again. */
   onCancellationFailed(): void;
   /** The job's final state is stored. */
--- a/src/core/jobs/job-ordering.ts
+++ b/src/core/jobs/job-ordering.ts
@@ -43,7 +43,7 @@
   }
 
   /** Expected run time in seconds of a task of the job. */
-  runS(job: Job): number {
+  expectedRunS(job: Job): number {
     return job.spec.estimatedRunS * (this.ratioByClass.get(job.spec.class) ?? 1);
   }
 
@@ -52,7 +52,7 @@
    * run time is expected to run for as long again as it has exceeded it.
    */
   remainingS(job: Job, elapsedS: number): number {
-    const untilExpectedEndS = this.runS(job) - elapsedS;
+    const untilExpectedEndS = this.expectedRunS(job) - elapsedS;
     return untilExpectedEndS > 0 ? untilExpectedEndS : MIN_REMAINING_S - untilExpectedEndS;
   }
 }
@@ -84,8 +84,8 @@
    * and those of its dependents, from acceptance.
    */
   latestStartsS(job: Job): number[] {
-    const runS = this.estimates.runS(job);
-    const readyS = (job.readyWall - job.acceptedAt) / 1000;
+    const runS = this.estimates.expectedRunS(job);
+    const readyS = (job.readyWallTime - job.acceptedAt) / 1000;
     const latestStartsS: number[] = [];
     for (const objective of this.objectivesByClass.get(job.spec.class) ?? []) {
       const latestStartS = latestStartForObjective(job, objective, readyS, runS);
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -23,8 +23,8 @@
   listener: JobListener | null = null;
   /** See {@link JobEvents.onAccepted}. */
   onAccepted: (job: Job) => void = () => {};
-  /** See {@link JobEvents.onEnded}. */
-  onEnded: (job: Job) => void = () => {};
+  /** See {@link JobEvents.onSchedulingEnded}. */
+  onSchedulingEnded: (job: Job) => void = () => {};
   /** See {@link JobEvents.onCancellationFailed}. */
   onCancellationFailed: () => void = () => {};
   /** See {@link JobEvents.onClosed}. */
@@ -89,7 +89,7 @@
   }
 
   /** The cached final state; null if none is cached, which does not mean that the job is open. */
-  finalState(id: JobId): CachedFinalState | null {
+  cachedFinalState(id: JobId): CachedFinalState | null {
     return this.finalStates.get(id);
   }
 
--- a/src/core/jobs/job-termination.ts
+++ b/src/core/jobs/job-termination.ts
@@ -73,12 +73,12 @@
     if (job.cancelled) return respond({ kind: 'ended', id: job.id, status: 'cancelled' });
     if (job.isWritingRecord) {
       // The write in progress may end the job: only its outcome decides how this request is answered.
-      job.afterEnd.push(() => this.cancelAfterWrite(job, respond));
+      job.afterWriteCallbacks.push(() => this.cancelAfterWrite(job, respond));
       return;
     }
     job.cancelRequested = true;
     this.pendingCancellationCount++;
-    this.events.onEnded(job);
+    this.events.onSchedulingEnded(job);
     const writeId = this.writer.nextWriteId();
     const key = OPEN_JOB_PREFIX + job.id;
     const write: FencedWrite = {
@@ -152,7 +152,7 @@
   private markCancelled(job: Job): void {
     job.cancelled = true;
     this.io.log('info', 'job cancelled', { job: job.id });
-    this.events.onEnded(job);
+    this.events.onSchedulingEnded(job);
     this.events.listener?.onCancelled(job);
   }
 
@@ -194,14 +194,18 @@
    */
   private refreshRevision(job: Job): void {
     job.isWritingRecord = true;
-    this.io.store({ kind: 'get', key: OPEN_JOB_PREFIX + job.id }, StorePriority.leader, (reply) => {
-      job.isWritingRecord = false;
-      if (reply.kind === 'item') {
-        job.revision = reply.item.revision;
-        if (decodeJobRecord(reply.item).cancelled) this.onStoredCancellation(job, reply.item);
-      }
-      runAfterWrite(job);
-    });
+    this.io.sendStoreRequest(
+      { kind: 'get', key: OPEN_JOB_PREFIX + job.id },
+      StorePriority.leader,
+      (reply) => {
+        job.isWritingRecord = false;
+        if (reply.kind === 'item') {
+          job.revision = reply.item.revision;
+          if (decodeJobRecord(reply.item).cancelled) this.onStoredCancellation(job, reply.item);
+        }
+        runAfterWrite(job);
+      },
+    );
   }
 
   private close(job: Job, status: FinalStatus, endedAt: WallTime): void {
@@ -211,7 +215,7 @@
     this.progress.remove(job);
     this.finalStates.set(job.id, status, endedAt);
     this.io.log('debug', 'job ended', { job: job.id, status });
-    this.events.onEnded(job);
+    this.events.onSchedulingEnded(job);
     this.events.onClosed(job, status);
     this.events.listener?.onClosed(job, status, endedAt);
     runAfterWrite(job);
@@ -247,5 +251,5 @@
 }
 
 function runAfterWrite(job: Job): void {
-  for (const callback of job.afterEnd.splice(0)) callback();
+  for (const callback of job.afterWriteCallbacks.splice(0)) callback();
 }
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -74,7 +74,7 @@
   /** Its final state is stored. */
   isOver = false;
   /** Callbacks to run once when the current write to the job's record has ended, whatever its result. */
-  afterEnd: (() => void)[] = [];
+  afterWriteCallbacks: (() => void)[] = [];
 
   /** Assignments of tasks that are on machines, or may be, by task index. */
   readonly assignments = new Map<number, TaskAssignment>();
@@ -90,12 +90,12 @@
    */
   mayHaveUnlocatedTasks: boolean;
   /** Number of its tasks on machines and in machines' queues, by zone. */
-  readonly zones = new Map<ZoneName, number>();
+  readonly tasksByZone = new Map<ZoneName, number>();
 
   /** Number of task failures since the last success. */
   failures = 0;
   /** The machines on which these failures occurred. */
-  readonly failedOn = new Set<MachineId>();
+  readonly failedMachines = new Set<MachineId>();
   /** No task is started before this time. */
   retryAt: Instant = LONG_AGO;
   /** The attempt number that all tasks of a gang share; null while none of them is assigned. */
@@ -111,7 +111,7 @@
   /** Dependencies that are not known to be done; maintained by {@link Dependencies}. */
   readonly unmetDependencies = new Set<JobId>();
   /** Wall time since which the job waits: when its last dependency was done, or its acceptance. */
-  readyWall: WallTime;
+  readyWallTime: WallTime;
   /** The monotonic time since which the job waits, but not before this controller first saw it. */
   readyAt: Instant;
   /** The highest priority among the job itself and its direct and indirect dependents. */
@@ -144,7 +144,7 @@
     this.waitingJobs = init.waitingJobs ?? null;
     const { spec, acceptedAt, seenAt, mayHaveUnlocatedTasks } = init;
     this.isBlocked = (spec.dependsOn ?? []).length > 0;
-    this.readyWall = acceptedAt;
+    this.readyWallTime = acceptedAt;
     this.readyAt = seenAt;
     this.priority = spec.priority;
     this.mayHaveUnlocatedTasks = mayHaveUnlocatedTasks;
@@ -283,9 +283,9 @@
 
   /** Counts a task that was added to a machine or queue in the zone (1), or removed from it (-1). */
   countInZone(zone: ZoneName, change: 1 | -1): void {
-    const taskCount = (this.zones.get(zone) ?? 0) + change;
-    if (taskCount > 0) this.zones.set(zone, taskCount);
-    else this.zones.delete(zone);
+    const taskCount = (this.tasksByZone.get(zone) ?? 0) + change;
+    if (taskCount > 0) this.tasksByZone.set(zone, taskCount);
+    else this.tasksByZone.delete(zone);
   }
 
   // ---- done tasks
--- a/src/core/leader/held-responses.ts
+++ b/src/core/leader/held-responses.ts
@@ -148,7 +148,7 @@
    * at once, since the end of a task would otherwise be reported late.
    */
   private awaitsWork({ machine, commands, runsServicesOnly }: HeldResponse): boolean {
-    if (commands.length > 0 || !machine.isReconciled || machine.drainReason !== null) return false;
+    if (commands.length > 0 || !machine.isReconciled || machine.cordonReason !== null) return false;
     if (machine.isEmpty) return true;
     if (!runsServicesOnly || machine.indexPosition === null || machine.queue.length > 0) return false;
     const hasFreeGpus = machine.type.gpus === 0 || machine.freeGpus > 0;
--- a/src/core/leader/job-lifecycle.ts
+++ b/src/core/leader/job-lifecycle.ts
@@ -39,7 +39,7 @@
   listen(): void {
     this.jobs.listener = this.dependencies;
     this.jobs.onAccepted = (job) => this.onAccepted(job);
-    this.jobs.onEnded = (job) => this.dequeueTasks(job);
+    this.jobs.onSchedulingEnded = (job) => this.dequeueTasks(job);
     this.jobs.onCancellationFailed = () => this.scheduler.requestCycle();
     this.jobs.onClosed = (job, status) => this.usageAccounting.onJobClosed(job, status);
     this.dependencies.onReady = (job) => this.onReady(job);
--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -205,7 +205,7 @@
       verifyKey: CONFIGURED_LEADER_KEY,
       writeId: null,
       priority: WritePriority.cancel,
-      alone: true,
+      needsOwnTransaction: true,
       onResult: (result) => onResult(result.kind === 'ok' ? result.revision : null),
     });
   }
--- a/src/core/leader/machine-reconciliation.ts
+++ b/src/core/leader/machine-reconciliation.ts
@@ -77,7 +77,7 @@
 
   private silentMachines(): Machine[] {
     const machines = [...this.machines.byId.values()];
-    return machines.filter((machine) => machine.registryPage !== null && !machine.isReconciled);
+    return machines.filter((machine) => machine.registryRecord !== null && !machine.isReconciled);
   }
 
   private machinesBlockWork(): boolean {
--- a/src/core/leader/record-loader.ts
+++ b/src/core/leader/record-loader.ts
@@ -4,8 +4,8 @@
   type Instant,
   LONG_AGO,
   type MachineId,
+  type MachineTypeName,
   type Revision,
-  type TypeName,
 } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { MachineType, Settings, StoreItem, StoreReply } from '../base/model.ts';
@@ -17,7 +17,7 @@
   MACHINE_PREFIX,
   type MachineRegistry,
   type RegisteredMachine,
-  type RegistryPage,
+  type RegistryRecord,
 } from '../machines/machine-registry.ts';
 import type { MachineTable } from '../machines/machine-table.ts';
 import { MACHINE_TYPE_PREFIX, type MachineTypeCatalog } from '../machines/machine-type-catalog.ts';
@@ -98,7 +98,7 @@
     if (this.isReading || this.isUnreadable || this.io.now < this.retryAt) return;
     this.isReading = true;
     const prefix = KEY_PREFIX[this.kind];
-    this.io.store({ kind: 'list', prefix, after: this.afterKey }, StorePriority.leader, (reply) =>
+    this.io.sendStoreRequest({ kind: 'list', prefix, after: this.afterKey }, StorePriority.leader, (reply) =>
       this.onPage(reply),
     );
   }
@@ -172,7 +172,7 @@
   }
 
   private restoreMachineType(item: StoreItem): void {
-    const name = item.key.slice(MACHINE_TYPE_PREFIX.length) as TypeName;
+    const name = item.key.slice(MACHINE_TYPE_PREFIX.length) as MachineTypeName;
     this.machineTypes.restore(name, (item.value as { v: MachineType }).v);
   }
 
@@ -181,14 +181,14 @@
     this.registry.load(item, isKnown, (machine, page) => this.restoreMachine(machine, page));
   }
 
-  private restoreMachine(registered: RegisteredMachine, page: RegistryPage): Machine {
+  private restoreMachine(registered: RegisteredMachine, page: RegistryRecord): Machine {
     const { id, zone, spot } = registered;
     const type = this.machineTypes.types.get(registered.type) ?? placeholderType(registered.type);
     // The previous leader stops renewing leases early enough for all of them to expire by then
     // (docs/safety.md).
     const leaseExpiresAt = addMs(this.startedAt, this.settings.workers.cancelS * 1000);
     const machine = this.machines.addMachine(id, type, zone, spot, leaseExpiresAt);
-    machine.registryPage = page;
+    machine.registryRecord = page;
     this.machines.updateIndexes(machine);
     return machine;
   }
@@ -215,7 +215,7 @@
  * Placeholder for a machine type that the catalog no longer has: large enough for any tasks, until the
  * machine is reconciled.
  */
-const placeholderType = (name: TypeName): MachineType => ({
+const placeholderType = (name: MachineTypeName): MachineType => ({
   name,
   cpus: 1e6,
   gpus: 1e6,
--- a/src/core/leader/term-configuration.ts
+++ b/src/core/leader/term-configuration.ts
@@ -25,12 +25,12 @@
 
   constructor(dependencies: TermConfigurationDependencies) {
     this.dependencies = dependencies;
-    this.revisionAtStart = dependencies.configuration.newest;
+    this.revisionAtStart = dependencies.configuration.newestRevision;
   }
 
   /** Whether the configuration revision of the term's start is applied; the failover does not run before. */
   get isInitialRevisionApplied(): boolean {
-    return this.dependencies.configuration.applied >= this.revisionAtStart;
+    return this.dependencies.configuration.appliedRevision >= this.revisionAtStart;
   }
 
   /** Passes the configuration that this controller applies to every component of the term. */
--- a/src/core/leader/term-scheduling.ts
+++ b/src/core/leader/term-scheduling.ts
@@ -1,5 +1,5 @@
 // Creates the components that schedule tasks during a term, and connects them.
-import type { TypeName } from '../../types/index.ts';
+import type { MachineTypeName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { MachineType, Settings } from '../base/model.ts';
 import type { Machine } from '../machines/machine.ts';
@@ -20,7 +20,7 @@
   settings: Settings;
   options: SchedulerOptions;
   state: TermState;
-  types: Map<TypeName, MachineType>;
+  types: Map<MachineTypeName, MachineType>;
   recovery: RecoveryState;
   authority: TermAuthority;
   /** Seconds until a start command can be sent to the machine, in the response to its next heartbeat. */
--- a/src/core/leader/user-request-handler.ts
+++ b/src/core/leader/user-request-handler.ts
@@ -112,7 +112,7 @@
   status(id: JobId): UserResponse | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) return this.statusOf(job);
-    const final = this.jobs.finalState(id);
+    const final = this.jobs.cachedFinalState(id);
     return final === null ? null : { kind: 'ended', id, status: final.status };
   }
 
@@ -123,7 +123,7 @@
       const status = this.statusOf(job);
       return status.kind === 'retry' ? status : { kind: 'known', id, status: job.status() };
     }
-    const final = this.jobs.finalState(id);
+    const final = this.jobs.cachedFinalState(id);
     return final === null ? null : { kind: 'known', id, status: final.status };
   }
 
@@ -153,7 +153,7 @@
   private dependencyKind(id: JobId): JobSpec['kind'] | 'over' | null {
     const job = this.jobs.openJobs.get(id);
     if (job !== undefined) return job.spec.kind;
-    return this.jobs.finalState(id) === null ? null : 'over';
+    return this.jobs.cachedFinalState(id) === null ? null : 'over';
   }
 
   /** The dependencies have been checked; another copy of the submission may have been accepted meanwhile. */
@@ -180,7 +180,7 @@
     const { id } = job;
     if (job.cancelled) return { kind: 'ended', id, status: 'cancelled' };
     if (job.mayHaveEnded) return RETRY_WHILE_ENDING;
-    if (this.dependencies.isUncertain(job)) return RETRY_WHILE_UNCERTAIN;
+    if (this.dependencies.mayBeCancelledByDependency(job)) return RETRY_WHILE_UNCERTAIN;
     return {
       kind: 'status',
       id,
--- a/src/core/machines/capacity-checks.ts
+++ b/src/core/machines/capacity-checks.ts
@@ -14,12 +14,12 @@
   readonly usedCpus: number;
   readonly usedGpus: number;
   /** In GB. */
-  readonly usedMemory: number;
+  readonly usedMemoryGb: number;
   /** Capacity that neither tasks on the machine nor queued tasks use. */
   readonly freeCpus: number;
   readonly freeGpus: number;
   /** In GB. */
-  readonly freeMemory: number;
+  readonly freeMemoryGb: number;
   readonly queue: readonly QueuedTask[];
 }
 
@@ -39,7 +39,7 @@
     job.spec,
     type.cpus - machine.usedCpus,
     type.gpus - machine.usedGpus,
-    type.memoryGb - machine.usedMemory,
+    type.memoryGb - machine.usedMemoryGb,
   );
 }
 
@@ -50,7 +50,7 @@
 export function hasCapacityAhead(machine: MachineCapacity, job: Job): boolean {
   let cpus = machine.freeCpus;
   let gpus = machine.freeGpus;
-  let memoryGb = machine.freeMemory;
+  let memoryGb = machine.freeMemoryGb;
   for (const queued of machine.queue) {
     if (queued.job.priority >= job.priority) continue;
     cpus += queued.job.spec.cpus;
--- a/src/core/machines/capacity-index.ts
+++ b/src/core/machines/capacity-index.ts
@@ -35,11 +35,11 @@
       insert(machine, pool, bucket);
       return;
     }
-    updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+    updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
     if (position.bucket === bucket) return;
     removeFromBucket(position);
     position.bucket = bucket;
-    position.at = bucket.members.push(machine) - 1;
+    position.indexInBucket = bucket.members.push(machine) - 1;
   }
 
   private remove(machine: Machine, position: IndexPosition): void {
@@ -47,9 +47,9 @@
     adjustTotal(pool, machine.type, -1);
     updateFreeSum(position, 0, 0, 0);
     removeFromBucket(position);
-    const last = pool.usable.pop()!;
+    const last = pool.schedulableMachines.pop()!;
     if (last !== machine) {
-      pool.usable[indexInPool] = last;
+      pool.schedulableMachines[indexInPool] = last;
       last.indexPosition!.indexInPool = indexInPool;
     }
     machine.indexPosition = null;
@@ -114,22 +114,22 @@
   const position: IndexPosition = {
     pool,
     bucket,
-    at: bucket.members.push(machine) - 1,
-    indexInPool: pool.usable.push(machine) - 1,
+    indexInBucket: bucket.members.push(machine) - 1,
+    indexInPool: pool.schedulableMachines.push(machine) - 1,
     free: [0, 0, 0],
   };
   machine.indexPosition = position;
   adjustTotal(pool, machine.type, 1);
-  updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemory);
+  updateFreeSum(position, machine.freeCpus, machine.freeGpus, machine.freeMemoryGb);
 }
 
 /** Removes the machine from its bucket; the last member of the bucket takes over its index. */
 function removeFromBucket(position: IndexPosition): void {
   const { members } = position.bucket;
   const last = members.pop()!;
-  if (position.at === members.length) return;
-  members[position.at] = last;
-  last.indexPosition!.at = position.at;
+  if (position.indexInBucket === members.length) return;
+  members[position.indexInBucket] = last;
+  last.indexPosition!.indexInBucket = position.indexInBucket;
 }
 
 function adjustTotal({ total }: MachinePool, type: MachineType, sign: 1 | -1): void {
--- a/src/core/machines/machine-assignments.ts
+++ b/src/core/machines/machine-assignments.ts
@@ -149,11 +149,11 @@
   private adjustUsedCapacity(machine: Machine, job: Job, sign: 1 | -1): void {
     machine.usedCpus += job.spec.cpus * sign;
     machine.usedGpus += job.spec.gpus * sign;
-    machine.usedMemory += job.spec.memoryGb * sign;
+    machine.usedMemoryGb += job.spec.memoryGb * sign;
     if (machine.assignments.size === 0) {
       machine.usedCpus = 0;
       machine.usedGpus = 0;
-      machine.usedMemory = 0;
+      machine.usedMemoryGb = 0;
     }
     this.adjustUsage(machine, job, sign);
   }
--- a/src/core/machines/machine-record.ts
+++ b/src/core/machines/machine-record.ts
@@ -1,6 +1,6 @@
 // Encodes and decodes the stored records of registered machines, under keys that begin with `m/`. A record
 // has one line for each of its machines.
-import type { MachineId, TypeName, ZoneName } from '../../types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../../types/index.ts';
 import type { Machine } from './machine.ts';
 
 /** Prefix of the keys of machine records. */
@@ -9,13 +9,13 @@
 /** A registered machine: the fields that the next leader needs to reconcile it. */
 export interface RegisteredMachine {
   id: MachineId;
-  type: TypeName;
+  type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
 }
 
 /** A stored machine: id, type, zone, and 1 if it is a spot instance, else 0. */
-export type MachineRecordLine = [MachineId, TypeName, ZoneName, 0 | 1];
+export type MachineRecordLine = [MachineId, MachineTypeName, ZoneName, 0 | 1];
 
 /** A stored machine record, without the fields that all shared records have. */
 export interface MachineRecordValue extends Record<string, unknown> {
--- a/src/core/machines/machine-registry.ts
+++ b/src/core/machines/machine-registry.ts
@@ -39,7 +39,7 @@
 }
 
 /** One stored record and the machines that it lists. */
-export class RegistryPage {
+export class RegistryRecord {
   readonly members = new Map<MachineId, RecordMember>();
   /** Time since which the stored record has differed from `members`; null if it does not. */
   dirtySince: Instant | null = null;
@@ -62,7 +62,7 @@
 
 /** The records of all machines that tasks may be on, from this term and earlier ones. */
 export class MachineRegistry {
-  private readonly records = new Set<RegistryPage>();
+  private readonly records = new Set<RegistryRecord>();
   /** Machines to be listed by the next new record. */
   private pendingMachines: Machine[] = [];
   private lastBatchAt: Instant = LONG_AGO;
@@ -89,9 +89,9 @@
   load(
     item: StoreItem,
     isKnown: (id: MachineId) => boolean,
-    onFound: (machine: RegisteredMachine, record: RegistryPage) => Machine,
+    onFound: (machine: RegisteredMachine, record: RegistryRecord) => Machine,
   ): void {
-    const record = new RegistryPage(new SharedRecord(this.writer, item.key, item.revision));
+    const record = new RegistryRecord(new SharedRecord(this.writer, item.key, item.revision));
     this.records.add(record);
     for (const line of decodeMachineRecord(item.value)) {
       const registered = decodeMachineLine(line);
@@ -102,7 +102,7 @@
 
   /** Adds the machine to the next new record; `onRegistered` is called when that record has been stored. */
   register(machine: Machine): void {
-    if (machine.registryPage !== null || machine.isRegistering) return;
+    if (machine.registryRecord !== null || machine.isRegistering) return;
     machine.isRegistering = true;
     this.pendingMachines.push(machine);
     this.writePending();
@@ -110,8 +110,8 @@
 
   /** Removes a machine on which no task can be any more, so that the next leader need not reconcile it. */
   unregister(machine: Machine): void {
-    const record = machine.registryPage;
-    machine.registryPage = null;
+    const record = machine.registryRecord;
+    machine.registryRecord = null;
     record?.removeMember(machine.id, this.io.now);
   }
 
@@ -138,7 +138,7 @@
       for (const { machine } of batch) {
         machine.isRegistering = false;
         if (!isWritten) continue;
-        machine.registryPage = record;
+        machine.registryRecord = record;
         this.onRegistered(machine);
       }
     });
@@ -157,10 +157,10 @@
   private createRecord(
     batch: RecordMember[],
     priority: number,
-    onWritten: (isWritten: boolean, record: RegistryPage) => void,
+    onWritten: (isWritten: boolean, record: RegistryRecord) => void,
   ): void {
     const key = `${MACHINE_PREFIX}${this.term}.${++this.recordsCreated}`;
-    const record = new RegistryPage(new SharedRecord(this.writer, key, 0 as Revision));
+    const record = new RegistryRecord(new SharedRecord(this.writer, key, 0 as Revision));
     for (const member of batch) record.members.set(member.machine.id, member);
     this.records.add(record);
     record.sharedRecord.write(record.encode(), priority, (isWritten) => {
@@ -174,7 +174,7 @@
    * stored value was larger in an earlier term. The new record is written before the old one is rewritten
    * without these members, so that each machine is in the store at all times.
    */
-  private split(record: RegistryPage, keptCount: number): void {
+  private split(record: RegistryRecord, keptCount: number): void {
     record.isSplitting = true;
     const moved = this.longestFittingPrefix([...record.members.values()].slice(keptCount));
     this.createRecord(moved, WritePriority.sharedRecord, (isWritten, newRecord) => {
@@ -183,13 +183,13 @@
       if (!isWritten) return;
       for (const { machine } of moved) {
         // A machine that was unregistered during the write must be removed from the new record too.
-        if (record.members.delete(machine.id)) machine.registryPage = newRecord;
+        if (record.members.delete(machine.id)) machine.registryRecord = newRecord;
         else newRecord.removeMember(machine.id, this.io.now);
       }
     });
   }
 
-  private rewrite(record: RegistryPage): void {
+  private rewrite(record: RegistryRecord): void {
     if (record.isSplitting) return;
     const keptCount = this.longestFittingPrefix([...record.members.values()]).length;
     if (keptCount < record.members.size) return this.split(record, keptCount);
--- a/src/core/machines/machine-table.ts
+++ b/src/core/machines/machine-table.ts
@@ -100,14 +100,14 @@
     this.tombstones.add(machine.id);
     this.registry.unregister(machine);
     this.capacityIndex.removeAllImages(machine);
-    machine.drainReason ??= reason;
+    machine.cordonReason ??= reason;
     this.updateIndexes(machine);
   }
 
   /** Updates the sums and the capacity index for the machine; must be called after every change to it. */
   updateIndexes(machine: Machine): void {
     const isUncertain =
-      !machine.isReconciled && machine.registryPage !== null && this.byId.get(machine.id) === machine;
+      !machine.isReconciled && machine.registryRecord !== null && this.byId.get(machine.id) === machine;
     if (isUncertain !== machine.countsAsUncertain) {
       machine.countsAsUncertain = isUncertain;
       this.quota.addUncertain(machine.type, isUncertain ? 1 : -1);
@@ -135,8 +135,8 @@
 
   /** Excludes the machine from new work; its running tasks continue. The first reason is kept. */
   cordon(machine: Machine, reason: string): void {
-    if (machine.drainReason !== null) return;
-    machine.drainReason = reason;
+    if (machine.cordonReason !== null) return;
+    machine.cordonReason = reason;
     this.dequeueAll(machine);
     this.updateIndexes(machine);
     this.io.log('info', 'machine cordoned', { machine: machine.id, reason });
--- a/src/core/machines/machine-tasks.ts
+++ b/src/core/machines/machine-tasks.ts
@@ -8,7 +8,7 @@
   index: number;
   attempt: Attempt;
   /** When the task was added to the queue. */
-  since: Instant;
+  queuedAt: Instant;
 }
 
 /** An exited task that its machine lists until it executes a `forget` command. */
--- a/src/core/machines/machine-type-catalog.ts
+++ b/src/core/machines/machine-type-catalog.ts
@@ -1,7 +1,7 @@
 // Catalog of the cloud's machine types. Every node requests them from the cloud, and the leader stores them
 // under keys that begin with `t/`, so that the next leader can start work during an outage of the
 // cloud's API.
-import { addMs, type Instant, LONG_AGO, type Revision, type TypeName } from '../../types/index.ts';
+import { addMs, type Instant, LONG_AGO, type MachineTypeName, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { CloudReply, MachineType } from '../base/model.ts';
 import { type FencedWriter, WritePriority } from '../storage/fenced-writer.ts';
@@ -21,8 +21,8 @@
 
 /** The machine types known to this node. */
 export class MachineTypeCatalog {
-  readonly types = new Map<TypeName, MachineType>();
-  private readonly storedTypes = new Set<TypeName>();
+  readonly types = new Map<MachineTypeName, MachineType>();
+  private readonly storedTypes = new Set<MachineTypeName>();
   private isRequestPending = false;
   private nextRequestAt: Instant = LONG_AGO;
   private readonly io: ControllerIo;
@@ -41,7 +41,7 @@
     if (this.isRequestPending || this.io.now < this.nextRequestAt) return;
     if (this.isLoaded && !isLeader) return;
     this.isRequestPending = true;
-    this.io.cloud({ kind: 'types' }, (reply) => this.onReply(reply));
+    this.io.sendCloudRequest({ kind: 'types' }, (reply) => this.onReply(reply));
   }
 
   private onReply(reply: CloudReply): void {
@@ -62,7 +62,7 @@
   }
 
   /** Adds a type read from the store, unless the cloud has listed it already. */
-  restore(name: TypeName, type: MachineType): void {
+  restore(name: MachineTypeName, type: MachineType): void {
     this.storedTypes.add(name);
     if (!this.types.has(name)) this.types.set(name, type);
   }
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -54,7 +54,7 @@
    * The stored record that lists the machine; null until it has been stored. No task is started before,
    * because the next leader would not know that it has to reconcile the machine.
    */
-  registryPage: RegistryRecordHandle | null = null;
+  registryRecord: RegistryRecordHandle | null = null;
   /** Whether the machine is yet to be stored in a registry record. */
   isRegistering = false;
   /** Whether the machine is being released to the cloud. */
@@ -80,7 +80,7 @@
   /** When the cloud preempts the machine, according to its preemption notice. */
   preemptedAt: Instant | null = null;
   /** Why the machine is cordoned, that is, excluded from new work; null if it is not. */
-  drainReason: string | null = null;
+  cordonReason: string | null = null;
   idleSince: Instant;
   /** Images in the machine's cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
@@ -91,7 +91,7 @@
   usedCpus = 0;
   usedGpus = 0;
   /** In GB. */
-  usedMemory = 0;
+  usedMemoryGb = 0;
   queuedCpus = 0;
   queuedGpus = 0;
   /** In GB. */
@@ -138,10 +138,10 @@
     return (
       this.isReconciled &&
       this.isUp &&
-      this.registryPage !== null &&
+      this.registryRecord !== null &&
       !this.isReleasing &&
       !this.isOverdue &&
-      this.drainReason === null &&
+      this.cordonReason === null &&
       this.orphans.length === 0
     );
   }
@@ -162,8 +162,8 @@
   }
 
   /** Memory in GB that neither tasks on the machine nor queued tasks use. */
-  get freeMemory(): number {
-    return this.type.memoryGb - this.usedMemory - this.queuedMemoryGb;
+  get freeMemoryGb(): number {
+    return this.type.memoryGb - this.usedMemoryGb - this.queuedMemoryGb;
   }
 }
 
@@ -180,7 +180,7 @@
 export class MachinePool {
   readonly buckets = new Map<number, CapacityBucket>();
   /** The schedulable machines of the pool. */
-  readonly usable: Machine[] = [];
+  readonly schedulableMachines: Machine[] = [];
   /** Total capacity of the schedulable machines. */
   readonly total: Resources = [0, 0, 0];
   /** Free capacity of the schedulable machines. */
@@ -207,7 +207,7 @@
   pool: MachinePool;
   bucket: CapacityBucket;
   /** Index of the machine in the bucket's `members`. */
-  at: number;
+  indexInBucket: number;
   /** Index of the machine in the pool's array of schedulable machines. */
   indexInPool: number;
   /** Free capacity of the machine as included in the pool's sum. */
--- a/src/core/machines/task-reconciler.ts
+++ b/src/core/machines/task-reconciler.ts
@@ -200,7 +200,7 @@
     if (exitReason === 'done') {
       this.jobs.completeTask(job, index);
       job.failures = 0;
-      job.failedOn.clear();
+      job.failedMachines.clear();
       machine.consecutiveFailures = 0;
       if (assignment !== undefined) this.listener.onTaskCompleted(assignment);
     } else if (exitReason === 'error') this.recordFailure(machine, job, index);
@@ -211,9 +211,9 @@
   /** Delays the retry of a job that fails on several machines; else cordons a machine that keeps failing. */
   private recordFailure(machine: Machine, job: Job, index: number): void {
     job.failures++;
-    job.failedOn.add(machine.id);
+    job.failedMachines.add(machine.id);
     machine.consecutiveFailures++;
-    const isJobFaulty = job.failedOn.size >= FAULTY_JOB_MACHINES;
+    const isJobFaulty = job.failedMachines.size >= FAULTY_JOB_MACHINES;
     const waitMs = isJobFaulty ? backoffMs(job.failures) : 0;
     job.retryAt = addMs(this.io.now, waitMs);
     this.io.log('info', 'task failed', {
--- a/src/core/membership/leader-election.ts
+++ b/src/core/membership/leader-election.ts
@@ -58,7 +58,7 @@
   /** Number of nodes that precede this one in the list of nodes. */
   rank: number;
   /** Number of nodes, including this one. */
-  nodes: number;
+  nodeCount: number;
   listener: LeaderElectionListener;
 }
 
@@ -92,7 +92,7 @@
     this.io = dependencies.io;
     this.self = dependencies.self;
     this.rank = dependencies.rank;
-    this.nodeCount = dependencies.nodes;
+    this.nodeCount = dependencies.nodeCount;
     this.listener = dependencies.listener;
     this.watch = new ShardWatch(this.io, {
       onLeaderFound: (leader) => this.onLeaderFound(leader),
@@ -212,7 +212,7 @@
     if (elapsedMs(io.now, this.vacantSince) < this.candidacyRank * CANDIDACY_DELAY_MS) return;
     this.isCandidate = true;
     const sentAt = io.now;
-    io.store({ kind: 'grant-lease', ttlMs: LEADER_LEASE_MS }, StorePriority.lease, (reply) => {
+    io.sendStoreRequest({ kind: 'grant-lease', ttlMs: LEADER_LEASE_MS }, StorePriority.lease, (reply) => {
       if (reply.kind === 'lease-granted') this.sendClaim(reply.lease, sentAt);
       else this.endCandidacy();
     });
@@ -234,7 +234,7 @@
   private sendClaim(lease: StoreLeaseId, sentAt: Instant): void {
     const isConfigured = this.watch.configRevision > 0;
     const { conditions, puts } = buildLeadershipClaim(this.self, lease, this.watch);
-    this.io.store(
+    this.io.sendStoreRequest(
       { kind: 'compare-and-swap', conditions, puts, deletes: [] },
       StorePriority.lease,
       (reply) => {
@@ -249,7 +249,7 @@
   private onClaimFailed(reply: StoreReply, lease: StoreLeaseId): void {
     // A claim without a reply may still be carried out; revoking its lease also deletes the leader key.
     if (reply.kind === 'no-answer')
-      this.io.store({ kind: 'revoke-lease', lease }, StorePriority.lease, () => {});
+      this.io.sendStoreRequest({ kind: 'revoke-lease', lease }, StorePriority.lease, () => {});
     this.vacantSince = null;
     this.refresh();
     this.endCandidacy();
--- a/src/core/membership/leader-lease.ts
+++ b/src/core/membership/leader-lease.ts
@@ -75,7 +75,7 @@
     const sentAt = io.now;
     this.renewAt = addMs(sentAt, RENEW_INTERVAL_MS);
     const { generation } = this;
-    io.store(
+    io.sendStoreRequest(
       { kind: 'renew-lease', lease },
       StorePriority.lease,
       (reply) => {
--- a/src/core/membership/shard-watch.ts
+++ b/src/core/membership/shard-watch.ts
@@ -100,14 +100,18 @@
   }
 
   private sendList(requestNumber: number): void {
-    this.io.store({ kind: 'list', prefix: SHARD_PREFIX, after: null }, StorePriority.lease, (reply) => {
-      if (requestNumber === this.lastRequestNumber) this.onListed(reply);
-    });
+    this.io.sendStoreRequest(
+      { kind: 'list', prefix: SHARD_PREFIX, after: null },
+      StorePriority.lease,
+      (reply) => {
+        if (requestNumber === this.lastRequestNumber) this.onListed(reply);
+      },
+    );
   }
 
   private sendWatch(requestNumber: number, after: Revision): void {
     const waitMs = this.configRevision > 0 ? CONFIGURED_WATCH_DURATION_MS : WATCH_DURATION_MS;
-    this.io.store(
+    this.io.sendStoreRequest(
       { kind: 'watch', prefix: SHARD_PREFIX, after, waitMs },
       StorePriority.lease,
       (reply) => {
--- a/src/core/scheduling/bin-packing.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -1,7 +1,7 @@
 // Scores how well a machine suits a task, mainly by the value of the other work that could then no longer use
 // the machine's capacity. The choice among machines with about equal scores stays random, as
 // join-below-threshold requires.
-import type { TypeName } from '../../types/index.ts';
+import type { MachineTypeName } from '../../types/index.ts';
 import type { MachineType } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import type { CapacityIndex } from '../machines/capacity-index.ts';
@@ -34,7 +34,7 @@
    * objective. `heartbeatDueInS`: how long a start command must wait for the next heartbeat of the machine.
    */
   constructor(
-    types: Map<TypeName, MachineType>,
+    types: Map<MachineTypeName, MachineType>,
     private readonly shortestWaitS: (className: string) => number | null,
     private readonly heartbeatDueInS: (machine: Machine) => number,
   ) {
--- a/src/core/scheduling/class-values.ts
+++ b/src/core/scheduling/class-values.ts
@@ -1,6 +1,6 @@
 // Values a task of each class by the price of the machines that it needs, and free capacity by the value of
 // the waiting or expected tasks that fit into it.
-import type { TypeName } from '../../types/index.ts';
+import type { MachineTypeName } from '../../types/index.ts';
 import type { JobSpec, MachineType, Priority } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import type { CapacityIndex } from '../machines/capacity-index.ts';
@@ -16,7 +16,7 @@
 /** A task with the mean needs of the open jobs of a class. */
 interface ClassProfile extends Capacity {
   /** Machine types that it may run on; null: any. */
-  allowedTypes: TypeName[] | null;
+  allowedTypes: MachineTypeName[] | null;
   value: number;
   /** The highest priority among the waiting jobs of the class; that of one of its jobs if none is waiting. */
   priority: number;
@@ -56,7 +56,7 @@
   private readonly values = new Map<string, number>();
   private readonly cheapestPrices = new Map<string, number>();
 
-  constructor(private readonly types: ReadonlyMap<TypeName, MachineType>) {}
+  constructor(private readonly types: ReadonlyMap<MachineTypeName, MachineType>) {}
 
   /**
    * Computes a profile for each class of the open jobs, with the mean of what its tasks need. For a class
@@ -115,7 +115,7 @@
    * The value of the capacity, on a machine of this type, to the class that values it most; classes below
    * `minPriority` do not count.
    */
-  valueOfCapacity(capacity: Capacity, type: TypeName, spot: boolean, minPriority: number): number {
+  valueOfCapacity(capacity: Capacity, type: MachineTypeName, spot: boolean, minPriority: number): number {
     let best = 0;
     for (const profile of this.profiles) {
       if (profile.priority < minPriority || (spot && !profile.spot)) continue;
@@ -125,7 +125,7 @@
     return best;
   }
 
-  private cheapestPriceOfTask(needed: Capacity, allowedTypes: TypeName[] | null): number {
+  private cheapestPriceOfTask(needed: Capacity, allowedTypes: MachineTypeName[] | null): number {
     let lowest = Number.POSITIVE_INFINITY;
     for (const type of this.types.values()) {
       if (allowedTypes !== null && !allowedTypes.includes(type.name)) continue;
@@ -136,7 +136,7 @@
   }
 
   /** The lowest price per task among the machine types that fit, with the bonus for large tasks. */
-  private valueOfTask(needed: Capacity, allowedTypes: TypeName[] | null): number {
+  private valueOfTask(needed: Capacity, allowedTypes: MachineTypeName[] | null): number {
     let lowest = Number.POSITIVE_INFINITY;
     for (const type of this.types.values()) {
       if (allowedTypes !== null && !allowedTypes.includes(type.name)) continue;
@@ -184,7 +184,7 @@
 export const freeCapacityOf = (machine: Machine): Capacity => ({
   cpus: machine.freeCpus,
   gpus: machine.freeGpus,
-  memoryGb: machine.freeMemory,
+  memoryGb: machine.freeMemoryGb,
 });
 
 /** Whether there is free capacity now for more than `tasks` tasks of about this size. */
--- a/src/core/scheduling/fair-share.ts
+++ b/src/core/scheduling/fair-share.ts
@@ -7,7 +7,7 @@
 import type { Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { dominantShare, maxMinShares, type ShareDemand } from '../teams/max-min-fairness.ts';
-import { addResources, type ClassUsage, type Resources, resourcesOf, type Usage } from '../teams/usage.ts';
+import { addResources, type Resources, type ResourceUsage, resourcesOf, type Usage } from '../teams/usage.ts';
 import type { MachineSet } from './machine-sets.ts';
 
 /** Fractions of their fair share that teams, and classes, get at least; 0: no floor. */
@@ -41,7 +41,7 @@
   /** Resources that waiting tasks need, by name. */
   waiting: Map<string, Resources>;
   /** Resources in use, by name. */
-  usage: Map<string, ClassUsage>;
+  usage: Map<string, ResourceUsage>;
   /** Guaranteed resources, by name; null if there are no guarantees. */
   guaranteed: ReadonlyMap<string, Resources> | null;
   /** The fraction of its fair share that each name gets at least. */
@@ -90,14 +90,14 @@
     const teams = computeShares({
       capacity,
       waiting: waitingByTeam,
-      usage: this.usage.on(types, 'teams'),
+      usage: this.usage.totalsOn(types, 'teams'),
       guaranteed: this.guaranteed,
       floor: this.floors.team,
     });
     const classes = computeShares({
       capacity,
       waiting: waitingByClass,
-      usage: this.usage.on(types, 'classes'),
+      usage: this.usage.totalsOn(types, 'classes'),
       guaranteed: null,
       floor: this.floors.class,
     });
--- a/src/core/scheduling/gang-scheduler.ts
+++ b/src/core/scheduling/gang-scheduler.ts
@@ -95,7 +95,7 @@
   }
 
   private zonesFor(job: Job): ZoneName[] {
-    if (job.spec.oneZone && job.zones.size > 0) return [...job.zones.keys()];
+    if (job.spec.oneZone && job.tasksByZone.size > 0) return [...job.tasksByZone.keys()];
     return [...new Set([...this.capacityIndex.pools.values()].map((pool) => pool.zone))];
   }
 
@@ -104,7 +104,7 @@
     const slots: Slot[] = [];
     const added = new Set<Machine>();
     const addMachine = (machine: Machine): boolean => {
-      if (added.has(machine) || job.failedOn.has(machine.id)) return false;
+      if (added.has(machine) || job.failedMachines.has(machine.id)) return false;
       if (this.reservations.isReservedForOther(machine, job) || !hasCapacityAhead(machine, job)) return false;
       const score = this.binPacking.score(job, machine);
       if (!Number.isFinite(score)) return false;
@@ -159,7 +159,7 @@
 /** Selects the first slots that together satisfy the spread constraint, if the job has it. */
 function selectSlots(job: Job, slots: readonly Slot[], tasks: number): Slot[] {
   if (!job.spec.spread) return slots.slice(0, tasks);
-  const zones = new Map(job.zones);
+  const zones = new Map(job.tasksByZone);
   const selected: Slot[] = [];
   for (const slot of slots) {
     if (selected.length === tasks) break;
@@ -186,6 +186,6 @@
     spec.tasks,
     tasksFittingResource(machine.freeCpus, spec.cpus),
     tasksFittingResource(machine.freeGpus, spec.gpus),
-    tasksFittingResource(machine.freeMemory, spec.memoryGb),
+    tasksFittingResource(machine.freeMemoryGb, spec.memoryGb),
   );
 }
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -166,7 +166,7 @@
     const amount = neededAmount(waitingJob);
     // A partly placed gang already uses its machines: it is due at once, and the last to be deferred.
     const isPartlyPlaced = isGang(job.spec) && job.assignedTasks > 0;
-    const runS = job.spec.kind === 'service' ? ASSUMED_SERVICE_RUN_S : this.estimates.runS(job);
+    const runS = job.spec.kind === 'service' ? ASSUMED_SERVICE_RUN_S : this.estimates.expectedRunS(job);
     const work = isPartlyPlaced ? 0 : amount * Math.max(MIN_DURATION_S, runS);
     return { job, ageS: waitingJob.ageS, deadlines: isPartlyPlaced ? [0] : deadlinesS, amount, work };
   }
--- a/src/core/scheduling/machine-sets.ts
+++ b/src/core/scheduling/machine-sets.ts
@@ -1,7 +1,7 @@
 // Machine sets: the machines that jobs with the same scarce resource and the same allowed pools may use. How
 // much can be started in a set is estimated from its free capacity, the capacity that ending tasks free, and
 // the machines that are booting. Sets may overlap; each is considered separately.
-import type { TypeName } from '../../types/index.ts';
+import type { MachineTypeName } from '../../types/index.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import type { RuntimeEstimates } from '../jobs/job-ordering.ts';
@@ -39,7 +39,7 @@
   resource: ScarceResource;
   pools: MachinePool[];
   /** The machine types of the pools. */
-  types: Set<TypeName>;
+  types: Set<MachineTypeName>;
   /** Specification of one of the jobs. */
   exampleSpec: JobSpec;
   /** The smallest amount of the resource that a task of any of the jobs needs. */
@@ -130,7 +130,7 @@
   private completionRatePerS({ resource, types }: MachineSet): number {
     let endingPerS = 0;
     let used = 0;
-    for (const [className, { sum, spec }] of this.usage.on(types, 'classes')) {
+    for (const [className, { sum, spec }] of this.usage.totalsOn(types, 'classes')) {
       used += sum[resource];
       // With their estimate of 0, services would seem to end every second, and capacity never to be short.
       if (spec.kind === 'service') continue;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -78,7 +78,7 @@
     const capacity = new FreedCapacity(
       machine.type.cpus - machine.usedCpus,
       machine.type.gpus - machine.usedGpus,
-      machine.type.memoryGb - machine.usedMemory,
+      machine.type.memoryGb - machine.usedMemoryGb,
       job.spec,
     );
     const victims: TaskAssignment[] = [];
@@ -98,7 +98,7 @@
   preemptForQueueHead(machine: Machine): void {
     const head = machine.queue[0];
     if (head === undefined || this.remainingPreemptions <= 0) return;
-    if (elapsedMs(this.io.now, head.since) < MIN_QUEUE_HEAD_WAIT_MS) return;
+    if (elapsedMs(this.io.now, head.queuedAt) < MIN_QUEUE_HEAD_WAIT_MS) return;
     const victims = this.findVictims(machine, head.job);
     if (victims === null || victims.length > this.remainingPreemptions) return;
     for (const victim of victims) this.preempt(victim, head.job);
--- a/src/core/scheduling/queued-task-return.ts
+++ b/src/core/scheduling/queued-task-return.ts
@@ -50,7 +50,7 @@
   /** Dequeues the tasks that are overdue, except those that no other machine could start. */
   private dequeueOverdueTasks(machine: Machine, dequeueAfterMs: Millis): void {
     for (const queued of [...machine.queue]) {
-      if (this.io.now - queued.since <= dequeueAfterMs) continue;
+      if (this.io.now - queued.queuedAt <= dequeueAfterMs) continue;
       if (this.couldStartElsewhere(machine, queued)) this.machines.dequeue(machine, queued);
     }
   }
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -159,14 +159,19 @@
     const candidates: ReservationCandidate[] = [];
     for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec) || (zone !== null && pool.zone !== zone)) continue;
-      if (!isZoneAllowed(job, pool.zone, job.zones)) continue;
+      if (!isZoneAllowed(job, pool.zone, job.tasksByZone)) continue;
       if (this.binPacking.isWasteful(job, pool)) continue;
-      sampleFrom(pool.usable, MACHINES_SAMPLED_PER_RESERVATION * missing, this.io.random, (machine) => {
-        if (this.byMachine.has(machine) || job.failedOn.has(machine.id)) return;
-        const { availableInS, victims } = this.expectedCapacity(machine, job);
-        if (availableInS > MAX_EXPECTED_WAIT_S) return;
-        if (isLarge || victims.length > 0) candidates.push({ machine, pool, availableInS, victims });
-      });
+      sampleFrom(
+        pool.schedulableMachines,
+        MACHINES_SAMPLED_PER_RESERVATION * missing,
+        this.io.random,
+        (machine) => {
+          if (this.byMachine.has(machine) || job.failedMachines.has(machine.id)) return;
+          const { availableInS, victims } = this.expectedCapacity(machine, job);
+          if (availableInS > MAX_EXPECTED_WAIT_S) return;
+          if (isLarge || victims.length > 0) candidates.push({ machine, pool, availableInS, victims });
+        },
+      );
     }
     return candidates.sort(
       (a, b) =>
@@ -183,7 +188,7 @@
     for (const { machine, pool, availableInS, victims } of candidates) {
       if (reserved >= missing) break;
       const reservedInPool = this.reservedByPool.get(pool) ?? 0;
-      if (reservedInPool >= Math.max(1, pool.usable.length * MAX_RESERVED_FRACTION)) continue;
+      if (reservedInPool >= Math.max(1, pool.schedulableMachines.length * MAX_RESERVED_FRACTION)) continue;
       if (victims.length > this.preemption.remainingPreemptions) continue;
       this.reservedByPool.set(pool, reservedInPool + 1);
       this.reserveMachine(machine, job, availableInS * 1000);
@@ -203,7 +208,7 @@
   }
 
   private expectedCapacity(machine: Machine, job: Job): ExpectedCapacity {
-    const capacity = new FreedCapacity(machine.freeCpus, machine.freeGpus, machine.freeMemory, job.spec);
+    const capacity = new FreedCapacity(machine.freeCpus, machine.freeGpus, machine.freeMemoryGb, job.spec);
     if (capacity.isEnough) return { availableInS: 0, victims: [] };
     const ends = [...machine.assignments.values()].map((assignment) => this.expectedEnd(assignment, job));
     ends.sort((a, b) => a.endsInS - b.endsInS);
--- a/src/core/scheduling/task-placement.ts
+++ b/src/core/scheduling/task-placement.ts
@@ -101,7 +101,7 @@
     const foundNoMachine = placed < limit && job.nextWaitingTask() >= 0;
     if (foundNoMachine) {
       if (mayReserve) this.reserve(job, allowed);
-      if (!isZoneBound && job.failedOn.size === 0) this.unplaceable.add(job, kind);
+      if (!isZoneBound && job.failedMachines.size === 0) this.unplaceable.add(job, kind);
     }
     return placed;
   }
@@ -151,7 +151,7 @@
   /** Picks at random among the best machines with free capacity, else the best queues below the threshold. */
   private chooseMachine(job: Job, isZoneBound: boolean): Machine | null {
     // After failures on a few machines the job tries others; after failures on many it may use any again.
-    const avoided = job.failedOn.size < MAX_AVOIDED_MACHINES ? job.failedOn : null;
+    const avoided = job.failedMachines.size < MAX_AVOIDED_MACHINES ? job.failedMachines : null;
     const best = new LowestScores();
     const examine = (machine: Machine): void => {
       this.machinesExamined++;
@@ -164,7 +164,7 @@
     // A machine may have been reserved before other tasks of the job used up the limit of its zone; its zone
     // is no longer allowed then.
     for (const machine of this.reservations.machinesFor(job))
-      if (!isZoneBound || isZoneAllowed(job, machine.zone, job.zones)) examine(machine);
+      if (!isZoneBound || isZoneAllowed(job, machine.zone, job.tasksByZone)) examine(machine);
     if (best.machines.length > 0) return this.pickRandom(best.machines);
     return this.chooseQueueBelowThreshold(job, pools, avoided);
   }
@@ -174,7 +174,7 @@
     const pools: MachinePool[] = [];
     for (const pool of this.capacityIndex.pools.values()) {
       if (!pool.admits(job.spec)) continue;
-      if (isZoneBound && !isZoneAllowed(job, pool.zone, job.zones)) continue;
+      if (isZoneBound && !isZoneAllowed(job, pool.zone, job.tasksByZone)) continue;
       pools.push(pool);
       for (const bucket of pool.buckets.values())
         if (bucketMayFit(bucket, job.spec))
@@ -218,7 +218,7 @@
       const score = this.binPacking.typeScore(job, pool);
       const isUrgent = job.priority > this.binPacking.lowestPriority;
       const sampleSize = isUrgent ? QUEUES_SAMPLED_PER_POOL_IF_URGENT : QUEUES_SAMPLED_PER_POOL;
-      sampleFrom(pool.usable, sampleSize, this.io.random, (machine) => {
+      sampleFrom(pool.schedulableMachines, sampleSize, this.io.random, (machine) => {
         this.machinesExamined++;
         if (machine.queue.length >= this.threshold || avoided?.has(machine.id)) return;
         if (this.reservations.isReservedForOther(machine, job) || hasCapacityAhead(machine, job)) return;
--- a/src/core/scheduling/task-queuing.ts
+++ b/src/core/scheduling/task-queuing.ts
@@ -29,6 +29,6 @@
   /** Puts a waiting task into the machine's queue, and ends the machine's reservation if there is one. */
   enqueue(machine: Machine, job: Job, index: number, attempt: Attempt): void {
     this.reservations.release(machine);
-    this.machines.enqueue(machine, { job, index, attempt, since: this.io.now });
+    this.machines.enqueue(machine, { job, index, attempt, queuedAt: this.io.now });
   }
 }
--- a/src/core/storage/fenced-write.ts
+++ b/src/core/storage/fenced-write.ts
@@ -40,13 +40,13 @@
    * Order among writes of the same priority: those with a smaller number are sent first, so that the writes
    * of the teams alternate.
    */
-  turn?: number;
+  teamQueuePosition?: number;
   onResult: (result: WriteResult) => void;
   /**
    * Sent in a transaction of its own. The writer sets it for the writes of a rejected transaction, so that
    * only the faulty one of them fails.
    */
-  alone?: boolean;
+  needsOwnTransaction?: boolean;
   /** Maintained by the writer. */
   progress?: WriteProgress;
 }
--- a/src/core/storage/fenced-writer.ts
+++ b/src/core/storage/fenced-writer.ts
@@ -88,7 +88,7 @@
     const conditions = [this.fencingCondition, ...batch.flatMap((write) => write.conditions)];
     const puts = batch.flatMap((write) => write.puts);
     const deletes = batch.flatMap((write) => write.deletes);
-    this.io.store(
+    this.io.sendStoreRequest(
       { kind: 'compare-and-swap', conditions, puts, deletes },
       StorePriority.leader,
       (reply) => this.onReply(batch, reply, elapsedMs(this.io.now, sentAt)),
@@ -135,7 +135,7 @@
   private onRejected(batch: FencedWrite[], reason: string): void {
     if (batch.length > 1) {
       for (const write of batch) {
-        write.alone = true;
+        write.needsOwnTransaction = true;
         markNotCarriedOut(write);
       }
       this.queue.unshift(...batch);
@@ -171,7 +171,7 @@
    * or another value is stored.
    */
   private resolveConflict(write: FencedWrite): void {
-    this.io.store({ kind: 'get', key: write.verifyKey }, StorePriority.leader, (reply) => {
+    this.io.sendStoreRequest({ kind: 'get', key: write.verifyKey }, StorePriority.leader, (reply) => {
       const result = conflictResult(write, reply);
       if (result !== null) {
         write.onResult(result);
--- a/src/core/storage/job-reads.ts
+++ b/src/core/storage/job-reads.ts
@@ -57,7 +57,7 @@
   }
 
   private get(key: string, onReply: (reply: StoreReply) => void): void {
-    this.io.store({ kind: 'get', key }, StorePriority.query, onReply);
+    this.io.sendStoreRequest({ kind: 'get', key }, StorePriority.query, onReply);
   }
 }
 
--- a/src/core/storage/job-record-reader.ts
+++ b/src/core/storage/job-record-reader.ts
@@ -90,7 +90,7 @@
       const batch = ids.slice(start, start + this.batchSize);
       if (batch.length === 0) return onResult(found);
       if (!this.budget.take(this.io.now)) return onResult(null);
-      this.io.store(compareRequest(batch), StorePriority.query, (reply) => {
+      this.io.sendStoreRequest(compareRequest(batch), StorePriority.query, (reply) => {
         if (reply.kind !== 'committed' && reply.kind !== 'conflict') return onResult(null);
         const existing = existingKeys(reply);
         for (const id of batch) {
@@ -131,7 +131,7 @@
     if (this.isComparing || this.pendingQueries.length === 0 || !this.budget.take(this.io.now)) return;
     this.isComparing = true;
     const batch = this.pendingQueries.splice(0, this.batchSize);
-    this.io.store(
+    this.io.sendStoreRequest(
       compareRequest(batch.map((query) => query.id)),
       StorePriority.query,
       (reply) => this.onCompared(batch, reply),
--- a/src/core/storage/job-record.ts
+++ b/src/core/storage/job-record.ts
@@ -2,7 +2,7 @@
 // dependencies does not fit, the rest of the list is in further values, the dependency parts. All values are
 // written in one transaction and deleted in one, so a reader that finds the first finds the rest. No other
 // module uses the field names of the stored form.
-import type { JobId, TeamName, TypeName, WallTime, ZoneName } from '../../types/index.ts';
+import type { JobId, MachineTypeName, TeamName, WallTime, ZoneName } from '../../types/index.ts';
 import type { JobKind, JobSpec, Priority, StoreItem, StoreLimits, StorePut } from '../base/model.ts';
 import { jsonBytes, TRANSACTION_MAX_BYTES } from './json-size.ts';
 import { DEPENDENCY_PART_PREFIX, OPEN_JOB_PREFIX } from './keys.ts';
@@ -20,7 +20,7 @@
   memoryGb: number;
   image: string;
   imageGb: number;
-  types: TypeName[] | null;
+  types: MachineTypeName[] | null;
   zone: ZoneName | null;
   oneZone: boolean;
   spread: boolean;
--- a/src/core/storage/write-batch.ts
+++ b/src/core/storage/write-batch.ts
@@ -19,7 +19,7 @@
 
 function isSentAfter(first: FencedWrite, second: FencedWrite): boolean {
   if (first.priority !== second.priority) return first.priority > second.priority;
-  return (first.turn ?? 0) > (second.turn ?? 0);
+  return (first.teamQueuePosition ?? 0) > (second.teamQueuePosition ?? 0);
 }
 
 /**
@@ -39,9 +39,9 @@
       changes <= limits.maxTransactionOps &&
       conditions <= limits.maxTransactionOps * MAX_CONDITIONS_PER_OP &&
       bytes <= TRANSACTION_MAX_BYTES;
-    if (size > 0 && (!fits || write.alone)) break;
+    if (size > 0 && (!fits || write.needsOwnTransaction)) break;
     size++;
-    if (write.alone) break;
+    if (write.needsOwnTransaction) break;
   }
   return size;
 }
--- a/src/core/teams/quota.ts
+++ b/src/core/teams/quota.ts
@@ -1,7 +1,7 @@
 // Limits and guarantees of teams, enforced by the leader. Resources that may be in use count as used. The
 // machine table keeps the sums up to date: it reports the tasks that are added and removed, and the machines
 // whose tasks are not known.
-import type { TeamName, TypeName } from '../../types/index.ts';
+import type { MachineTypeName, TeamName } from '../../types/index.ts';
 import type { JobSpec, Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { Usage } from './usage.ts';
@@ -44,7 +44,7 @@
    * Adds the usage of tasks of the job that were put on machines of the type or in their queues; a negative
    * number removes it.
    */
-  add(job: Job, tasks: number, type: TypeName): void {
+  add(job: Job, tasks: number, type: MachineTypeName): void {
     this.usage.add(job, tasks, type);
     let usage = this.usageByTeam.get(job.spec.team);
     if (usage === undefined) {
--- a/src/core/teams/usage-accounting.ts
+++ b/src/core/teams/usage-accounting.ts
@@ -112,8 +112,10 @@
   private readStoredTotals(): void {
     if (this.loadState === 'reading' || this.io.now < this.nextReadAt) return;
     this.loadState = 'reading';
-    this.io.store({ kind: 'list', prefix: USAGE_PREFIX, after: null }, StorePriority.work, (reply) =>
-      this.onStoredTotals(reply),
+    this.io.sendStoreRequest(
+      { kind: 'list', prefix: USAGE_PREFIX, after: null },
+      StorePriority.work,
+      (reply) => this.onStoredTotals(reply),
     );
   }
 
--- a/src/core/teams/usage-summary.ts
+++ b/src/core/teams/usage-summary.ts
@@ -111,4 +111,4 @@
   return (summary.done + servicesUp) / requested;
 }
 
-const waitS = (job: Job, wallTime: WallTime): number => Math.max(0, (wallTime - job.readyWall) / 1000);
+const waitS = (job: Job, wallTime: WallTime): number => Math.max(0, (wallTime - job.readyWallTime) / 1000);
--- a/src/core/teams/usage.ts
+++ b/src/core/teams/usage.ts
@@ -1,6 +1,6 @@
 // Resource usage of teams and classes on machines and in machine queues, by machine type. The machine table
 // keeps the sums up to date as tasks are added and removed.
-import type { TypeName } from '../../types/index.ts';
+import type { MachineTypeName } from '../../types/index.ts';
 import type { JobSpec } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 
@@ -27,7 +27,7 @@
 }
 
 /** The resource usage of a team or a class. */
-export interface ClassUsage {
+export interface ResourceUsage {
   tasks: number;
   sum: Resources;
   /** Specification of one of its jobs, taken as typical. */
@@ -36,19 +36,19 @@
 
 /** Resource usage on machines of one type, by name of team and of class. */
 interface TypeUsage {
-  teams: Map<string, ClassUsage>;
-  classes: Map<string, ClassUsage>;
+  teams: Map<string, ResourceUsage>;
+  classes: Map<string, ResourceUsage>;
 }
 
 /** Sums of resource usage by machine type, team and class. */
 export class Usage {
-  private readonly types = new Map<TypeName, TypeUsage>();
+  private readonly types = new Map<MachineTypeName, TypeUsage>();
 
   /**
    * Adds the usage of tasks of the job that were put on machines of the type or in their queues; a negative
    * number removes it.
    */
-  add(job: Job, tasks: number, type: TypeName): void {
+  add(job: Job, tasks: number, type: MachineTypeName): void {
     let usage = this.types.get(type);
     if (usage === undefined) {
       usage = { teams: new Map(), classes: new Map() };
@@ -62,8 +62,8 @@
    * Usage summed over the given machine types, by name of team or class. Cost: linear in the number of names
    * in use on these types.
    */
-  on(types: Iterable<TypeName>, by: 'teams' | 'classes'): Map<string, ClassUsage> {
-    const totals = new Map<string, ClassUsage>();
+  totalsOn(types: Iterable<MachineTypeName>, by: 'teams' | 'classes'): Map<string, ResourceUsage> {
+    const totals = new Map<string, ResourceUsage>();
     for (const type of types)
       for (const [name, usage] of this.types.get(type)?.[by] ?? []) {
         const total = totals.get(name) ?? { tasks: 0, sum: [0, 0, 0] as Resources, spec: usage.spec };
@@ -76,7 +76,7 @@
   }
 }
 
-function addTasks(byName: Map<string, ClassUsage>, name: string, spec: JobSpec, tasks: number): void {
+function addTasks(byName: Map<string, ResourceUsage>, name: string, spec: JobSpec, tasks: number): void {
   let usage = byName.get(name);
   if (usage === undefined) {
     usage = { tasks: 0, sum: [0, 0, 0], spec };
--- a/src/protocol/cloud-service.ts
+++ b/src/protocol/cloud-service.ts
@@ -1,7 +1,7 @@
 // Server side of the cloud protocol: decodes requests of controllers, encodes replies. The client side, used
 // by controllers, is cloud.ts.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
-import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../types/index.ts';
 import { asObject, readBoolean, readCount, readString } from './json-fields.ts';
 import {
   type DecodedRequest,
@@ -50,7 +50,7 @@
   return {
     kind: 'rent',
     request: readString(fields, 'hire'),
-    type: readString(fields, 'berthkind') as TypeName,
+    type: readString(fields, 'berthkind') as MachineTypeName,
     zone: readString(fields, 'yard') as ZoneName,
     spot: readBoolean(fields, 'loaners'),
     count: readCount(fields, 'number', 1, MAX_MACHINES_PER_REQUEST),
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,6 +1,6 @@
 // Client side of the cloud protocol, used by controllers: encodes requests, decodes replies.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
-import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
+import type { MachineId, MachineTypeName, ZoneName } from '../types/index.ts';
 import type { HttpCall } from './http-call.ts';
 import { asObject, readAmount, readBoolean, readList, readString } from './json-fields.ts';
 
@@ -35,7 +35,7 @@
 function decodeMachineType(json: unknown): MachineType {
   const fields = asObject(json, 'a machine type');
   return {
-    name: readString(fields, 'label') as TypeName,
+    name: readString(fields, 'label') as MachineTypeName,
     cpus: readAmount(fields, 'cores'),
     gpus: readAmount(fields, 'accelerators'),
     memoryGb: readAmount(fields, 'memoryGb'),
@@ -53,7 +53,7 @@
   return {
     id: readString(fields, 'nameId') as MachineId,
     addr: readString(fields, 'endpoint'),
-    type: readString(fields, 'berthkind') as TypeName,
+    type: readString(fields, 'berthkind') as MachineTypeName,
     zone: readString(fields, 'yard') as ZoneName,
     spot: readBoolean(fields, 'loaners'),
     status: readString(fields, 'status') as ListedMachine['status'],
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -1,6 +1,6 @@
 // Decodes submitted jobs from JSON to job specifications. The encoder is in user.ts.
 import type { JobKind, JobSpec, Priority } from '../core/base/model.ts';
-import type { JobId, TeamName, TypeName, ZoneName } from '../types/index.ts';
+import type { JobId, MachineTypeName, TeamName, ZoneName } from '../types/index.ts';
 import {
   asObject,
   InvalidMessageError,
@@ -19,18 +19,18 @@
 /** Job kinds by their names on the wire. */
 export const JOB_KINDS: Record<string, JobKind> = { batch: 'array', gang: 'gang', daemon: 'service' };
 /** Job priorities by their names on the wire. */
-export const PRIORITIES: Record<string, Priority> = { critical: 3, urgent: 2, normal: 1, idle: 0 };
+export const JOB_PRIORITIES: Record<string, Priority> = { critical: 3, urgent: 2, normal: 1, idle: 0 };
 
 /** Whether a string has the form of a job id, such as `run-000412`. */
 export function isJobId(id: string): id is JobId {
   return JOB_ID.test(id);
 }
 
-function readMachineTypes(object: JsonObject, name: string): TypeName[] {
+function readMachineTypes(object: JsonObject, name: string): MachineTypeName[] {
   const value = object[name];
   if (!Array.isArray(value) || value.some((type) => typeof type !== 'string'))
     throw new InvalidMessageError(`${name} must be a list of machine types`);
-  return value as TypeName[];
+  return value as MachineTypeName[];
 }
 
 /** A list of job ids without duplicates, in the order of their first occurrence. */
@@ -55,7 +55,7 @@
     class: readString(fields, 'jobclass'),
     team: readString(fields, 'owner') as TeamName,
     kind: readOneOf(fields, 'shape', JOB_KINDS),
-    priority: readOneOf(fields, 'urgency', PRIORITIES),
+    priority: readOneOf(fields, 'urgency', JOB_PRIORITIES),
     tasks: readCount(fields, 'pieces', 1, MAX_TASKS),
     cpus: readAmount(fields, 'cores'),
     gpus: readAmount(fields, 'accelerators'),
--- a/src/protocol/peer-decoder.ts
+++ b/src/protocol/peer-decoder.ts
@@ -16,10 +16,10 @@
   FencingToken,
   JobId,
   MachineId,
+  MachineTypeName,
   NodeId,
   Revision,
   TaskId,
-  TypeName,
   ZoneName,
 } from '../types/index.ts';
 import { swiftford } from './generated/peer.js';
@@ -80,7 +80,7 @@
 export class PeerDecoder extends FrameReader {
   /** Returns the messages completed by this chunk, except for unsupported kinds. */
   feed(chunk: Buffer): PeerMessage[] {
-    return this.frames(chunk)
+    return this.readFrames(chunk)
       .map(decodePeerMessage)
       .filter((message) => message !== null);
   }
@@ -186,7 +186,7 @@
     heartbeat: {
       ...common,
       addr: forwarded.addr ?? '',
-      type: (forwarded.type ?? '') as TypeName,
+      type: (forwarded.type ?? '') as MachineTypeName,
       zone: (forwarded.zone ?? '') as ZoneName,
       spot: forwarded.spot === true,
       tasks: tasks.map(decodeTask),
--- a/src/protocol/peer-frames.ts
+++ b/src/protocol/peer-frames.ts
@@ -27,7 +27,7 @@
   private pending: Buffer = Buffer.alloc(0);
 
   /** Returns the bodies completed by this chunk; throws `InvalidPeerMessageError` if a frame is too large. */
-  frames(chunk: Buffer): Buffer[] {
+  readFrames(chunk: Buffer): Buffer[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const bodies: Buffer[] = [];
     while (this.pending.length >= LENGTH_PREFIX_BYTES) {
--- a/src/protocol/relay.ts
+++ b/src/protocol/relay.ts
@@ -8,7 +8,15 @@
   TaskState,
   TaskStatus,
 } from '../core/base/model.ts';
-import type { Attempt, FencingToken, MachineId, NodeId, TaskId, TypeName, ZoneName } from '../types/index.ts';
+import type {
+  Attempt,
+  FencingToken,
+  MachineId,
+  MachineTypeName,
+  NodeId,
+  TaskId,
+  ZoneName,
+} from '../types/index.ts';
 
 interface RelayedTask {
   task: TaskId;
@@ -22,7 +30,7 @@
 export interface RelayedHeartbeat {
   machine: MachineId;
   addr: string;
-  type: TypeName;
+  type: MachineTypeName;
   zone: ZoneName;
   spot: boolean;
   session: number;
--- a/src/protocol/service-side.ts
+++ b/src/protocol/service-side.ts
@@ -10,8 +10,8 @@
 
 /** A decoded request, and the maximum number of items or machines in its reply. */
 export interface DecodedRequest<T> {
-  op: T;
-  page: number;
+  request: T;
+  pageSize: number;
 }
 
 /** Encodes a response with a JSON body. */
@@ -57,7 +57,7 @@
   const target = parseTarget(path);
   const page = Math.min(maxPageSize, readQueryNumber(target.query, 'page') || maxPageSize);
   const op = decode(target);
-  return op === null ? null : { op, page };
+  return op === null ? null : { request: op, pageSize: page };
 }
 
 /** A list of objects; empty if the field is missing. */
--- a/src/protocol/user.ts
+++ b/src/protocol/user.ts
@@ -2,7 +2,7 @@
 // user-response.ts.
 import type { JobSpec, JobStatus } from '../core/base/model.ts';
 import type { JobId } from '../types/index.ts';
-import { JOB_KINDS, PRIORITIES } from './job.ts';
+import { JOB_KINDS, JOB_PRIORITIES } from './job.ts';
 import { asObject, InvalidMessageError, wireNameOf } from './json-fields.ts';
 import { JOB_STATUS_NAMES } from './user-response.ts';
 
@@ -30,7 +30,7 @@
     jobclass: spec.class,
     owner: spec.team,
     shape: wireNameOf(JOB_KINDS, spec.kind),
-    urgency: wireNameOf(PRIORITIES, spec.priority),
+    urgency: wireNameOf(JOB_PRIORITIES, spec.priority),
     pieces: spec.tasks,
     cores: spec.cpus,
     accelerators: spec.gpus,
@@ -120,5 +120,5 @@
 };
 
 /** Replaces the wire name of a field at the beginning of a message by its name in the client library. */
-export const withOurFieldName = (message: string): string =>
+export const withClientFieldName = (message: string): string =>
   message.replace(/^\w+/, (wireName) => CLIENT_FIELD_NAMES[wireName] ?? wireName);
--- a/src/protocol/worker-agent.ts
+++ b/src/protocol/worker-agent.ts
@@ -54,9 +54,9 @@
 /** Decoded commands for a worker. */
 export interface DecodedCommands {
   /** The fencing token of the commands. */
-  token: FencingToken;
+  fencingToken: FencingToken;
   /** The agent epoch that the commands are meant for; null if the message has none. */
-  session: number | null;
+  agentEpoch: number | null;
   commands: Command[];
 }
 
@@ -64,8 +64,8 @@
 export function decodeCommands(json: unknown): DecodedCommands {
   const fields = asObject(json, 'the orders');
   return {
-    token: readCount(fields, 'baton') as FencingToken,
-    session: fields.shift === undefined ? null : readCount(fields, 'shift', 1),
+    fencingToken: readCount(fields, 'baton') as FencingToken,
+    agentEpoch: fields.shift === undefined ? null : readCount(fields, 'shift', 1),
     commands: readObjectList(fields, 'orders').map(decodeCommand),
   };
 }
@@ -80,6 +80,6 @@
     return { kind: 'redirect', node: typeof foreman === 'string' ? (foreman as NodeId) : null };
   }
   if (status !== 200) return null;
-  const { token, commands } = decodeCommands(json);
+  const { fencingToken: token, commands } = decodeCommands(json);
   return { kind: 'commands', fencingToken: token, commands };
 }
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -7,7 +7,7 @@
   TaskState,
   TaskStatus,
 } from '../core/base/model.ts';
-import type { Attempt, FencingToken, MachineId, TaskId, TypeName, ZoneName } from '../types/index.ts';
+import type { Attempt, FencingToken, MachineId, MachineTypeName, TaskId, ZoneName } from '../types/index.ts';
 import {
   asObject,
   InvalidMessageError,
@@ -62,7 +62,7 @@
   return {
     machine: readString(fields, 'berth') as MachineId,
     addr: readString(fields, 'endpoint'),
-    type: readString(fields, 'berthkind') as TypeName,
+    type: readString(fields, 'berthkind') as MachineTypeName,
     zone: readString(fields, 'yard') as ZoneName,
     spot: readBoolean(fields, 'loaners'),
     agentEpoch: readCount(fields, 'shift', 1),
--- a/src/runtime/controller-process.ts
+++ b/src/runtime/controller-process.ts
@@ -115,7 +115,7 @@
   private tick(): void {
     const nowMs = performance.now();
     this.loopDelay.record(nowMs);
-    this.step({ kind: 'tick', queuedMs: this.queue.ageMs, memory: this.heap.used(nowMs) });
+    this.step({ kind: 'tick', queuedMs: this.queue.ageMs, memory: this.heap.measureUsedFraction(nowMs) });
   }
 
   private step(input: Input): void {
--- a/src/runtime/heap-governor.ts
+++ b/src/runtime/heap-governor.ts
@@ -50,7 +50,7 @@
   ) {}
 
   /** The fraction of the limit that is in use, 0 without a limit; `nowMs` is on the monotonic clock. */
-  used(nowMs: number): number {
+  measureUsedFraction(nowMs: number): number {
     if (this.limitMb === null || nowMs < this.nextMeasureMs) return this.usedFraction;
     this.nextMeasureMs = nowMs + MEASURE_INTERVAL_MS;
     const use = { ...this.measure(), limitMb: this.limitMb };
--- a/src/runtime/incoming-peer-link.ts
+++ b/src/runtime/incoming-peer-link.ts
@@ -67,7 +67,7 @@
   }
 
   private receive(data: Buffer): void {
-    for (const frame of this.frames.frames(data)) {
+    for (const frame of this.frames.readFrames(data)) {
       if (isForwardedHeartbeat(frame)) this.enqueue(frame);
       else this.handleFrame(frame);
     }
--- a/src/types/index.ts
+++ b/src/types/index.ts
@@ -16,7 +16,7 @@
 /** The name of a zone of the cloud. */
 export type ZoneName = Brand<string, 'ZoneName'>;
 /** The name of a machine type. */
-export type TypeName = Brand<string, 'MachineTypeName'>;
+export type MachineTypeName = Brand<string, 'MachineTypeName'>;
 /** The revision of a key in the store, and the store's global revision, which increases with each change. */
 export type Revision = Brand<number, 'Revision'>;
 /** The fencing token of a leader's commands; machines reject tokens lower than the highest received. */
--- a/test/behaviour.test.ts
+++ b/test/behaviour.test.ts
@@ -75,7 +75,7 @@
         encoding((nowMs, node, bytes) => digest.add(nowMs, node, bytes)),
       );
       world.run(4);
-      const leader = world.nodes.get(world.owner!)! as unknown as {
+      const leader = world.nodes.get(world.leader!)! as unknown as {
         io: { random: ReturnType<typeof seededRandom> };
       };
       if (hasExtraDraw) leader.io.random.below(2);
--- a/test/config-command.test.ts
+++ b/test/config-command.test.ts
@@ -88,7 +88,7 @@
     const { store, client, advance } = storeWithClient();
     await applyDocument(client, 'one', team('a'));
     let isFirst = true;
-    store.lateMs = () => {
+    store.executionDelayMs = () => {
       const isLate = isFirst;
       isFirst = false;
       return isLate ? 5000 : null;
@@ -122,7 +122,7 @@
     await applyDocument(client, 'one', team('a'));
     const snapshot = await client.snapshot();
     store.losesAnswer = (_node, request) => request.kind === 'compare-and-swap';
-    store.halfRefused = false;
+    store.refusesEverySecond = false;
     const applied = client.apply(snapshot, client.plan(snapshot, [team('b')]), 'two');
     // The first attempt succeeded, so the retry finds the change.
     assert.equal((await applied).repeated, true);
@@ -153,14 +153,14 @@
       return obstacle(JSON.parse(status) as NodeStatus);
     };
     assert.equal(currentObstacle(), 'the version of node node-2 is unknown: it has not been heard of yet');
-    world.oldForm.add('node-2');
+    world.oldVersionNodes.add('node-2');
     world.start('node-2');
     world.run(3);
     assert.equal(
       currentObstacle(),
       'node node-2 is of a version that does not know documents: upgrade it first',
     );
-    world.oldForm.delete('node-2');
+    world.oldVersionNodes.delete('node-2');
     world.crash('node-2');
     world.start('node-2');
     world.run(3);
@@ -279,7 +279,7 @@
     const planned = await config('plan', lower);
     assert.equal(planned.code, 0, planned.output);
     assert.match(planned.output, /config\/team\/demo[\s\S]*"cpusMax":8[\s\S]*"cpusMax":4/);
-    assert.equal(cluster.recorded('share/config'), undefined);
+    assert.equal(cluster.storedValue('share/config'), undefined);
     const applied = await config('apply', lower, '--wait', '--id', 'first');
     assert.equal(applied.code, 0, applied.output);
     assert.match(applied.output, /change 1 \(first\) made[\s\S]*in force everywhere after [\d.]+ s/);
