--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -2,7 +2,12 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, UserResponse } from '../src/core/base/model.ts';
-import { changesTo, HISTORY_LENGTH, preparation, transactionOf } from '../src/core/configuration/change.ts';
+import {
+  changeTransaction,
+  HISTORY_LENGTH,
+  planChanges,
+  preparationTransaction,
+} from '../src/core/configuration/change.ts';
 import type { ConfigDocument } from '../src/core/configuration/documents.ts';
 import {
   CONFIG_HISTORY_PREFIX,
@@ -11,7 +16,7 @@
   LEADER_KEY,
 } from '../src/core/storage/keys.ts';
 import type { JobId, Revision, TeamName } from '../src/types/index.ts';
-import { judge } from './support/checked-world.ts';
+import { checkRules } from './support/checked-world.ts';
 import { LIMITS, Operator, team } from './support/operator.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
@@ -35,7 +40,7 @@
 function cpusUsedBy(world: SimulatedWorld, name: string): number {
   let cpus = 0;
   for (const machine of world.workers.values()) {
-    for (const task of machine.live()) {
+    for (const task of machine.activeTasks()) {
       const spec = world.jobs.get(task.job)?.spec;
       if (spec?.team === name) cpus += spec.cpus;
     }
@@ -54,8 +59,8 @@
   limits: Map<Revision, number>,
 ): { starts: string[] } {
   const starts: string[] = [];
-  const placed = world.placed.bind(world);
-  world.placed = (machine, task) => {
+  const placed = world.onTaskPlaced.bind(world);
+  world.onTaskPlaced = (machine, task) => {
     const inForce = operator.inForce?.revision ?? 0;
     const limit = [...limits].filter(([revision]) => revision <= inForce).at(-1)?.[1] ?? 6;
     const spec = world.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
@@ -78,23 +83,25 @@
 
 /** Asserts that a revision is declared in force within the guaranteed time. */
 function assertInForce(operator: Operator, revision: Revision): void {
-  const isInForce = operator.untilInForce(revision, IN_FORCE_S) !== null;
+  const isInForce = operator.secondsUntilInForce(revision, IN_FORCE_S) !== null;
   assert.equal(isInForce, true, `revision ${revision} is not in force after ${IN_FORCE_S} s`);
 }
 
 const appliedBy = (world: SimulatedWorld, node: string): number =>
-  world.nodes.get(node)!.configuration.applied;
+  world.nodes.get(node)!.configuration.appliedRevision;
 
 describe('a cluster without configuration documents', () => {
   it('sends the store no requests for documents, also during a failover', () => {
     const { world } = startWorld();
     world.submit(job('run-1'));
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     world.run(30);
-    const requests = world.state.served.filter((op) => 'prefix' in op && op.prefix.startsWith('config'));
+    const requests = world.state.executedRequests.filter(
+      (op) => 'prefix' in op && op.prefix.startsWith('config'),
+    );
     assert.deepEqual(requests, []);
-    assert.equal(world.owner === undefined, false);
-    assert.equal(world.state.keys.has('share/1'), false);
+    assert.equal(world.leader === undefined, false);
+    assert.equal(world.state.entries.has('share/1'), false);
   });
 });
 
@@ -105,7 +112,7 @@
     world.submit(limitedJob('run-1', { tasks: 10 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
     // The check built into the world uses the initial limit only.
-    world.placed = () => {};
+    world.onTaskPlaced = () => {};
     const revision = operator.change(limitedTeam(14));
     assertInForce(operator, revision);
     assertWithin(
@@ -115,7 +122,7 @@
       () => `${cpusUsedBy(world, 'small')} CPUs`,
     );
     for (const node of NODES) assert.equal(appliedBy(world, node), revision, node);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('lowers the limit at full use while the leader crashes: no task starts above it, running tasks go on', () => {
@@ -125,20 +132,20 @@
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
     operator.prepare();
     world.until(
-      () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+      () => world.leader !== undefined && world.nodes.get(world.leader)!.leaderTerm!.failover.isComplete,
       20,
     );
     const limits = new Map<Revision, number>();
     const watched = watchStartsAboveLimit(world, operator, limits);
     const revision = operator.change(limitedTeam(2));
     limits.set(revision, 2);
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     assertInForce(operator, revision);
     assert.equal(cpusUsedBy(world, 'small') > 2, true, 'running tasks were stopped');
     world.run(200);
     assert.deepEqual(watched.starts, []);
     assert.equal(world.isDone('run-1', 'node-1') || cpusUsedBy(world, 'small') <= 2, true);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('does not let a former leader that was frozen start tasks under its outdated limit', () => {
@@ -150,7 +157,7 @@
     world.run(6);
     const limits = new Map<Revision, number>();
     const watched = watchStartsAboveLimit(world, operator, limits);
-    const frozen = world.owner!;
+    const frozen = world.leader!;
     world.freeze(frozen);
     const revision = operator.change(limitedTeam(2));
     limits.set(revision, 2);
@@ -158,27 +165,27 @@
     world.thaw(frozen);
     world.run(60);
     assert.deepEqual(watched.starts, []);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('with documents, does not let a leader refused only by the store start tasks after its lease has ended', () => {
     const { world, operator } = startWorld();
     operator.prepare();
     world.until(
-      () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+      () => world.leader !== undefined && world.nodes.get(world.leader)!.leaderTerm!.failover.isComplete,
       20,
     );
     world.runS = 6;
     world.submit(limitedJob('run-1', { tasks: 20 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
     // The store refuses all controllers, so that no other one is elected, but not the operator.
-    for (const node of NODES) world.state.refused.add(node);
+    for (const node of NODES) world.state.refusedNodes.add(node);
     world.run(4);
     const startsBefore = countStarts(world);
     const revision = operator.change(limitedTeam(2));
     world.run(20);
     assert.equal(countStarts(world), startsBefore);
-    world.state.refused.clear();
+    world.state.refusedNodes.clear();
     assertInForce(operator, revision);
   });
 
@@ -191,7 +198,7 @@
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
     const limits = new Map<Revision, number>();
     const watched = watchStartsAboveLimit(world, operator, limits);
-    for (const id of world.workers.keys()) world.heldUpMs.set(id, 3500);
+    for (const id of world.workers.keys()) world.extraLatencyMs.set(id, 3500);
     world.run(8);
     for (let i = 0; i < 6; i++) {
       const cpus = i % 2 === 0 ? 2 : 6;
@@ -211,7 +218,7 @@
     world.submit(job('run-1', { tasks: 4 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'open') === 8);
     world.submit(limitedJob('run-2', { tasks: 3 }));
-    const leader = world.nodes.get(world.owner!)!;
+    const leader = world.nodes.get(world.leader!)!;
     const queued = (): number =>
       [...leader.leaderTerm!.machines.byId.values()].reduce((sum, machine) => sum + machine.queue.length, 0);
     assertWithin(world, 10, () => queued() === 2);
@@ -220,7 +227,7 @@
     const revision = operator.change(limitedTeam(2));
     limits.set(revision, 2);
     assertInForce(operator, revision);
-    assertWithin(world, 120, () => world.doneOnRecord('run-2'));
+    assertWithin(world, 120, () => world.isDoneInStore('run-2'));
     assert.deepEqual(watched.starts, []);
   });
 });
@@ -234,15 +241,16 @@
     world.submit(limitedJob('run-1', { tasks: 3 }));
     // The change is made between the end of the leader's lease and the term of the next leader, and the watch
     // reports it late.
-    world.crash(world.owner!);
-    while (world.state.keys.has(CONFIGURED_LEADER_KEY)) world.run(0.001);
+    world.crash(world.leader!);
+    while (world.state.entries.has(CONFIGURED_LEADER_KEY)) world.run(0.001);
     world.run(0.004);
     world.state.watchLagMs = 2500;
     const revision = operator.change(limitedTeam(2));
     let wasElectedEarly = false;
     world.until(() => {
-      const leader = world.owner;
-      wasElectedEarly ||= leader !== undefined && world.nodes.get(leader)!.configuration.newest < revision;
+      const leader = world.leader;
+      wasElectedEarly ||=
+        leader !== undefined && world.nodes.get(leader)!.configuration.newestRevision < revision;
       return (operator.inForce?.revision ?? 0) >= revision;
     }, 60);
     assert.equal(wasElectedEarly, false);
@@ -254,7 +262,7 @@
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(5);
-    const isolated = NODES.find((n) => n !== world.owner)!;
+    const isolated = NODES.find((n) => n !== world.leader)!;
     for (const node of NODES) if (node !== isolated) world.cut(isolated, node, 'drop');
     world.cut(isolated, 'state', 'drop');
     world.run(1);
@@ -266,10 +274,10 @@
     world.heal(isolated, 'state');
     // Its watch has not reported the change yet: a submission that it accepts without the leader is written
     // on the condition that the configuration on record is unchanged.
-    const request = world.ask(isolated, { op: 'submit', spec: job('run-1') });
+    const request = world.sendRequest(isolated, { op: 'submit', spec: job('run-1') });
     world.run(2);
     assert.notEqual(request.answer?.kind, 'accepted');
-    assert.equal(world.state.keys.has('o/run-1'), false);
+    assert.equal(world.state.entries.has('o/run-1'), false);
     for (const node of NODES) if (node !== isolated) world.heal(isolated, node);
     assertWithin(world, IN_FORCE_S, () => appliedBy(world, isolated) === revision);
   });
@@ -278,16 +286,16 @@
     const { world, operator } = startWorld();
     operator.change(limitedTeam(6));
     world.run(6);
-    const isolated = NODES.find((n) => n !== world.owner)!;
+    const isolated = NODES.find((n) => n !== world.leader)!;
     for (const node of NODES) if (node !== isolated) world.cut(isolated, node, 'drop');
     world.run(5);
     world.state.watchLagMs = 60_000;
     world.run(5);
     operator.change(team('open', { removed: true }));
-    const request = world.ask(isolated, { op: 'submit', spec: job('run-1') });
+    const request = world.sendRequest(isolated, { op: 'submit', spec: job('run-1') });
     world.run(1);
     assert.equal(request.answer?.kind, 'retry');
-    assert.equal(world.state.keys.has('o/run-1'), false);
+    assert.equal(world.state.entries.has('o/run-1'), false);
   });
 
   it('lists the shard again when the store no longer has the events that its watch missed', () => {
@@ -315,7 +323,7 @@
     assert.equal(refused?.kind, 'impossible');
     assert.match((refused as Extract<UserResponse, { kind: 'impossible' }>).reason, /closed to new work/);
     assert.equal(world.submit(spec, 'node-1')?.kind, 'known');
-    assertWithin(world, 60, () => world.doneOnRecord('run-1'));
+    assertWithin(world, 60, () => world.isDoneInStore('run-1'));
   });
 
   it('keeps a job queued that the lowered limit does not allow, with a reason, until the limit is raised', () => {
@@ -338,7 +346,7 @@
     assert.equal(world.submit(gang, 'node-2')?.kind, 'known');
     assert.equal(world.submit(limitedJob('run-2', { kind: 'gang', tasks: 3 }))?.kind, 'impossible');
     operator.change(limitedTeam(6));
-    assertWithin(world, 60, () => world.doneOnRecord('run-1'));
+    assertWithin(world, 60, () => world.isDoneInStore('run-1'));
   });
 
   it('has tasks above the lowered limit stopped if its document requires it, also by a new leader', () => {
@@ -347,7 +355,7 @@
     world.submit(limitedJob('run-1', { tasks: 3 }));
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 6);
     operator.change(limitedTeam(2, { above: { kind: 'stop', withinS: 20 } }));
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     assertWithin(
       world,
       40,
@@ -356,7 +364,7 @@
     );
     world.run(60);
     assert.equal(cpusUsedBy(world, 'small'), 2);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
 
@@ -366,18 +374,18 @@
     operator.change(limitedTeam(6));
     world.run(6);
     const reads = (): number =>
-      world.state.served.filter((op) => 'prefix' in op && op.prefix === CONFIG_PREFIX).length;
+      world.state.executedRequests.filter((op) => 'prefix' in op && op.prefix === CONFIG_PREFIX).length;
     const before = reads();
     let last = 0 as Revision;
     for (let i = 0; i < 200; i++) {
       last = operator.change(limitedTeam(3 + (i % 4)));
-      if (i === 90) world.crash(world.owner!);
+      if (i === 90) world.crash(world.leader!);
       world.run(0.05);
     }
     assertInForce(operator, last);
     assert.equal(reads() - before <= 3 * 25, true, `${reads() - before} reads`);
-    assert.equal(world.state.keys.size > 0, true);
-    const historyKeys = [...world.state.keys.keys()].filter((k) => k.startsWith(CONFIG_HISTORY_PREFIX));
+    assert.equal(world.state.entries.size > 0, true);
+    const historyKeys = [...world.state.entries.keys()].filter((k) => k.startsWith(CONFIG_HISTORY_PREFIX));
     assert.equal(historyKeys.length, HISTORY_LENGTH);
   });
 
@@ -390,7 +398,7 @@
     operator.rollback(1);
     world.run(4);
     const teams = (): string =>
-      [...world.nodes.get(world.owner!)!.configuration.effective.teams.values()]
+      [...world.nodes.get(world.leader!)!.configuration.effective.teams.values()]
         .map((teamConfig) => `${teamConfig.name} ${teamConfig.cpusMax}`)
         .join(', ');
     assert.equal(teams(), 'open 0, small 4');
@@ -405,38 +413,38 @@
 describe('the migration of the leader key', () => {
   it('does not interrupt the leader, even while it writes', () => {
     const { world, operator } = startWorld();
-    const leader = world.owner!;
-    for (let i = 0; i < 60; i++) world.ask('node-1', { op: 'submit', spec: job(`run-${i}`) });
+    const leader = world.leader!;
+    for (let i = 0; i < 60; i++) world.sendRequest('node-1', { op: 'submit', spec: job(`run-${i}`) });
     world.run(0.1);
     operator.prepare();
-    assert.equal(world.owner, leader);
+    assert.equal(world.leader, leader);
     assertWithin(world, 5, () => world.nodes.get(leader)!.leaderTerm?.failover.isComplete === true);
     assert.equal(world.logs.filter((l) => l.includes('leadership acquired')).length, 2);
   });
 
   it('allows a leader that loses its term during the migration to be elected again', () => {
     const { world, operator } = startWorld();
-    const first = world.owner!;
-    operator.commit(preparation('first', world.now));
+    const first = world.leader!;
+    operator.commit(preparationTransaction('first', world.now));
     // The leader has learned of the announced change, and cannot write.
     world.run(0.005);
-    world.state.refused.add(first);
-    assertWithin(world, 20, () => world.owner !== undefined && world.owner !== first);
-    world.state.refused.delete(first);
+    world.state.refusedNodes.add(first);
+    assertWithin(world, 20, () => world.leader !== undefined && world.leader !== first);
+    world.state.refusedNodes.delete(first);
     world.run(10);
     for (const node of NODES) if (node !== first) world.crash(node);
-    assertWithin(world, 20, () => world.owner === first);
+    assertWithin(world, 20, () => world.leader === first);
   });
 });
 
 describe('the transaction of a change', () => {
   it('writes no document before the leader key has moved', () => {
     const { world, operator } = startWorld();
-    operator.commit(preparation('first', world.now));
-    const before = world.state.keys.get(LEADER_KEY)!.revision;
+    operator.commit(preparationTransaction('first', world.now));
+    const before = world.state.entries.get(LEADER_KEY)!.revision;
     const { snapshot } = operator;
-    const changes = changesTo(snapshot, [limitedTeam(2)]);
-    const early = transactionOf(snapshot, changes, 'early', world.now, (before + 1) as Revision, LIMITS);
+    const changes = planChanges(snapshot, [limitedTeam(2)]);
+    const early = changeTransaction(snapshot, changes, 'early', world.now, (before + 1) as Revision, LIMITS);
     assert.equal(operator.commit(early).kind, 'conflict');
   });
 
@@ -465,9 +473,9 @@
       },
       { kind: 'dispatch', dispatch: { threshold: 2, classFloor: 0.5 } },
     ];
-    const transaction = transactionOf(
+    const transaction = changeTransaction(
       snapshot,
-      changesTo(snapshot, wanted),
+      planChanges(snapshot, wanted),
       'one',
       1000,
       7 as Revision,
@@ -509,7 +517,7 @@
     world.run(20);
     // A controller of such a version is elected on the condition that the first leader key is absent, and
     // reads the name of the leading node from its record.
-    const leaderItem = world.state.keys.get(LEADER_KEY)!;
+    const leaderItem = world.state.entries.get(LEADER_KEY)!;
     assert.equal((leaderItem.value as { node?: string }).node, undefined);
     const claim = {
       conditions: [{ key: LEADER_KEY, revision: 0 as Revision }],
@@ -518,7 +526,7 @@
     };
     assert.equal(operator.commit(claim).kind, 'conflict');
     world.start('node-1');
-    assertWithin(world, 20, () => world.owner === 'node-1');
+    assertWithin(world, 20, () => world.leader === 'node-1');
     assert.equal(appliedBy(world, 'node-1'), operator.snapshot.revision);
   });
 
@@ -527,18 +535,18 @@
     world.runS = 600;
     operator.change(limitedTeam(2));
     world.run(6);
-    world.crash(world.owner!);
-    world.state.unreadable = CONFIG_PREFIX;
+    world.crash(world.leader!);
+    world.state.refusedListPrefix = CONFIG_PREFIX;
     // Every node learns of this change and has to read the documents.
     operator.change(limitedTeam(4));
-    assertWithin(world, 20, () => world.owner !== undefined);
-    const newLeader = world.owner!;
-    world.ask(newLeader, { op: 'submit', spec: limitedJob('run-1') });
+    assertWithin(world, 20, () => world.leader !== undefined);
+    const newLeader = world.leader!;
+    world.sendRequest(newLeader, { op: 'submit', spec: limitedJob('run-1') });
     world.run(30);
     assert.equal(cpusUsedBy(world, 'small'), 0);
     assert.equal(world.nodes.get(newLeader)!.leaderTerm!.failover.isLoaded, false);
     for (const controller of world.nodes.values()) assert.equal(controller.ready, false);
-    world.state.unreadable = null;
+    world.state.refusedListPrefix = null;
     world.submit(limitedJob('run-1'), newLeader);
     assertWithin(world, 40, () => cpusUsedBy(world, 'small') === 2);
   });
@@ -555,7 +563,7 @@
       puts: planned.puts.map((p) => (p.key === laterDocument.key ? laterDocument : p)),
     });
     world.run(10);
-    world.ask(world.owner!, { op: 'submit', spec: limitedJob('run-1') });
+    world.sendRequest(world.leader!, { op: 'submit', spec: limitedJob('run-1') });
     world.run(20);
     assert.equal(cpusUsedBy(world, 'small'), 0);
     assert.match(world.logs.join('\n'), /a configuration document cannot be read/);
@@ -565,14 +573,15 @@
 describe('changes of limits during faults', () => {
   it('violate no rule of the service while crashes and store outages coincide', () => {
     const { world, operator } = startWorld();
-    const checked = judge(world);
+    const checked = checkRules(world);
     world.runS = 4;
-    for (let i = 0; i < 6; i++) checked.insist({ op: 'submit', spec: limitedJob(`run-${i}`, { tasks: 6 }) });
+    for (let i = 0; i < 6; i++)
+      checked.requestUntilAnswered({ op: 'submit', spec: limitedJob(`run-${i}`, { tasks: 6 }) });
     operator.prepare();
     for (let i = 0; i < 12; i++) {
       operator.change(limitedTeam(2 + (i % 3) * 2));
       if (i % 4 === 1) {
-        const leader = world.owner;
+        const leader = world.leader;
         if (leader !== undefined) {
           world.crash(leader);
           world.after(400, () => world.start(leader));
@@ -582,8 +591,8 @@
       world.run(10);
     }
     operator.change(limitedTeam(6));
-    for (let i = 0; i < 6; i++) checked.follow(`run-${i}` as JobId);
-    assertWithin(world, 200, () => [0, 1, 2, 3, 4, 5].every((i) => world.doneOnRecord(`run-${i}`)));
-    checked.sound();
+    for (let i = 0; i < 6; i++) checked.pollStatus(`run-${i}` as JobId);
+    assertWithin(world, 200, () => [0, 1, 2, 3, 4, 5].every((i) => world.isDoneInStore(`run-${i}`)));
+    checked.assertNoViolations();
   });
 });
--- a/test/fair-share.test.ts
+++ b/test/fair-share.test.ts
@@ -14,7 +14,15 @@
 import { dominantShare, maxMinShares, type ShareDemand } from '../src/core/teams/max-min-fairness.ts';
 import { Usage } from '../src/core/teams/usage.ts';
 import { seededRandom } from '../src/runtime/random.ts';
-import type { Instant, JobId, Revision, TeamName, TypeName, WallTime, ZoneName } from '../src/types/index.ts';
+import type {
+  Instant,
+  JobId,
+  MachineTypeName,
+  Revision,
+  TeamName,
+  WallTime,
+  ZoneName,
+} from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
 const SEED = { seed: 5, numRuns: 300 };
@@ -86,8 +94,9 @@
   return world;
 }
 const liveTasks = (world: SimulatedWorld, prefix: string): number =>
-  [...world.workers.values()].flatMap((worker) => worker.live()).filter((task) => task.job.startsWith(prefix))
-    .length;
+  [...world.workers.values()]
+    .flatMap((worker) => worker.activeTasks())
+    .filter((task) => task.job.startsWith(prefix)).length;
 
 describe('max-min fairness', () => {
   it('computes the same weighted max-min shares as a division in small steps, and allocates no more than the capacity', () => {
@@ -191,14 +200,14 @@
     const controller = world.nodes.get('node-0')!;
     world.submit(job('run-0', { tasks: 1, cpus: 1 }));
     assert.ok(world.until(() => world.isDone('run-0')));
-    world.ask('node-0', { op: 'submit', spec: job('run-large', dueIn40S(200)) });
+    world.sendRequest('node-0', { op: 'submit', spec: job('run-large', dueIn40S(200)) });
     for (let i = 0; i < 3; i++)
-      world.ask('node-0', { op: 'submit', spec: job(`run-small-${i}`, dueIn40S(6)) });
+      world.sendRequest('node-0', { op: 'submit', spec: job(`run-small-${i}`, dueIn40S(6)) });
     world.run(40);
-    for (let i = 0; i < 3; i++) assert.ok(world.doneOnRecord(`run-small-${i}`), `run-small-${i} is late`);
-    assert.ok(!world.doneOnRecord('run-large'));
+    for (let i = 0; i < 3; i++) assert.ok(world.isDoneInStore(`run-small-${i}`), `run-small-${i} is late`);
+    assert.ok(!world.isDoneInStore('run-large'));
     assert.ok((controller.leaderTerm!.jobs.openJobs.get('run-large' as JobId)?.doneCount ?? 0) > 0);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
 
@@ -212,16 +221,16 @@
     world.submit(job('run-cool-1', { ...team('cool'), tasks: 600, deadlineS: 900 }));
     world.run(12);
     assert.ok(liveTasks(world, 'run-cool') >= 30, `${liveTasks(world, 'run-cool')} of 80 CPUs`);
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     assert.ok(
       world.until(
-        () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+        () => world.leader !== undefined && world.nodes.get(world.leader)!.leaderTerm!.failover.isComplete,
         30,
       ),
     );
     world.run(15);
     assert.ok(liveTasks(world, 'run-cool') >= 30, `${liveTasks(world, 'run-cool')} after the crash`);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('gives a class past all its deadlines a good part of its fair share beside a class that can still meet its deadlines', () => {
@@ -233,14 +242,14 @@
     world.run(25);
     const [past, pressing] = [liveTasks(world, 'run-past'), liveTasks(world, 'run-pressing')];
     assert.ok(past >= 12 && pressing >= 30, `${past} and ${pressing} of 80 CPUs`);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('does not expect the capacity of services to come free', () => {
     const capacityIndex = new CapacityIndex();
     const usage = new Usage();
     const box = {
-      name: 'box' as TypeName,
+      name: 'box' as MachineTypeName,
       cpus: 8,
       gpus: 0,
       memoryGb: 32,
@@ -278,23 +287,23 @@
     world.runS = 2;
     for (let i = 0; i < 4; i++) world.submit(job(`run-a-${i}`, { team: 'hot' as TeamName, tasks: 3 }));
     world.submit(job('run-b', { team: 'cool' as TeamName, class: 'long', kind: 'service', cpus: 8 }));
-    for (let i = 0; i < 4; i++) assert.ok(world.until(() => world.doneOnRecord(`run-a-${i}`)));
+    for (let i = 0; i < 4; i++) assert.ok(world.until(() => world.isDoneInStore(`run-a-${i}`)));
     world.run(25);
-    const before = world.nodes.get(world.owner!)!.leaderTerm!;
+    const before = world.nodes.get(world.leader!)!.leaderTerm!;
     const hotTeamRow = (term: typeof before) =>
       term.usageAccounting
         .summarize(term.jobs.openJobs.values())
         .find((row) => row.team === 'hot' && row.class === 'plain');
     assert.equal(hotTeamRow(before)?.done, 4);
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     assert.ok(
       world.until(
-        () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+        () => world.leader !== undefined && world.nodes.get(world.leader)!.leaderTerm!.failover.isComplete,
         60,
       ),
     );
     world.run(2);
-    const after = world.nodes.get(world.owner!)!.leaderTerm!;
+    const after = world.nodes.get(world.leader!)!.leaderTerm!;
     assert.deepEqual(hotTeamRow(after), hotTeamRow(before));
     const rows = after.usageAccounting.summarize(after.jobs.openJobs.values());
     const long = rows.find((row) => row.class === 'long');
@@ -308,13 +317,13 @@
   it('throttles a flooding team with increasing retry delays, and accepts the submissions of others within a second', () => {
     const world = scarceFleet();
     world.submit(job('run-0', { team: 'open' as TeamName }));
-    const leader = world.owner!;
+    const leader = world.leader!;
     const flood = Array.from({ length: 700 }, (_, i) =>
-      world.ask(leader, { op: 'submit', spec: job(`run-hot-${i}`, { team: 'hot' as TeamName }) }),
+      world.sendRequest(leader, { op: 'submit', spec: job(`run-hot-${i}`, { team: 'hot' as TeamName }) }),
     );
     world.run(0.3);
     const others = Array.from({ length: 5 }, (_, i) =>
-      world.ask(leader, { op: 'submit', spec: job(`run-cool-${i}`, { team: 'cool' as TeamName }) }),
+      world.sendRequest(leader, { op: 'submit', spec: job(`run-cool-${i}`, { team: 'cool' as TeamName }) }),
     );
     world.run(1);
     for (const other of others) assert.equal(other.answer?.kind, 'accepted');
@@ -325,7 +334,7 @@
     assert.ok(flood.some(({ answer }) => answer === null || answer.kind === 'accepted'));
     // The same team floods again after the other team has submitted.
     const again = Array.from({ length: 300 }, (_, i) =>
-      world.ask(leader, { op: 'submit', spec: job(`run-more-${i}`, { team: 'hot' as TeamName }) }),
+      world.sendRequest(leader, { op: 'submit', spec: job(`run-more-${i}`, { team: 'hot' as TeamName }) }),
     );
     world.run(0.5);
     const laterRetryAfterS = again.flatMap(({ answer }) => (answer?.kind === 'retry' ? [answer.afterS] : []));
@@ -334,7 +343,7 @@
       laterRetryAfterS.length > 0 && mean(laterRetryAfterS) > mean(retryAfterS),
       `${mean(laterRetryAfterS)} after ${mean(retryAfterS)}`,
     );
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('throttles none of many teams that submit little while another team floods', () => {
@@ -362,7 +371,7 @@
     const world = scarceFleet();
     const teams = ['hot', 'cool', 'open'] as TeamName[];
     const submit = (id: string, team: TeamName) =>
-      world.ask(world.owner!, { op: 'submit', spec: job(id, { team }) });
+      world.sendRequest(world.leader!, { op: 'submit', spec: job(id, { team }) });
     world.submit(job('run-0', { team: 'open' as TeamName }));
     for (const team of teams) submit(`run-first-${team}`, team);
     const unknown = Array.from({ length: 300 }, (_, i) =>
@@ -380,6 +389,6 @@
       evenly.filter(({ answer }) => answer?.kind === 'retry'),
       [],
     );
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
--- a/test/heartbeat-forwarding.test.ts
+++ b/test/heartbeat-forwarding.test.ts
@@ -20,7 +20,7 @@
 import type { Attempt, Instant, MachineId, NodeId, Revision, TaskId, WallTime } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-const leaderTermOf = (world: SimulatedWorld): LeaderTerm => world.nodes.get(world.owner!)!.leaderTerm!;
+const leaderTermOf = (world: SimulatedWorld): LeaderTerm => world.nodes.get(world.leader!)!.leaderTerm!;
 
 /** A delta stating that no task has changed since the heartbeat with the sequence number `baseSeq`. */
 function unchangedSince(heartbeat: Heartbeat, baseSeq: number): ForwardedHeartbeat {
@@ -45,7 +45,7 @@
   assert.ok(world.until(() => world.isDone('run-0')));
   const worker = [...world.workers.values()][0]!;
   world.run(5);
-  worker.die();
+  worker.terminate();
   world.run(3);
   const responses: ForwardedHeartbeatResponse[] = [];
   const forward = (forwarded: ForwardedHeartbeat) =>
@@ -53,7 +53,7 @@
       .get('node-0')!
       .leaderTerm!.onForwardedHeartbeat(forwarded, (response) => responses.push(response));
   const nextHeartbeat = (): Heartbeat => ({
-    ...worker.report(),
+    ...worker.nextHeartbeat(),
     fencingToken: world.nodes.get('node-0')!.election.term as never,
   });
   return { world, responses, forward, nextHeartbeat };
@@ -68,7 +68,7 @@
   it('keeps agents connected to the same node, sends most forwarded heartbeats as deltas, and completes jobs', () => {
     const world = new SimulatedWorld();
     const forwarded = { full: 0, delta: 0 };
-    world.tapPeer = (message: PeerMessage) => {
+    world.filterPeerMessage = (message: PeerMessage) => {
       if (message.kind === 'forwarded-heartbeat') forwarded[message.heartbeat.kind]++;
       return true;
     };
@@ -77,14 +77,14 @@
     assert.ok(world.until(() => world.isDone('run-1'), 80));
     assert.ok(forwarded.delta > 2 * forwarded.full && forwarded.full > 0, JSON.stringify(forwarded));
     assert.ok(Math.max(...[...world.workers.values()].map((worker) => worker.moves)) <= 1);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('detects a lost start command from an unchanged delta and sends it again', () => {
     const { world, responses, forward, nextHeartbeat } = leaderWithForwardedMachine();
     const first = nextHeartbeat();
     forward({ kind: 'full', heartbeat: first });
-    world.ask('node-0', { op: 'submit', spec: job('run-1') });
+    world.sendRequest('node-0', { op: 'submit', spec: job('run-1') });
     world.run(2.5);
     assert.equal(
       startCommandsIn(responses.at(-1)).length,
@@ -151,16 +151,16 @@
     world.runS = 6;
     let messages = 0;
     // Every seventh forwarded heartbeat or response is lost.
-    world.tapPeer = ({ kind }) => {
+    world.filterPeerMessage = ({ kind }) => {
       if (kind !== 'forwarded-heartbeat' && kind !== 'forwarded-heartbeat-response') return true;
       return ++messages % 7 !== 0;
     };
     for (let i = 0; i < 8; i++) world.submit(job(`run-${i}`, { tasks: 6, cpus: 3 }));
     world.run(10);
-    world.cut('node-1', world.owner!, 'hold');
+    world.cut('node-1', world.leader!, 'hold');
     world.run(6);
-    world.heal('node-1', world.owner!);
-    world.crash(world.owner!);
+    world.heal('node-1', world.leader!);
+    world.crash(world.leader!);
     for (let i = 0; i < 8; i++) {
       const node = [...world.nodes.keys()][0]!;
       assert.ok(
@@ -168,73 +168,79 @@
         `run-${i}`,
       );
     }
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('defers heartbeats during a leader election: agents are not redirected from node to node, and no task is lost', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 9, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length >= 5 && world.holders('run-1').length <= 9));
+    assert.ok(
+      world.until(
+        () => world.machinesRunning('run-1').length >= 5 && world.machinesRunning('run-1').length <= 9,
+      ),
+    );
     world.run(6);
     const totalStarts = () => [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0);
     const startsBefore = totalStarts();
-    const oldLeader = world.owner!;
+    const oldLeader = world.leader!;
     const forwardedWorkers = [...world.workers.values()].filter((worker) => worker.node !== oldLeader);
     const totalMoves = () => forwardedWorkers.reduce((sum, worker) => sum + worker.moves, 0);
     const movesBefore = totalMoves();
     world.crash(oldLeader);
     world.run(15);
-    assert.notEqual(world.owner, oldLeader);
+    assert.notEqual(world.leader, oldLeader);
     assert.ok(leaderTermOf(world).failover.isComplete);
     assert.ok(forwardedWorkers.length > 0);
     // Each agent waits for one timeout, or for two if it sent its heartbeat just after the crash.
     const moved = totalMoves() - movesBefore;
     assert.ok(moved <= 2 * forwardedWorkers.length, `${moved} moves of ${forwardedWorkers.length} workers`);
     assert.equal(totalStarts(), startsBefore);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('defers heartbeats until a new leader has loaded the records, and then reconciles their machines at once', () => {
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 9, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length >= 5));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length >= 5));
     world.run(6);
-    world.state.unreadable = 'm/';
+    world.state.refusedListPrefix = 'm/';
     // Without the machine list of the cloud, the new leader has no addresses to which to send probes.
     world.cloud.down = true;
     world.reportMs = 4000;
-    world.crash(world.owner!);
-    assert.ok(world.until(() => world.owner !== undefined, 20));
+    world.crash(world.leader!);
+    assert.ok(world.until(() => world.leader !== undefined, 20));
     world.run(1.5);
     const leaderTerm = leaderTermOf(world);
     assert.equal(leaderTerm.failover.isLoaded, false);
-    world.state.unreadable = null;
+    world.state.refusedListPrefix = null;
     assert.ok(world.until(() => leaderTerm.failover.isLoaded, 1));
     world.run(0.3);
     const { byId, fencingToken } = leaderTerm.machines;
-    const workersOfTerm = [...world.workers.values()].filter((worker) => worker.token === fencingToken);
+    const workersOfTerm = [...world.workers.values()].filter(
+      (worker) => worker.fencingToken === fencingToken,
+    );
     assert.ok(workersOfTerm.length >= 2);
     // Machines are reconciled from their deferred heartbeats; the next ones would come up to 4 s later.
     for (const worker of workersOfTerm)
       assert.ok(byId.get(worker.id)?.isReconciled, `${worker.id} was not reconciled`);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('redirects the agent of a heartbeat that waits for the records once the leader may no longer renew leases', () => {
     const world = new SimulatedWorld({}, ['node-0']);
     world.submit(job('run-1', { tasks: 2, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length >= 1));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length >= 1));
     world.crash('node-0');
     world.run(6);
-    world.state.unreadable = 'm/';
+    world.state.refusedListPrefix = 'm/';
     world.start('node-0');
-    assert.ok(world.until(() => world.owner !== undefined, 20));
+    assert.ok(world.until(() => world.leader !== undefined, 20));
     const { leaderTerm, election } = world.nodes.get('node-0')!;
     const worker = [...world.workers.values()][0]!;
     const responses: (string | undefined)[] = [];
-    leaderTerm!.onHeartbeat({ ...worker.report(), fencingToken: election.term as never }, (response) =>
+    leaderTerm!.onHeartbeat({ ...worker.nextHeartbeat(), fencingToken: election.term as never }, (response) =>
       responses.push(response.kind),
     );
     assert.deepEqual(responses, []);
@@ -246,18 +252,18 @@
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 6, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length >= 3));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length >= 3));
     world.run(4);
-    const leader = world.owner!;
+    const leader = world.leader!;
     // The link is up but carries no responses, while agents can still connect to the leader.
-    world.tapPeer = ({ kind }) => kind !== 'forwarded-heartbeat-response' && kind !== 'load';
+    world.filterPeerMessage = ({ kind }) => kind !== 'forwarded-heartbeat-response' && kind !== 'load';
     world.run(25);
     for (const worker of world.workers.values())
-      assert.equal(worker.session, 1, `${worker.id} lost its lease`);
-    assert.equal(world.owner, leader);
-    world.tapPeer = null;
+      assert.equal(worker.agentEpoch, 1, `${worker.id} lost its lease`);
+    assert.equal(world.leader, leader);
+    world.filterPeerMessage = null;
     assert.ok(world.until(() => world.isDone('run-1'), 80));
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('with a frozen leader and a partitioned node, no agent that can reach the third node loses its lease', () => {
@@ -271,9 +277,9 @@
       world.leaseMs = 13_000;
       world.runS = 60;
       world.submit(job('run-1', { tasks: 9, cpus: 4 }));
-      assert.ok(world.until(() => world.holders('run-1').length >= 5));
+      assert.ok(world.until(() => world.machinesRunning('run-1').length >= 5));
       world.run(6 + delayMs / 1000);
-      const leader = world.owner!;
+      const leader = world.leader!;
       const partitioned = [...world.nodes.keys()].find((node) => node !== leader)!;
       const third = [...world.nodes.keys()].find((node) => node !== leader && node !== partitioned)!;
       const others = [...world.workers.keys(), ...world.nodes.keys(), 'state', 'cloud', 'user'];
@@ -287,9 +293,13 @@
       world.freeze(leader);
       world.run(20);
       for (const worker of reachableWorkers)
-        assert.equal(worker.session, 1, `${worker.id} at ${worker.node} lost its lease, delay ${delayMs} ms`);
-      assert.equal(world.owner, third);
-      assert.deepEqual(world.broken, []);
+        assert.equal(
+          worker.agentEpoch,
+          1,
+          `${worker.id} at ${worker.node} lost its lease, delay ${delayMs} ms`,
+        );
+      assert.equal(world.leader, third);
+      assert.deepEqual(world.violations, []);
     }
   });
 });
@@ -452,22 +462,22 @@
     world.runS = 3;
     world.submit(job('run-0'));
     world.run(3);
-    const term = world.nodes.get(world.owner!)!.election.term;
-    world.state.halfRefused = true;
+    const term = world.nodes.get(world.leader!)!.election.term;
+    world.state.refusesEverySecond = true;
     for (let i = 1; i <= 12; i++)
-      world.ask(`node-${i % 3}`, { op: 'submit', spec: job(`run-${i}`, { tasks: 3 }) });
+      world.sendRequest(`node-${i % 3}`, { op: 'submit', spec: job(`run-${i}`, { tasks: 3 }) });
     world.run(1);
-    const refusalsBefore = world.state.refusals;
+    const refusalsBefore = world.state.refusalCandidateCount;
     world.run(20);
     // 200 requests per second are allowed; retries of refused requests must stay far below that.
-    const refusals = world.state.refusals - refusalsBefore;
+    const refusals = world.state.refusalCandidateCount - refusalsBefore;
     assert.ok(refusals < 20 * 60, `${refusals} refused requests`);
-    assert.equal(world.nodes.get(world.owner!)!.election.term, term);
-    world.state.halfRefused = false;
+    assert.equal(world.nodes.get(world.leader!)!.election.term, term);
+    world.state.refusesEverySecond = false;
     for (let i = 1; i <= 12; i++) world.submit(job(`run-${i}`, { tasks: 3 }));
     for (let i = 0; i <= 12; i++)
       assert.ok(world.until(() => world.isDone(`run-${i}`, 'node-2' as NodeId), 60));
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('logs an unavailable store or cloud at once, then at growing intervals, and once when it is available again', () => {
--- a/test/job-dependencies.test.ts
+++ b/test/job-dependencies.test.ts
@@ -16,16 +16,16 @@
 const assertTrue = (value: boolean | undefined, message = 'expected condition to be true') =>
   assert.equal(value, true, message);
 const CONTROLLERS = ['node-0', 'node-1', 'node-2'];
-const assertNoViolations = (world: SimulatedWorld) => assert.deepEqual(world.broken, []);
+const assertNoViolations = (world: SimulatedWorld) => assert.deepEqual(world.violations, []);
 const dependent = (id: string, dependsOn: string[], overrides: Partial<JobSpec> = {}): JobSpec =>
   job(id, { ...overrides, dependsOn: dependsOn as JobId[] });
 const isCancelled = (response: UserResponse | null) =>
   (response?.kind === 'ended' || response?.kind === 'known') && response.status === 'cancelled';
 const cancel = (world: SimulatedWorld, id: string, controller = 'node-0') =>
-  world.insist({ op: 'cancel', id: id as JobId }, controller);
+  world.requestUntilAnswered({ op: 'cancel', id: id as JobId }, controller);
 /** Puts the record of an open job into the store, in the form in which a leader writes it. */
 const storeOpenJob = (world: SimulatedWorld, spec: JobSpec) =>
-  world.state.keys.set(`o/${spec.id}`, {
+  world.state.entries.set(`o/${spec.id}`, {
     value: { s: encodeJobSpec(spec), t: 1e9, w: 'x' },
     revision: ++world.state.revision,
     hold: null,
@@ -59,7 +59,7 @@
     world.cut(controller, 'state', 'hold');
     world.after(6000, () => world.heal(controller, 'state'));
   } else if (action < 5 && ids.length > 0)
-    world.ask(controller, { op: 'cancel', id: ids[random.below(ids.length)] as JobId });
+    world.sendRequest(controller, { op: 'cancel', id: ids[random.below(ids.length)] as JobId });
 }
 
 /**
@@ -69,7 +69,7 @@
 function statusChecker(world: SimulatedWorld, random: Random, seed: number): (id: string) => void {
   const reportedEnds = new Map<string, string>();
   return (id) => {
-    const request = world.ask(CONTROLLERS[random.below(3)]!, { op: 'status', id: id as JobId });
+    const request = world.sendRequest(CONTROLLERS[random.below(3)]!, { op: 'status', id: id as JobId });
     world.run(0.3);
     const response = request.answer;
     if (response?.kind !== 'status' && response?.kind !== 'ended') return;
@@ -108,7 +108,7 @@
       dependsOn: ['run-a'],
     });
     assertTrue(world.until(() => world.isDone('run-c'), 100));
-    assertTrue(world.doneOnRecord('run-b'));
+    assertTrue(world.isDoneInStore('run-b'));
     assertNoViolations(world);
   });
 
@@ -126,7 +126,7 @@
     const world = new SimulatedWorld();
     world.submit(job('run-a'));
     world.submit(job('run-s', { kind: 'service' }));
-    const leader = world.owner!;
+    const leader = world.leader!;
     const other = CONTROLLERS.find((name) => name !== leader)!;
     const assertRejected = (spec: JobSpec, reason: RegExp) => {
       for (const controller of [leader, other]) {
@@ -158,7 +158,7 @@
     world.submit(job('run-a'));
     world.state.outage(20);
     world.run(1);
-    const request = world.ask('node-0', { op: 'submit', spec: dependent('run-b', ['run-404']) });
+    const request = world.sendRequest('node-0', { op: 'submit', spec: dependent('run-b', ['run-404']) });
     world.run(2);
     assert.equal(request.answer?.kind, 'retry');
   });
@@ -171,11 +171,11 @@
     world.submit(dependent('run-c', ['run-b']));
     world.submit(job('run-z'));
     world.submit(dependent('run-d', ['run-c', 'run-z']));
-    assertTrue(world.until(() => world.holders('run-a').length > 0));
+    assertTrue(world.until(() => world.machinesRunning('run-a').length > 0));
     assertTrue(isCancelled(cancel(world, 'run-a')));
     // The cancellation of its dependents does not wait until its running task has stopped.
-    assertTrue(!world.state.keys.has('f/run-a'));
-    const request = world.ask(world.owner!, { op: 'status', id: 'run-d' as JobId });
+    assertTrue(!world.state.entries.has('f/run-a'));
+    const request = world.sendRequest(world.leader!, { op: 'status', id: 'run-d' as JobId });
     world.run(0.1);
     assertTrue(isCancelled(request.answer));
     // The controllers crash before the dependents' own records have changed.
@@ -197,7 +197,7 @@
     world.submit(job('run-a'));
     world.submit(dependent('run-b', ['run-a']));
     world.submit(dependent('run-c', ['run-b']));
-    const leader = world.owner!;
+    const leader = world.leader!;
     const other = CONTROLLERS.find((name) => name !== leader)!;
     assert.equal(world.status('run-c', other)?.kind, 'status');
     cancel(world, 'run-a', leader);
@@ -207,12 +207,12 @@
       ['run-b', 'run-a'],
       ['run-c', 'run-b'],
     ] as const) {
-      world.state.keys.delete(`f/${id}`);
+      world.state.entries.delete(`f/${id}`);
       storeOpenJob(world, dependent(id, [dependency]));
     }
-    const request = world.ask(other, { op: 'status', id: 'run-c' as JobId });
+    const request = world.sendRequest(other, { op: 'status', id: 'run-c' as JobId });
     world.run(1);
-    assert.equal(world.owner, undefined);
+    assert.equal(world.leader, undefined);
     assertTrue(isCancelled(request.answer));
   });
 
@@ -220,7 +220,7 @@
     const world = new SimulatedWorld();
     world.submit(job('run-a'));
     world.submit(dependent('run-b', ['run-a']));
-    assertTrue(world.until(() => world.doneOnRecord('run-a'), 60));
+    assertTrue(world.until(() => world.isDoneInStore('run-a'), 60));
     assert.deepEqual(cancel(world, 'run-a'), { kind: 'ended', id: 'run-a', status: 'done' });
     assertTrue(world.until(() => world.isDone('run-b'), 60));
     assertNoViolations(world);
@@ -230,16 +230,16 @@
     const world = new SimulatedWorld();
     world.submit(job('run-a'));
     world.submit(dependent('run-b', ['run-a']));
-    assertTrue(world.until(() => world.holders('run-a').length > 0));
-    const [machine] = world.holders('run-a');
+    assertTrue(world.until(() => world.machinesRunning('run-a').length > 0));
+    const [machine] = world.machinesRunning('run-a');
     for (const controller of CONTROLLERS) world.cut(machine!, controller, 'hold');
     world.run(6);
-    assert.equal(world.workers.get(machine!)!.live().length, 0);
+    assert.equal(world.workers.get(machine!)!.activeTasks().length, 0);
     assertTrue(isCancelled(cancel(world, 'run-a')));
     for (const controller of CONTROLLERS) world.heal(machine!, controller);
     world.run(15);
     for (const id of ['run-a', 'run-b']) assertTrue(isCancelled(world.status(id, 'node-1')), id);
-    assert.deepEqual(world.holders('run-b'), []);
+    assert.deepEqual(world.machinesRunning('run-b'), []);
     assertNoViolations(world);
   });
 
@@ -270,22 +270,22 @@
     world.submit(dependent('run-b', ['run-a', 'run-l']));
     world.submit(dependent('run-c', ['run-b']));
     cancel(world, 'run-a');
-    assertTrue(world.until(() => world.state.keys.has('f/run-a'), 60));
+    assertTrue(world.until(() => world.state.entries.has('f/run-a'), 60));
     // Recreate the state before the final states of run-b and run-c were written.
-    for (const id of ['run-b', 'run-c']) world.state.keys.delete(`f/${id}`);
+    for (const id of ['run-b', 'run-c']) world.state.entries.delete(`f/${id}`);
     for (const controller of CONTROLLERS) world.crash(controller);
     storeOpenJob(world, dependent('run-b', ['run-a', 'run-l']));
     storeOpenJob(world, dependent('run-c', ['run-b']));
-    world.state.unread = 'f/';
+    world.state.refusedReadPrefix = 'f/';
     for (const controller of CONTROLLERS) world.start(controller);
-    assertTrue(world.until(() => world.owner !== undefined, 30));
+    assertTrue(world.until(() => world.leader !== undefined, 30));
     world.run(3);
     for (const id of ['run-b', 'run-c']) {
-      const request = world.ask(world.owner!, { op: 'status', id: id as JobId });
+      const request = world.sendRequest(world.leader!, { op: 'status', id: id as JobId });
       world.run(2);
       assert.equal(request.answer?.kind, 'retry', id);
     }
-    world.state.unread = null;
+    world.state.refusedReadPrefix = null;
     for (const id of ['run-b', 'run-c']) assertTrue(isCancelled(world.status(id)), id);
     assertNoViolations(world);
   });
@@ -294,21 +294,21 @@
     const world = new SimulatedWorld();
     world.run(2);
     world.submit(job('run-a'));
-    const leader = world.owner!;
+    const leader = world.leader!;
     const downgraded = CONTROLLERS.find((name) => name !== leader)!;
     world.crash(downgraded);
-    world.oldForm.add(downgraded);
+    world.oldVersionNodes.add(downgraded);
     world.start(downgraded);
     world.run(1);
     for (const controller of CONTROLLERS.filter((name) => name !== downgraded)) {
-      const request = world.ask(controller, { op: 'submit', spec: dependent('run-b', ['run-a']) });
+      const request = world.sendRequest(controller, { op: 'submit', spec: dependent('run-b', ['run-a']) });
       world.run(0.5);
       assert.equal(request.answer?.kind, 'retry', controller);
     }
     assert.equal(world.submit(job('run-c'), leader)?.kind, 'accepted');
     assert.equal(world.submit(dependent('run-a', ['run-404']), leader)?.kind, 'known');
     world.crash(downgraded);
-    world.oldForm.delete(downgraded);
+    world.oldVersionNodes.delete(downgraded);
     world.start(downgraded);
     assert.equal(world.submit(dependent('run-b', ['run-a']), downgraded)?.kind, 'accepted');
     assertTrue(world.until(() => world.isDone('run-b'), 60));
--- a/test/job-stream.test.ts
+++ b/test/job-stream.test.ts
@@ -4,7 +4,7 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobId } from '../src/types/index.ts';
-import { type Judged, judge } from './support/checked-world.ts';
+import { checkRules, type RuleChecks } from './support/checked-world.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
 const JOBS_PER_S = 4;
@@ -22,7 +22,7 @@
 
 /** Crashes the leader, if there is one, and starts its controller again after `downtimeMs`. */
 function restartLeader(world: SimulatedWorld, downtimeMs: number): void {
-  const leader = world.owner;
+  const leader = world.leader;
   if (leader === undefined) return;
   world.crash(leader);
   world.after(downtimeMs, () => world.start(leader));
@@ -44,19 +44,19 @@
     name: 'the store refuses requests of the leader only, for 20 s',
     schedule: (world) =>
       world.after(12_000, () => {
-        const leader = world.owner;
+        const leader = world.leader;
         if (leader === undefined) return;
-        world.state.refused.add(leader);
-        world.after(20_000, () => world.state.refused.clear());
+        world.state.refusedNodes.add(leader);
+        world.after(20_000, () => world.state.refusedNodes.clear());
       }),
   },
   {
     name: 'slow store for 15 s',
     schedule: (world) =>
       world.after(10_000, () => {
-        world.stateSlowMs = 500;
+        world.storeDelayMs = 500;
         world.after(15_000, () => {
-          world.stateSlowMs = 0;
+          world.storeDelayMs = 0;
         });
       }),
   },
@@ -65,9 +65,9 @@
     schedule: (world) => {
       let transactions = 0;
       world.after(10_000, () => {
-        world.state.lateMs = () => (++transactions % 5 === 0 ? 2500 : null);
+        world.state.executionDelayMs = () => (++transactions % 5 === 0 ? 2500 : null);
         world.after(15_000, () => {
-          world.state.lateMs = null;
+          world.state.executionDelayMs = null;
         });
       });
     },
@@ -76,8 +76,8 @@
     name: 'late copies of heartbeats, some of which reach the next leader',
     schedule: (world) => {
       let heartbeats = 0;
-      world.copyMs = () => (++heartbeats % 3 === 0 ? 2500 + (heartbeats % 9) * 1000 : null);
-      world.keepReport = () => ++heartbeats % 4 === 0;
+      world.heartbeatCopyDelayMs = () => (++heartbeats % 3 === 0 ? 2500 + (heartbeats % 9) * 1000 : null);
+      world.shouldKeepHeartbeat = () => ++heartbeats % 4 === 0;
       world.after(25_000, () => restartLeader(world, 5000));
     },
   },
@@ -85,26 +85,27 @@
     name: 'no leader can read the job records for 20 s, while users request the status of all jobs at every controller',
     schedule: (world) =>
       world.after(15_000, () => {
-        world.state.unreadable = 'o/';
+        world.state.refusedListPrefix = 'o/';
         restartLeader(world, 400);
         world.after(20_000, () => {
-          world.state.unreadable = null;
+          world.state.refusedListPrefix = null;
         });
       }),
   },
 ];
 
 /** Schedules the submission of all jobs, status requests for each, and the cancellation of every fourth. */
-function scheduleJobs(world: SimulatedWorld, users: Judged): JobId[] {
+function scheduleJobs(world: SimulatedWorld, users: RuleChecks): JobId[] {
   const ids: JobId[] = [];
   for (let i = 0; i < JOBS_PER_S * STREAM_S; i++) {
     const id = `run-${i}` as JobId;
     ids.push(id);
-    world.runOf.set(id, 1 + (i % 5));
+    world.runSByJob.set(id, 1 + (i % 5));
     world.after((i * 1000) / JOBS_PER_S, () => {
-      users.insist({ op: 'submit', spec: job(id) });
-      users.follow(id);
-      if (i % 4 === 0) world.after(200 + (i % 16) * 300, () => users.insist({ op: 'cancel', id }));
+      users.requestUntilAnswered({ op: 'submit', spec: job(id) });
+      users.pollStatus(id);
+      if (i % 4 === 0)
+        world.after(200 + (i % 16) * 300, () => users.requestUntilAnswered({ op: 'cancel', id }));
     });
   }
   return ids;
@@ -119,8 +120,8 @@
   let countedRequests = 0;
   for (let second = 0; second < STREAM_S; second++) {
     world.run(1);
-    const served = world.state.served.slice(countedRequests);
-    countedRequests = world.state.served.length;
+    const served = world.state.executedRequests.slice(countedRequests);
+    countedRequests = world.state.executedRequests.length;
     let writes = 0;
     for (const request of served)
       if (request.kind === 'compare-and-swap') writes += request.puts.length + request.deletes.length;
@@ -144,17 +145,17 @@
     it(`gets timely responses within the limits of the store: ${name}`, () => {
       const world = new SimulatedWorld();
       world.run(3);
-      const users = judge(world);
+      const users = checkRules(world);
       const ids = scheduleJobs(world, users);
       schedule(world);
       const peakPerS = runAndMeasureStoreLoad(world);
       // The limits allow a burst of one second's budget in addition to the steady rate.
       assert.ok(peakPerS.requests <= 2 * REQUESTS_PER_S, `${peakPerS.requests} store requests in one second`);
       assert.ok(peakPerS.writes <= 2 * WRITES_PER_S, `${peakPerS.writes} store changes in one second`);
-      users.rules.troublesOver(world.now);
+      users.rules.onFaultsEnded(world.now);
       assert.ok(
-        world.until(() => users.rules.unfinished().length === 0, 90),
-        `${users.rules.unfinished().length} jobs unfinished 90 s after the stream`,
+        world.until(() => users.rules.unfinishedJobs().length === 0, 90),
+        `${users.rules.unfinishedJobs().length} jobs unfinished 90 s after the stream`,
       );
       assert.ok(
         users.rules.longestSilenceMs < 15_000,
@@ -166,6 +167,6 @@
       );
       const cancelled = ids.filter((id) => world.jobs.get(id)?.cancelledAt !== null).length;
       assert.ok(cancelled >= ids.length / 8, `only ${cancelled} of ${ids.length} jobs were cancelled`);
-      users.sound();
+      users.assertNoViolations();
     });
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -7,10 +7,10 @@
 import type { TeamName, ZoneName } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-const leaderTermOf = (world: SimulatedWorld): LeaderTerm => world.nodes.get(world.owner!)!.leaderTerm!;
+const leaderTermOf = (world: SimulatedWorld): LeaderTerm => world.nodes.get(world.leader!)!.leaderTerm!;
 
 const keysWithPrefix = (world: SimulatedWorld, prefix: string): string[] =>
-  [...world.state.keys.keys()].filter((key) => key.startsWith(prefix));
+  [...world.state.entries.keys()].filter((key) => key.startsWith(prefix));
 
 function assertClose(actual: number, recounted: number, quantity: string): void {
   assert.ok(Math.abs(actual - recounted) < 1e-6, `${quantity}: ${actual}, recounted ${recounted}`);
@@ -26,7 +26,7 @@
   assertClose(machine.queuedCpus, queuedCpus, `${machine.id} queued`);
   assert.equal(machine.indexPosition !== null, machine.isSchedulable, `${machine.id} in the index`);
   if (machine.indexPosition !== null) {
-    const { bucket, at } = machine.indexPosition;
+    const { bucket, indexInBucket: at } = machine.indexPosition;
     assert.equal(bucket.members[at], machine);
   }
 }
@@ -47,7 +47,7 @@
       const jobAndZone = `${spec.id}|${machine.zone}`;
       tasksByJobAndZone.set(jobAndZone, (tasksByJobAndZone.get(jobAndZone) ?? 0) + 1);
     }
-    if (!machine.isReconciled && machine.registryPage !== null) uncertainCpus += machine.type.cpus;
+    if (!machine.isReconciled && machine.registryRecord !== null) uncertainCpus += machine.type.cpus;
   }
   for (const team of ['open', 'small']) {
     const used = (cpusByTeam.get(team) ?? 0) + uncertainCpus;
@@ -56,7 +56,7 @@
   for (const openJob of term.jobs.openJobs.values()) {
     for (const zone of ['north', 'south'] as ZoneName[]) {
       const tasks = tasksByJobAndZone.get(`${openJob.id}|${zone}`) ?? 0;
-      assertClose(openJob.zones.get(zone) ?? 0, tasks, `${openJob.id} in ${zone}`);
+      assertClose(openJob.tasksByZone.get(zone) ?? 0, tasks, `${openJob.id} in ${zone}`);
     }
     assert.equal(term.jobs.waitingJobs.has(openJob), openJob.waitingTasks > 0, `${openJob.id} waiting`);
   }
@@ -85,22 +85,25 @@
         imageGb: 1,
         image: `img-${randomBelow(4)}`,
       };
-      world.ask(`node-${randomBelow(3)}`, {
+      world.sendRequest(`node-${randomBelow(3)}`, {
         op: 'submit',
         spec: job(`run-${i}`, isGang ? { ...spec, kind: 'gang', oneZone: true } : spec),
       });
       world.run(1 + randomBelow(3));
       if (randomBelow(9) === 0)
-        world.ask(`node-${randomBelow(3)}`, { op: 'cancel', id: `run-${randomBelow(i + 1)}` as never });
+        world.sendRequest(`node-${randomBelow(3)}`, {
+          op: 'cancel',
+          id: `run-${randomBelow(i + 1)}` as never,
+        });
       const workers = [...world.workers.values()];
-      if (randomBelow(8) === 0) workers[randomBelow(workers.length)]?.die();
-      if (i === 30) world.crash(world.owner!);
+      if (randomBelow(8) === 0) workers[randomBelow(workers.length)]?.terminate();
+      if (i === 30) world.crash(world.leader!);
       if (i === 40)
         for (const node of ['node-0', 'node-1', 'node-2']) if (!world.nodes.has(node)) world.start(node);
-      if (world.owner !== undefined && leaderTermOf(world).failover.isLoaded)
+      if (world.leader !== undefined && leaderTermOf(world).failover.isLoaded)
         checkAgainstRecount(leaderTermOf(world));
     }
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('examines a bounded number of machines for each task at a thousand machines, and needs few registry records', () => {
@@ -110,7 +113,8 @@
     for (let i = 0; i < 20; i++) world.submit(job(`run-${i}`, { tasks: 50, cpus: 8 }));
     const areManyUsable = () =>
       [...world.nodes.values()].some(
-        (node) => (node.leaderTerm?.capacityIndex.pools.values().next().value?.usable.length ?? 0) > 400,
+        (node) =>
+          (node.leaderTerm?.capacityIndex.pools.values().next().value?.schedulableMachines.length ?? 0) > 400,
       );
     assert.ok(world.until(areManyUsable, 20), 'more than 400 machines usable within 20 s');
     world.run(5);
@@ -126,7 +130,7 @@
       examinedPerTask > 0 && examinedPerTask < 150,
       `${examinedPerTask} machines examined for each task`,
     );
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('shares records between the bitmaps of many jobs, and a new leader reads them', () => {
@@ -144,19 +148,19 @@
     assert.ok(world.until(isAnyRecorded, 10));
     const bitmapRecords = keysWithPrefix(world, 'd/');
     assert.ok(bitmapRecords.length >= 1 && bitmapRecords.length <= 2, bitmapRecords.join());
-    world.crash(world.owner!);
-    assert.ok(world.until(() => world.owner !== undefined && leaderTermOf(world).failover.isLoaded, 20));
+    world.crash(world.leader!);
+    assert.ok(world.until(() => world.leader !== undefined && leaderTermOf(world).failover.isLoaded, 20));
     const controller = [...world.nodes.keys()][0]!;
     for (let i = 0; i < 12; i++) assert.ok(world.until(() => world.isDone(`run-${i}`, controller), 200));
     // The bitmaps alone hold results that machines have been told to delete: without the bitmaps these tasks
     // would run again.
     assert.equal(totalStarts(), 12 * 8);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('refuses to serve with a stored record of an unknown version, and logs that once', () => {
     const world = new SimulatedWorld({}, []);
-    world.state.keys.set('m/i-7', {
+    world.state.entries.set('m/i-7', {
       value: { t: 'box', z: 'north', s: 0, w: '1.1' },
       revision: ++world.state.revision,
       hold: null,
@@ -165,7 +169,7 @@
     world.run(20);
     assert.equal(world.logs.filter((line) => line.includes('a record is of a version')).length, 1);
     assert.equal(world.nodes.get('node-0')!.ready, false);
-    const request = world.ask('node-0', { op: 'submit', spec: job('run-1') });
+    const request = world.sendRequest('node-0', { op: 'submit', spec: job('run-1') });
     world.run(5);
     assert.equal(request.answer?.kind, 'retry');
   });
--- a/test/least-served.test.ts
+++ b/test/least-served.test.ts
@@ -39,7 +39,7 @@
 describe('scenarios of the bench', () => {
   it('the least served class and team come from the report and the last log line, and a day fails if one is below a half', () => {
     const result = readResult(report(5), LOG);
-    assert.equal(result.mark, 0.56);
+    assert.equal(result.score, 0.56);
     assert.deepEqual(result.leastClass, { name: 'plain', jobs: 0.5, started: 1, tasks: null });
     assert.deepEqual([result.leastTeam?.name, result.leastTeam?.jobs], ['red', 0.7]);
     assert.deepEqual(failuresOf(result), []);
@@ -113,10 +113,10 @@
   });
 
   it('a mean over seeds that has fallen is a failure only if the fall exceeds the noise', () => {
-    const resultsOf = (...marks: number[]): ScenarioResult[] =>
-      marks.map((mark) => ({ ...readResult(report(9), LOG), mark }));
-    const failuresWith = (marks: number[]): string[] =>
-      rowFailures({ name: 'x', day: 'calm', now: resultsOf(...marks), base: resultsOf(0.5, 0.6) });
+    const resultsOf = (...scores: number[]): ScenarioResult[] =>
+      scores.map((score) => ({ ...readResult(report(9), LOG), score }));
+    const failuresWith = (scores: number[]): string[] =>
+      rowFailures({ name: 'x', day: 'calm', now: resultsOf(...scores), base: resultsOf(0.5, 0.6) });
     assert.deepEqual(failuresWith([0.45, 0.6]), []);
     assert.deepEqual(failuresWith([0.45, 0.55]), ['x calm: 0.500 for 0.550 before']);
   });
--- a/test/load-shedding.test.ts
+++ b/test/load-shedding.test.ts
@@ -64,8 +64,8 @@
   const world = new SimulatedWorld();
   world.runS = 20;
   world.submit(job('run-1', { tasks: 6, cpus: 4 }));
-  assert.ok(world.until(() => world.holders('run-1').length >= 3));
-  const leader = world.owner!;
+  assert.ok(world.until(() => world.machinesRunning('run-1').length >= 3));
+  const leader = world.leader!;
   const follower = [...world.nodes.keys()].find((name) => name !== leader)!;
   const rejection = (controller: string, op: 'status' | 'submit' | 'cancel') =>
     world.nodes.get(controller)!.rejection(op);
@@ -145,29 +145,29 @@
     const leader = 'node-1' as NodeId;
     io.beginStep(0 as Instant, 0 as WallTime);
     shedder.onPeerLoad(leader, { level: 2, afterS: 6, backlogS: 2, memoryShort: false });
-    assert.equal(shedder.slownessMs(leader), 3000);
+    assert.equal(shedder.extraTimeoutMs(leader), 3000);
     assert.equal(shedder.rejection('submit', leader, 0)?.kind, 'retry');
     assert.equal(shedder.rejection('submit', 'node-2' as NodeId, 0), null);
     io.beginStep(3100 as Instant, 0 as WallTime);
     assert.equal(shedder.rejection('submit', leader, 0), null);
-    assert.equal(shedder.slownessMs(leader), 0);
+    assert.equal(shedder.extraTimeoutMs(leader), 0);
   });
 
   it("rejects requests at all controllers while the leader's timer fires late, and no agent's lease expires", () => {
     const { world, leader, follower, rejection } = worldWithRunningJob();
-    world.slowTicks.set(leader, 900);
+    world.tickDelaysMs.set(leader, 900);
     world.run(8);
     assert.equal(rejection(follower, 'submit')?.kind, 'retry');
     assert.equal(rejection(follower, 'cancel'), null);
     world.run(20);
-    assert.equal(world.owner, leader);
+    assert.equal(world.leader, leader);
     for (const worker of world.workers.values())
-      assert.equal(worker.session, 1, `${worker.id} lost its lease`);
-    world.slowTicks.delete(leader);
+      assert.equal(worker.agentEpoch, 1, `${worker.id} lost its lease`);
+    world.tickDelaysMs.delete(leader);
     world.run(6);
     assert.equal(rejection(follower, 'submit'), null);
     assert.ok(world.until(() => world.isDone('run-1'), 60));
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('rejects new jobs at every controller while the leader is short of memory, and still runs accepted jobs', () => {
@@ -189,7 +189,7 @@
     // Submissions that are forwarded without the check at the follower: the leader rejects a new job, but not
     // the repeated submission of an accepted one.
     const submissions = [job('run-2'), job('run-1', { tasks: 6, cpus: 4 })].map((spec) =>
-      world.ask(follower, { op: 'submit', spec }),
+      world.sendRequest(follower, { op: 'submit', spec }),
     );
     world.run(1);
     assert.deepEqual(
@@ -208,7 +208,7 @@
     world.memory.set(leader, 0.8);
     world.run(3);
     assert.ok(isAccepting());
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
 
@@ -226,17 +226,17 @@
       () => ({ rssMb, heapMb: 25 }),
       (percent) => set.push(percent),
     );
-    assert.ok(Math.abs(governor.used(0) - 75 / 146) < 1e-9);
+    assert.ok(Math.abs(governor.measureUsedFraction(0) - 75 / 146) < 1e-9);
     rssMb = 140;
-    assert.ok(governor.used(500) < 0.6, 'measured once a second');
-    assert.ok(governor.used(1000) > 0.95);
-    governor.used(2000);
+    assert.ok(governor.measureUsedFraction(500) < 0.6, 'measured once a second');
+    assert.ok(governor.measureUsedFraction(1000) > 0.95);
+    governor.measureUsedFraction(2000);
     assert.deepEqual(set, [60, 15], 'the growth is set only when it changes');
     const unlimited = new HeapGovernor(
       null,
       () => assert.fail(),
       () => assert.fail(),
     );
-    assert.equal(unlimited.used(0), 0);
+    assert.equal(unlimited.measureUsedFraction(0), 0);
   });
 });
--- a/test/local-cluster.test.ts
+++ b/test/local-cluster.test.ts
@@ -135,7 +135,7 @@
       assert.equal(outputOf('first', 2), '2 of 3');
       assert.equal(outputOf('gang', 1), '2');
       assert.equal(outputOf('last', 0), '3', 'each task ran once, and before what awaits it');
-      assert.equal((cluster.recorded(`f/${ids.get('last')}`) as { s: string }).s, 'done');
+      assert.equal((cluster.storedValue(`f/${ids.get('last')}`) as { s: string }).s, 'done');
     } finally {
       await cluster.stop();
     }
--- a/test/machine-safety.test.ts
+++ b/test/machine-safety.test.ts
@@ -21,9 +21,9 @@
   assert.ok(world.until(() => world.isDone('run-0')));
   world.runS = 300;
   submitNext();
-  assert.ok(world.until(() => world.holders('run-1').length === 1));
+  assert.ok(world.until(() => world.machinesRunning('run-1').length === 1));
   world.run(2);
-  const [busy] = world.holders('run-1');
+  const [busy] = world.machinesRunning('run-1');
   const idle = [...world.workers.keys()].find((m) => m !== busy);
   assert.ok(busy !== undefined && idle !== undefined);
   return { busy, idle };
@@ -36,8 +36,8 @@
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'drop');
     world.run(8);
-    assert.deepEqual(world.holders('run-1'), [busy]);
-    assert.ok(world.until(() => world.holders('run-1').includes(idle), 10));
+    assert.deepEqual(world.machinesRunning('run-1'), [busy]);
+    assert.ok(world.until(() => world.machinesRunning('run-1').includes(idle), 10));
     assertUnbroken(world);
   });
 
@@ -49,15 +49,20 @@
     );
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
-    const formerLeader = world.owner!;
+    const formerLeader = world.leader!;
     world.crash(formerLeader);
     const controller = [...world.nodes.keys()].find((n) => n !== formerLeader)!;
     assert.equal(world.submit(job('run-2', { team, cpus: 6 }), controller)?.kind, 'accepted');
     world.run(6);
-    assert.deepEqual(world.holders('run-2'), []);
+    assert.deepEqual(world.machinesRunning('run-2'), []);
     world.start(formerLeader);
     // Tasks start on the remaining machine once any lease that the former leader may have renewed has expired.
-    assert.ok(world.until(() => [...world.holders('run-1'), ...world.holders('run-2')].includes(idle), 60));
+    assert.ok(
+      world.until(
+        () => [...world.machinesRunning('run-1'), ...world.machinesRunning('run-2')].includes(idle),
+        60,
+      ),
+    );
     assertUnbroken(world);
   });
 
@@ -66,10 +71,10 @@
     const { busy } = startOnOneOfTwoMachines(world, () => world.submit(job('run-1')));
     world.cloud.down = true;
     for (const node of world.nodes.keys()) world.cut(busy, node, 'hold');
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     world.run(14);
     assert.deepEqual(
-      world.holders('run-1').filter((m) => m !== busy),
+      world.machinesRunning('run-1').filter((m) => m !== busy),
       [],
     );
     assertUnbroken(world);
@@ -79,9 +84,9 @@
     const world = new SimulatedWorld();
     world.runS = 20;
     world.submit(job('run-1', { team: 'small' as TeamName, tasks: 9 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(2);
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     const controller = [...world.nodes.keys()][0]!;
     world.submit(job('run-2', { team: 'small' as TeamName, tasks: 3 }), controller);
     assert.ok(world.until(() => world.isDone('run-1', controller) && world.isDone('run-2', controller), 300));
@@ -96,9 +101,9 @@
     world.runS = 60;
     world.cloud.capacity = 2;
     world.submit(job('run-1', { cpus: 8, tasks: 2 }));
-    assert.ok(world.until(() => world.holders('run-1').length === 2));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 2));
     world.run(2);
-    const [partitioned] = world.holders('run-1');
+    const [partitioned] = world.machinesRunning('run-1');
     // The cloud is down too, so that the silent machine cannot be released.
     world.cloud.down = true;
     for (const node of ['node-0', 'node-1', 'node-2']) world.cut(partitioned!, node, 'hold');
@@ -109,7 +114,9 @@
       (serve) => (op) =>
         op.kind === 'release' ? { kind: 'refused', busy: false } : serve.call(world.cloud, op)
     )(world.cloud.serve);
-    assert.ok(world.until(() => world.holders('run-1').filter((m) => m !== partitioned).length === 2, 60));
+    assert.ok(
+      world.until(() => world.machinesRunning('run-1').filter((m) => m !== partitioned).length === 2, 60),
+    );
     for (const node of ['node-0', 'node-1', 'node-2']) world.heal(partitioned!, node);
     assert.ok(world.until(() => world.isDone('run-1'), 200));
     assert.equal(world.logs.filter((l) => l.includes('listed by a second machine')).length, 0);
@@ -153,10 +160,10 @@
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { tasks: 6 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
-    const formerLeader = world.owner!;
-    world.state.refused.add(formerLeader);
-    assert.ok(world.until(() => world.owner !== undefined && world.owner !== formerLeader, 20));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
+    const formerLeader = world.leader!;
+    world.state.refusedNodes.add(formerLeader);
+    assert.ok(world.until(() => world.leader !== undefined && world.leader !== formerLeader, 20));
     const controller = [...world.nodes.keys()].find((n) => n !== formerLeader)!;
     assert.ok(world.until(() => world.isDone('run-1', controller), 200));
     assertUnbroken(world);
@@ -168,12 +175,12 @@
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
-    const leader = world.owner!;
+    const leader = world.leader!;
     for (const machineId of world.workers.keys()) world.cut(machineId, leader, 'drop');
     world.run(30);
-    assert.equal(world.owner, leader);
+    assert.equal(world.leader, leader);
     assert.ok(world.until(() => world.isDone('run-1', leader), 60));
     assert.equal(
       [...world.workers.values()].reduce((n, x) => n + x.starts, 0),
@@ -187,17 +194,17 @@
     const world = new SimulatedWorld();
     world.runS = 90;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
-    world.state.unreadable = OPEN_JOB_PREFIX;
+    world.state.refusedListPrefix = OPEN_JOB_PREFIX;
     for (const node of [...world.nodes.keys()]) world.crash(node);
     world.run(5);
     for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
     world.run(30);
-    world.state.unreadable = null;
+    world.state.refusedListPrefix = null;
     world.run(10);
     assert.deepEqual(world.cloud.released, []);
-    assert.ok(world.holders('run-1').length > 0);
+    assert.ok(world.machinesRunning('run-1').length > 0);
     assertUnbroken(world);
   });
 
@@ -205,22 +212,22 @@
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 12 }));
-    assert.ok(world.until(() => world.holders('run-1').length >= 3));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length >= 3));
     world.run(3);
-    const formerLeader = world.owner!;
-    const [leaderMachine, ...otherMachines] = world.holders('run-1');
+    const formerLeader = world.leader!;
+    const [leaderMachine, ...otherMachines] = world.machinesRunning('run-1');
     // One machine is on the leader's side of the partition; its tasks have exited.
     for (const task of world.workers.get(leaderMachine!)!.tasks.values()) {
       task.state = 'exited';
-      task.why = 'done';
+      task.exitReason = 'done';
     }
     for (const other of ['state', 'cloud', 'user', ...otherMachines, ...world.nodes.keys()])
       if (other !== formerLeader) world.cut(formerLeader, other, 'drop');
     for (const other of world.nodes.keys())
       if (other !== formerLeader) world.cut(leaderMachine!, other, 'drop');
     world.run(25);
-    assert.notEqual(world.owner, undefined);
-    assert.notEqual(world.owner, formerLeader);
+    assert.notEqual(world.leader, undefined);
+    assert.notEqual(world.leader, formerLeader);
     assertUnbroken(world);
   });
 });
@@ -230,10 +237,10 @@
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
     world.cloud.down = true;
-    const formerLeader = world.owner!;
+    const formerLeader = world.leader!;
     for (const node of ['node-0', 'node-1', 'node-2']) world.crash(node);
     world.run(5);
     for (const node of ['node-0', 'node-1', 'node-2']) world.start(node);
@@ -251,7 +258,7 @@
     world.cloud.loseNextAnswer = true;
     world.submit(job('run-1'));
     assert.ok(world.until(() => world.isDone('run-1')));
-    assert.equal(world.cloud.hires.size, 1);
+    assert.equal(world.cloud.rentalsByRequest.size, 1);
   });
 
   it('machines that never boot are released', () => {
@@ -265,7 +272,7 @@
   it('a machine on which every task fails is released, and the jobs run elsewhere', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-0', { tasks: 4, cpus: 8 }));
-    assert.ok(world.until(() => world.holders('run-0').length === 4));
+    assert.ok(world.until(() => world.machinesRunning('run-0').length === 4));
     const faultyMachine = [...world.workers.values()][0]!;
     faultyMachine.faulty = true;
     for (const id of ['run-1', 'run-2', 'run-3', 'run-4']) world.submit(job(id, { tasks: 4, cpus: 8 }));
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -2,11 +2,11 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec } from '../src/core/base/model.ts';
-import type { JobId, TypeName, ZoneName } from '../src/types/index.ts';
+import type { JobId, MachineTypeName, ZoneName } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
-const BOX = 'box' as TypeName;
+const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.violations, []);
+const BOX = 'box' as MachineTypeName;
 const NORTH = 'north' as ZoneName;
 /**
  * A fleet of four machines that cannot grow, filled with tasks of an array job of the lowest priority that
@@ -16,7 +16,7 @@
   const world = new SimulatedWorld();
   world.cloud.capacity = 0;
   world.runS = 400;
-  for (let i = 0; i < 4; i++) world.machine(`i-${900_000 + i}` as never, BOX, NORTH, false).boot();
+  for (let i = 0; i < 4; i++) world.createMachine(`i-${900_000 + i}` as never, BOX, NORTH, false).boot();
   world.submit(
     job('run-0', {
       class: 'bulk',
@@ -28,13 +28,15 @@
       ...overrides,
     }),
   );
-  assert.ok(world.until(() => world.holders('run-0').length === 4, 20));
+  assert.ok(world.until(() => world.machinesRunning('run-0').length === 4, 20));
   world.run(runningForS);
   return world;
 };
-const stopCommands = (world: SimulatedWorld) => [...world.workers.values()].flatMap((worker) => worker.stops);
+const stopCommands = (world: SimulatedWorld) =>
+  [...world.workers.values()].flatMap((worker) => worker.stopCommands);
 const liveTasks = (world: SimulatedWorld, id: string): number =>
-  [...world.workers.values()].flatMap((worker) => worker.live()).filter((task) => task.job === id).length;
+  [...world.workers.values()].flatMap((worker) => worker.activeTasks()).filter((task) => task.job === id)
+    .length;
 
 describe('preemption', () => {
   it('preempts as many tasks with checkpoints as a service of a higher priority needs; they resume later', () => {
@@ -43,7 +45,7 @@
     assert.ok(world.until(() => liveTasks(world, 'run-1') === 3, 15));
     assert.equal(stopCommands(world).length, 3);
     assert.ok(stopCommands(world).every(({ graceS, task }) => graceS >= 2 && task.startsWith('run-0/')));
-    world.insist({ op: 'cancel', id: 'run-1' as JobId });
+    world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId });
     assert.ok(world.until(() => liveTasks(world, 'run-0') === 16, 30));
     assertNoRuleBroken(world);
   });
@@ -72,7 +74,7 @@
     for (let i = 1; i < 5; i++) {
       world.submit(job(`run-${i}`, { class: 'watch', kind: 'service', tasks: 4, priority: 3, cpus: 8 }));
       world.run(45);
-      world.insist({ op: 'cancel', id: `run-${i}` as JobId });
+      world.requestUntilAnswered({ op: 'cancel', id: `run-${i}` as JobId });
       world.run(45);
     }
     const preemptions = new Map<string, number>();
@@ -89,7 +91,7 @@
       const world = fullFleet();
       world.submit(job('run-1', { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
       world.run(1.6 + crashAfterS);
-      const leader = world.owner!;
+      const leader = world.leader!;
       world.crash(leader);
       world.run(0.3);
       world.start(leader);
--- a/test/production-version.test.ts
+++ b/test/production-version.test.ts
@@ -8,7 +8,7 @@
 import { describe, it } from 'node:test';
 import { build } from 'esbuild';
 import { endGroup, freePort, Lab, readLabOptions } from '../packages/local-cluster/src/index.ts';
-import { askOverHttp, ConfigClient, storeClient } from '../src/cli/config-client.ts';
+import { ConfigClient, callStoreOverHttp, storeClient } from '../src/cli/config-client.ts';
 import { CONFIGURED_LEADER_KEY, LEADER_KEY } from '../src/core/storage/keys.ts';
 import { parseSettings } from '../src/protocol/settings.ts';
 import { team } from './support/operator.ts';
@@ -45,7 +45,7 @@
 async function limitTeam(settingsFile: string): Promise<void> {
   const settings = parseSettings(settingsFile, readFileSync(settingsFile, 'utf8'));
   const http = storeClient(settings);
-  const client = new ConfigClient(askOverHttp(http), settings);
+  const client = new ConfigClient(callStoreOverHttp(http), settings);
   const snapshot = await client.snapshot();
   await client.apply(snapshot, client.plan(snapshot, [team('demo', { cpusMax: 4 })]), 'one');
   http.close();
@@ -84,7 +84,7 @@
     await lab.ready();
     const settingsFile = join(dir, 'node-0.json');
     await limitTeam(settingsFile);
-    assert.deepEqual(lab.recorded(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
+    assert.deepEqual(lab.storedValue(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
     // Suspends all controllers of this version, so that their leases expire.
     for (const controller of lab.controllers) endGroup(controller.process!.pid!, 'SIGSTOP');
     const oldSettingsFile = await writeOldSettings(dir, settingsFile);
@@ -93,11 +93,11 @@
     });
     await sleep(FAILOVER_MS);
     assert.equal(oldController.exitCode, null);
-    assert.equal(lab.recorded(CONFIGURED_LEADER_KEY), undefined);
-    assert.deepEqual(lab.recorded(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
+    assert.equal(lab.storedValue(CONFIGURED_LEADER_KEY), undefined);
+    assert.deepEqual(lab.storedValue(LEADER_KEY), { moved: CONFIGURED_LEADER_KEY });
     for (const controller of lab.controllers) endGroup(controller.process!.pid!, 'SIGCONT');
     await lab.ready();
     await sleep(FAILOVER_MS);
-    assert.notEqual(lab.recorded(CONFIGURED_LEADER_KEY), undefined);
+    assert.notEqual(lab.storedValue(CONFIGURED_LEADER_KEY), undefined);
   });
 });
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -17,11 +17,11 @@
   FencingToken,
   JobId,
   MachineId,
+  MachineTypeName,
   NodeId,
   Revision,
   StoreLeaseId,
   TaskId,
-  TypeName,
   ZoneName,
 } from '../src/types/index.ts';
 import { job } from './support/simulated-world.ts';
@@ -181,7 +181,7 @@
   const heartbeat: Heartbeat = {
     ...identity,
     addr: '10.1.0.1:9000',
-    type: 'box' as TypeName,
+    type: 'box' as MachineTypeName,
     zone: 'north' as ZoneName,
     spot: true,
     preemptionNoticeS: 4,
--- a/test/read-after-write.test.ts
+++ b/test/read-after-write.test.ts
@@ -5,8 +5,8 @@
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
 import type { JobSpec, StoreRequest, UserResponse } from '../src/core/base/model.ts';
-import type { JobId, TypeName, ZoneName } from '../src/types/index.ts';
-import { type Judged, judge } from './support/checked-world.ts';
+import type { JobId, MachineTypeName, ZoneName } from '../src/types/index.ts';
+import { checkRules, type RuleChecks } from './support/checked-world.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
 const idOf = (i: number): JobId => `run-${i}` as JobId;
@@ -29,7 +29,7 @@
   const promptByState = new Map<string, number>();
   let acceptedCount = 0;
   const observed: ObservedResponses = { promptByState };
-  world.onTold = (response: UserResponse) => {
+  world.onUserResponse = (response: UserResponse) => {
     if (response.kind !== 'accepted' && response.kind !== 'ended') return;
     const { id } = response;
     const state = response.kind === 'ended' ? response.status : 'accepted';
@@ -37,12 +37,15 @@
     seenStates.add(`${id} ${state}`);
     const { spec } = world.jobs.get(id)!;
     if (state === 'accepted' && ++acceptedCount % 5 === 0)
-      for (const node of world.nodes.keys()) world.ask(node, { op: 'cancel', id });
+      for (const node of world.nodes.keys()) world.sendRequest(node, { op: 'cancel', id });
     const firstResponseAt = world.now;
     for (const delayMs of REQUEST_DELAYS_MS)
       world.after(delayMs, () => {
         for (const node of [...world.nodes.keys()]) {
-          const requests = [world.ask(node, { op: 'status', id }), world.ask(node, { op: 'submit', spec })];
+          const requests = [
+            world.sendRequest(node, { op: 'status', id }),
+            world.sendRequest(node, { op: 'submit', spec }),
+          ];
           world.after(45, () => {
             for (const request of requests)
               if (
@@ -64,25 +67,25 @@
   jobCount: number,
   intervalMs: number,
   overridesOf: (i: number) => Partial<JobSpec> = () => ({}),
-): Judged {
-  const checked = judge(world);
+): RuleChecks {
+  const checked = checkRules(world);
   for (let i = 1; i <= jobCount; i++)
     world.after(i * intervalMs, () => {
-      world.runOf.set(idOf(i), 0.7 + (i % 7) * 0.3);
-      checked.insist({ op: 'submit', spec: job(idOf(i), overridesOf(i)) });
-      checked.follow(idOf(i));
+      world.runSByJob.set(idOf(i), 0.7 + (i % 7) * 0.3);
+      checked.requestUntilAnswered({ op: 'submit', spec: job(idOf(i), overridesOf(i)) });
+      checked.pollStatus(idOf(i));
     });
   return checked;
 }
 
 /** Asserts that all accepted jobs end, and that no rule was broken. */
-function assertAllJobsEnd(world: SimulatedWorld, checked: Judged, seconds = 120): void {
-  checked.rules.troublesOver(world.now);
+function assertAllJobsEnd(world: SimulatedWorld, checked: RuleChecks, seconds = 120): void {
+  checked.rules.onFaultsEnded(world.now);
   assert.ok(
-    world.until(() => checked.rules.unfinished().length === 0, seconds),
-    checked.rules.unfinished().join(),
+    world.until(() => checked.rules.unfinishedJobs().length === 0, seconds),
+    checked.rules.unfinishedJobs().join(),
   );
-  checked.sound();
+  checked.assertNoViolations();
 }
 
 /** Whether a request puts a key with this prefix. */
@@ -97,7 +100,7 @@
   [
     'the other controllers cannot reach the leader',
     (world) => {
-      const { owner: leader } = world;
+      const { leader } = world;
       isolateLeader(world);
       return () => {
         for (const node of world.nodes.keys()) if (node !== leader) world.heal(node, leader!);
@@ -108,9 +111,9 @@
     'half of all transactions get no reply and are carried out late',
     (world) => {
       let count = 0;
-      world.state.lateMs = () => (++count % 2 === 0 ? 2500 + (count % 5) * 1000 : null);
+      world.state.executionDelayMs = () => (++count % 2 === 0 ? 2500 + (count % 5) * 1000 : null);
       return () => {
-        world.state.lateMs = null;
+        world.state.executionDelayMs = null;
       };
     },
   ],
@@ -138,7 +141,7 @@
 
 /** Cuts the leader off from the other controllers; its users and machines can still reach it. */
 function isolateLeader(world: SimulatedWorld): void {
-  const { owner: leader } = world;
+  const { leader } = world;
   for (const node of world.nodes.keys()) if (node !== leader) world.cut(node, leader!, 'drop');
 }
 
@@ -149,16 +152,16 @@
   [
     'acceptances by another node while the leader is frozen',
     putsUnder('o/'),
-    (world) => world.freeze(world.owner!),
+    (world) => world.freeze(world.leader!),
   ],
   ['final states', putsUnder('f/'), () => {}],
   ['the machine registry', putsUnder('m/'), () => {}],
   ['results', putsUnder('d/'), () => {}],
   ['cancellations, while the other nodes read the record', putsUnder('o/'), isolateLeader],
   ['final states, while the other nodes read the record', putsUnder('f/'), isolateLeader],
-  ['elections', putsUnder('share/0'), (world) => world.crash(world.owner!)],
+  ['elections', putsUnder('share/0'), (world) => world.crash(world.leader!)],
   ['lease renewals', (request) => request.kind === 'renew-lease', () => {}],
-  ['all transactions, and the leader crashes', () => true, (world) => world.crash(world.owner!)],
+  ['all transactions, and the leader crashes', () => true, (world) => world.crash(world.leader!)],
 ];
 
 describe('a transaction that is carried out although its reply is lost', () => {
@@ -191,20 +194,20 @@
     it(`get consistent responses at an offset of ${offsetMs} ms from the end of its last task: cancellation, status and repeated submission`, () => {
       const world = new SimulatedWorld();
       world.run(2);
-      const checked = judge(world);
+      const checked = checkRules(world);
       const ids = [1, 2, 3, 4, 5, 6].map(idOf);
       let offsetsReached = 0;
       for (const [index, id] of ids.entries()) {
-        world.runOf.set(id, 20);
+        world.runSByJob.set(id, 20);
         assert.equal(world.submit(job(id, { tasks: 1 + (index % 2) }))?.kind, 'accepted');
       }
       const nodes = [...world.nodes.keys()];
-      assert.ok(world.until(() => ids.every((id) => world.holders(id).length > 0)));
+      assert.ok(world.until(() => ids.every((id) => world.machinesRunning(id).length > 0)));
       for (const [index, id] of ids.entries()) {
-        const agent = world.workers.get(world.holders(id)[0]!)!;
+        const agent = world.workers.get(world.machinesRunning(id)[0]!)!;
         const lastEnd = Math.max(
           ...agent
-            .live()
+            .activeTasks()
             .filter((task) => task.job === id)
             .map((task) => world.endsAt.get(task.task) ?? 0),
         );
@@ -213,12 +216,13 @@
           offsetsReached++;
           const spec = world.jobs.get(id)!.spec;
           for (const [nodeIndex, node] of nodes.entries()) {
-            if (nodeIndex === index % nodes.length && index < 4) world.ask(node, { op: 'cancel', id });
-            world.ask(node, { op: 'status', id });
-            world.ask(node, { op: 'submit', spec });
+            if (nodeIndex === index % nodes.length && index < 4)
+              world.sendRequest(node, { op: 'cancel', id });
+            world.sendRequest(node, { op: 'status', id });
+            world.sendRequest(node, { op: 'submit', spec });
           }
         });
-        checked.follow(id);
+        checked.pollStatus(id);
       }
       world.run(22);
       assert.equal(offsetsReached, ids.length);
@@ -230,7 +234,7 @@
 const infeasibleCases: [string, Partial<JobSpec>, string][] = [
   ['fits no machine', { cpus: 9 }, 'impossible'],
   ['is bound to a zone without machines', { zone: 'nowhere' as ZoneName }, 'impossible'],
-  ['names only unknown types', { machineTypes: ['none' as TypeName] }, 'impossible'],
+  ['names only unknown types', { machineTypes: ['none' as MachineTypeName] }, 'impossible'],
   ['is of an unknown team', { team: 'nobody' as never }, 'impossible'],
   [
     'needs more resources at once than its team may use',
@@ -253,19 +257,25 @@
   it('is refused by every node and never accepted during faults, and a running job stays known whatever its repeated submission contains', () => {
     const world = new SimulatedWorld();
     world.runS = 400;
-    const checked = judge(world);
+    const checked = checkRules(world);
     assert.equal(world.submit(job(idOf(1)))?.kind, 'accepted');
-    assert.ok(world.until(() => world.holders(idOf(1)).length > 0));
+    assert.ok(world.until(() => world.machinesRunning(idOf(1)).length > 0));
     const nodes = [...world.nodes.keys()];
     let jobNumber = 100;
     const assertEverywhere = (expected: (kind: string) => string[], mayBeUnanswered: boolean): void => {
       for (const [name, overrides, kind] of infeasibleCases)
         for (const node of nodes) {
-          const firstRequest = world.ask(node, { op: 'submit', spec: job(`run-${++jobNumber}`, overrides) });
+          const firstRequest = world.sendRequest(node, {
+            op: 'submit',
+            spec: job(`run-${++jobNumber}`, overrides),
+          });
           // The same contents under the id of a running job, and the cancellation of a job that does not
           // exist.
-          const repeatedRequest = world.ask(node, { op: 'submit', spec: job(idOf(1), overrides) });
-          const cancellation = world.ask(node, { op: 'cancel', id: `run-${jobNumber + 5000}` as JobId });
+          const repeatedRequest = world.sendRequest(node, { op: 'submit', spec: job(idOf(1), overrides) });
+          const cancellation = world.sendRequest(node, {
+            op: 'cancel',
+            id: `run-${jobNumber + 5000}` as JobId,
+          });
           world.run(2.2);
           const assertOneOf = (request: { answer: UserResponse | null }, kinds: string[]) =>
             assert.ok(
@@ -279,29 +289,36 @@
     };
     assertEverywhere((kind) => [kind], false);
     // A node that cannot reach the leader cannot decide, and may respond that the user should retry.
-    const { owner: leader } = world;
+    const { leader } = world;
     world.freeze(leader!);
-    world.state.unreadable = 'o/';
+    world.state.refusedListPrefix = 'o/';
     assertEverywhere((kind) => [kind, 'retry'], true);
-    world.state.unreadable = null;
+    world.state.refusedListPrefix = null;
     world.thaw(leader!);
     world.run(8);
     world.state.outage(60);
     assertEverywhere((kind) => [kind, 'retry'], true);
-    checked.sound();
+    checked.assertNoViolations();
   });
 
   it('is not refused if it repeats a job that another node has just accepted', () => {
     const world = new SimulatedWorld();
     world.run(2);
-    const { owner: leader } = world;
+    const { leader } = world;
     const other = [...world.nodes.keys()].find((node) => node !== leader)!;
     // Neither the other node nor the watch of the records informs the leader of the acceptance.
     world.cut(leader!, other, 'drop');
     world.run(2);
     world.state.watchLagMs = 3000;
-    assert.equal(world.insist({ op: 'submit', spec: job('run-1') }, other, 6)?.kind, 'accepted');
-    const response = world.insist({ op: 'submit', spec: job('run-1', { cpus: 90 }) }, leader, 3);
+    assert.equal(
+      world.requestUntilAnswered({ op: 'submit', spec: job('run-1') }, other, 6)?.kind,
+      'accepted',
+    );
+    const response = world.requestUntilAnswered(
+      { op: 'submit', spec: job('run-1', { cpus: 90 }) },
+      leader,
+      3,
+    );
     assert.equal(response?.kind, 'known', JSON.stringify(response));
   });
 });
@@ -311,18 +328,18 @@
     it(`still ends the job if that copy is carried out late: ${isWatched ? 'reported by the watch' : 'found when the job ends'}`, () => {
       const world = new SimulatedWorld();
       world.runS = isWatched ? 60 : 12;
-      const checked = judge(world);
+      const checked = checkRules(world);
       assert.equal(world.submit(job('run-1'))?.kind, 'accepted');
-      assert.ok(world.until(() => world.holders('run-1').length > 0));
-      const { owner: leader } = world;
+      assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
+      const { leader } = world;
       if (!isWatched) world.state.watchLagMs = 100_000;
       let isFirst = true;
-      world.state.lateMs = () => {
+      world.state.executionDelayMs = () => {
         if (!isFirst) return null;
         isFirst = false;
         return 4000;
       };
-      const request = world.ask(leader!, { op: 'cancel', id: 'run-1' as JobId });
+      const request = world.sendRequest(leader!, { op: 'cancel', id: 'run-1' as JobId });
       world.run(0.5);
       // The store now refuses every value as too large, so the leader gives up writing the mark.
       world.state.limits = { valueBytes: 10, txnOps: 24 };
@@ -330,12 +347,12 @@
       assert.equal(request.answer?.kind, 'retry');
       world.state.limits = null;
       world.run(4);
-      assert.equal((world.state.keys.get('o/run-1')?.value as { c?: number } | undefined)?.c ?? 1, 1);
+      assert.equal((world.state.entries.get('o/run-1')?.value as { c?: number } | undefined)?.c ?? 1, 1);
       if (!isWatched) world.run(20);
       const [other] = [...world.nodes.keys()].filter((node) => node !== leader);
       for (const node of [other, leader!])
         assert.deepEqual(world.status('run-1', node), { kind: 'ended', id: 'run-1', status: 'cancelled' });
-      assert.ok(world.until(() => world.holders('run-1').length === 0, 10));
-      checked.sound();
+      assert.ok(world.until(() => world.machinesRunning('run-1').length === 0, 10));
+      checked.assertNoViolations();
     });
 });
--- a/test/restarts.test.ts
+++ b/test/restarts.test.ts
@@ -9,7 +9,7 @@
 import type { JobId, NodeId, Revision } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-const assertNoRuleBroken = (world: SimulatedWorld) => assert.deepEqual(world.broken, []);
+const assertNoRuleBroken = (world: SimulatedWorld) => assert.deepEqual(world.violations, []);
 /** The sum of a counter over all agents. */
 const sumOverAgents = (world: SimulatedWorld, counter: 'starts' | 'moves' | 'lostByLease'): number =>
   [...world.workers.values()].reduce((sum, agent) => sum + agent[counter], 0);
@@ -40,26 +40,26 @@
     world.runS = 60;
     world.submit(job('run-2'));
     world.run(2);
-    const follower = NODES.find((node) => node !== world.owner)!;
+    const follower = NODES.find((node) => node !== world.leader)!;
     const lateResponses: PeerMessage[] = [];
-    world.tapPeer = (message) => {
+    world.filterPeerMessage = (message) => {
       if (message.kind === 'user-response') lateResponses.push(message);
       return message.kind !== 'user-response';
     };
-    world.ask(follower, { op: 'status', id: 'run-2' as JobId });
-    world.ask(follower, { op: 'submit', spec: job('run-3') });
+    world.sendRequest(follower, { op: 'status', id: 'run-2' as JobId });
+    world.sendRequest(follower, { op: 'submit', spec: job('run-3') });
     world.run(0.1);
-    const { owner: leader } = world;
+    const { leader } = world;
     restart(world, follower);
     world.run(0.5);
     // The restarted node must not accept a response about the other job, neither under the ids of the earlier
     // process nor under the id of its new request.
     const requestIds: number[] = [];
-    world.tapPeer = (message) => {
+    world.filterPeerMessage = (message) => {
       if (message.kind === 'user-request') requestIds.push(message.id);
       return message.kind !== 'user-request';
     };
-    const request = world.ask(follower, { op: 'cancel', id: 'run-2' as JobId });
+    const request = world.sendRequest(follower, { op: 'cancel', id: 'run-2' as JobId });
     world.run(0.05);
     assert.equal(requestIds.length, 1);
     const done: UserResponse = { kind: 'ended', id: 'run-1' as JobId, status: 'done' };
@@ -70,7 +70,7 @@
       node: leader as NodeId,
       message: { kind: 'user-response', id: requestIds[0]!, response: done },
     });
-    world.tapPeer = null;
+    world.filterPeerMessage = null;
     world.run(4);
     assert.ok(lateResponses.length > 0);
     assert.equal(request.answer?.kind, 'retry');
@@ -83,19 +83,19 @@
     const world = new SimulatedWorld();
     world.runS = 20;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
-    const firstLeader = world.owner!;
+    const firstLeader = world.leader!;
     const term = world.nodes.get(firstLeader)!.election.term!;
     restart(world, firstLeader);
     const restartedAt = world.now;
-    assert.ok(world.until(() => world.owner !== undefined, 10));
+    assert.ok(world.until(() => world.leader !== undefined, 10));
     assert.ok(world.now - restartedAt < 4500, `${world.now - restartedAt}`);
-    assert.ok(world.nodes.get(world.owner!)!.election.term! > term);
+    assert.ok(world.nodes.get(world.leader!)!.election.term! > term);
     // A leader that restarts repeatedly would otherwise be elected each time if it is the first in the list
     // of nodes.
-    assert.notEqual(world.owner, firstLeader);
-    assert.ok(world.until(() => world.isDone('run-1', world.owner), 60));
+    assert.notEqual(world.leader, firstLeader);
+    assert.ok(world.until(() => world.isDone('run-1', world.leader), 60));
     assert.equal(sumOverAgents(world, 'lostByLease'), 0);
     assertNoRuleBroken(world);
   });
@@ -104,14 +104,14 @@
     const world = new SimulatedWorld();
     world.runS = 40;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
     let accepted = 0;
     for (let i = 2; i < 8; i++) {
-      assert.ok(world.until(() => world.owner !== undefined, 10));
+      assert.ok(world.until(() => world.leader !== undefined, 10));
       // Every second leader restarts during its failover.
       world.run(i % 2 === 0 ? 0.05 : 1);
-      restart(world, world.owner!, 0.1 + 0.1 * (i % 4));
+      restart(world, world.leader!, 0.1 + 0.1 * (i % 4));
       if (world.submit(job(`run-${i}`), NODES[i % 3])?.kind === 'accepted') accepted++;
     }
     assert.equal(accepted, 6);
@@ -128,13 +128,13 @@
     const world = new SimulatedWorld();
     world.runS = 60;
     world.submit(job('run-1', { tasks: 24 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(4);
     const movesBefore = sumOverAgents(world, 'moves');
-    const { owner: leader } = world;
+    const { leader } = world;
     const connectedAgents = [...world.workers.values()].filter((agent) => agent.node === leader).length;
     restart(world, leader!, 0.1);
-    assert.ok(world.until(() => world.owner !== undefined, 10));
+    assert.ok(world.until(() => world.leader !== undefined, 10));
     world.run(2);
     const moves = sumOverAgents(world, 'moves') - movesBefore;
     // Agents of the restarted node lose their connection; the others stay at their node.
@@ -146,7 +146,7 @@
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     world.run(3);
-    const leader = world.owner!;
+    const leader = world.leader!;
     const term = world.nodes.get(leader)!.election.term!;
     for (const node of NODES) if (node !== leader) world.crash(node);
     world.crash(leader);
@@ -164,7 +164,7 @@
     // The hello arrives after the node has read that there is no leader and before it is elected.
     assert.ok(world.until(() => world.nodes.get(other)!.election.isStoreReadable, 2));
     world.input(other, { kind: 'peer', node: leader as NodeId, message: hello });
-    assert.ok(world.until(() => world.owner === other, 5));
+    assert.ok(world.until(() => world.leader === other, 5));
     assert.ok((world.nodes.get(other)!.election.leader!.revision as Revision) > term);
   });
 });
@@ -188,9 +188,9 @@
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { tasks: 4, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(12);
-    const agent = [...world.workers.values()].find((candidate) => candidate.live().length > 0)!;
+    const agent = [...world.workers.values()].find((candidate) => candidate.activeTasks().length > 0)!;
     assert.ok(agent.seq > 10);
     agent.restart();
     assert.ok(world.until(() => world.isDone('run-1'), 80));
@@ -205,7 +205,7 @@
     world.submit(job('run-1', { tasks: 2 }));
     world.submit(job('run-2', { kind: 'service', tasks: 2 }));
     assert.ok(world.until(() => world.isDone('run-1')));
-    assert.deepEqual(world.insist({ op: 'cancel', id: 'run-2' as JobId }), {
+    assert.deepEqual(world.requestUntilAnswered({ op: 'cancel', id: 'run-2' as JobId }), {
       kind: 'ended',
       id: 'run-2',
       status: 'cancelled',
@@ -219,7 +219,7 @@
         id: 'run-1',
         status: 'done',
       });
-      assert.deepEqual(world.insist({ op: 'cancel', id: 'run-1' as JobId }, node), {
+      assert.deepEqual(world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId }, node), {
         kind: 'ended',
         id: 'run-1',
         status: 'done',
@@ -241,20 +241,20 @@
     const world = new SimulatedWorld({}, names);
     world.runS = 60;
     world.submit(job('run-1', { tasks: 20, cpus: 4 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 4));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 4));
     world.run(4);
-    const survivor = names.filter((node) => node !== world.owner).at(-1)!;
+    const survivor = names.filter((node) => node !== world.leader).at(-1)!;
     for (const node of names) if (node !== survivor) world.crash(node);
-    assert.ok(world.until(() => world.owner === survivor, 8));
+    assert.ok(world.until(() => world.leader === survivor, 8));
     world.run(0.4);
     for (const node of names) if (node !== survivor) world.start(node);
     // The new leader restarts before it has received heartbeats of all machines.
     world.run(0.6);
     restart(world, survivor, 0.3);
-    assert.ok(world.until(() => world.owner !== undefined && world.owner !== survivor, 8));
+    assert.ok(world.until(() => world.leader !== undefined && world.leader !== survivor, 8));
     assert.equal(world.submit(job('run-2', { tasks: 3 }), survivor)?.kind, 'accepted');
     assert.ok(
-      world.until(() => world.isDone('run-1', world.owner) && world.isDone('run-2', world.owner), 120),
+      world.until(() => world.isDone('run-1', world.leader) && world.isDone('run-2', world.leader), 120),
     );
     assert.equal(sumOverAgents(world, 'lostByLease'), 0);
     assertNoRuleBroken(world);
@@ -266,17 +266,17 @@
     const world = new SimulatedWorld();
     world.submit(job('run-0'));
     world.run(3);
-    const term = world.nodes.get(world.owner!)!.election.term;
-    world.stateSlowMs = 300;
+    const term = world.nodes.get(world.leader!)!.election.term;
+    world.storeDelayMs = 300;
     for (let i = 1; i <= 20; i++) {
-      const request = world.ask(NODES[i % 3]!, { op: 'submit', spec: job(`run-${i}`) });
+      const request = world.sendRequest(NODES[i % 3]!, { op: 'submit', spec: job(`run-${i}`) });
       assert.ok(world.until(() => request.answer !== null, 1.6));
       assert.ok(request.answer?.kind === 'accepted' || request.answer?.kind === 'known');
       world.run(1);
     }
-    assert.equal(world.nodes.get(world.owner!)!.election.term, term);
+    assert.equal(world.nodes.get(world.leader!)!.election.term, term);
     // Without a pile-up there are a few requests per second and per job.
-    assert.ok(world.state.served.length < 700, `${world.state.served.length}`);
+    assert.ok(world.state.executedRequests.length < 700, `${world.state.executedRequests.length}`);
     for (let i = 1; i <= 20; i++) assert.ok(world.until(() => world.isDone(`run-${i}`), 60));
     assertNoRuleBroken(world);
   });
--- a/test/safety.test.ts
+++ b/test/safety.test.ts
@@ -9,7 +9,15 @@
 import type { FencedWriter } from '../src/core/storage/fenced-writer.ts';
 import { encodeJobSpec } from '../src/core/storage/job-record.ts';
 import { seededRandom } from '../src/runtime/random.ts';
-import type { Instant, JobId, Revision, TeamName, TypeName, WallTime, ZoneName } from '../src/types/index.ts';
+import type {
+  Instant,
+  JobId,
+  MachineTypeName,
+  Revision,
+  TeamName,
+  WallTime,
+  ZoneName,
+} from '../src/types/index.ts';
 import { assertUnbroken } from './support/long-job.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
@@ -55,10 +63,10 @@
     assert.equal(world.submit(job('run-1'))?.kind, 'accepted');
     world.state.outage(10);
     world.run(1);
-    world.ask('node-0', { op: 'submit', spec: job('run-2') });
+    world.sendRequest('node-0', { op: 'submit', spec: job('run-2') });
     world.run(4);
     const submittedAt = world.now;
-    const pending = world.ask('node-0', { op: 'submit', spec: job('run-3') });
+    const pending = world.sendRequest('node-0', { op: 'submit', spec: job('run-3') });
     assert.ok(world.until(() => pending.answer !== null, 1));
     assert.equal(pending.answer?.kind, 'retry');
     assert.ok(world.now - submittedAt <= 400);
@@ -70,7 +78,7 @@
     const world = new SimulatedWorld();
     world.run(2);
     world.state.loseNextAnswer = true;
-    const pending = world.ask('node-0', { op: 'submit', spec: job('run-1') });
+    const pending = world.sendRequest('node-0', { op: 'submit', spec: job('run-1') });
     world.run(6);
     assert.equal(pending.answer?.kind, 'accepted');
     assert.ok(world.until(() => world.isDone('run-1')));
@@ -82,11 +90,11 @@
   it('with no leader a submission is accepted by any controller, found by the next leader and run once', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
-    world.crash(world.owner!);
+    world.crash(world.leader!);
     const [firstNode, secondNode] = [...world.nodes.keys()];
-    const pending = world.ask(firstNode!, { op: 'submit', spec: job('run-2', { tasks: 3 }) });
+    const pending = world.sendRequest(firstNode!, { op: 'submit', spec: job('run-2', { tasks: 3 }) });
     world.run(0.5);
-    assert.equal(world.owner, undefined);
+    assert.equal(world.leader, undefined);
     assert.equal(pending.answer?.kind, 'accepted');
     // Another controller recognises the same submission, whichever controller is the leader by then.
     assert.equal(world.submit(job('run-2', { tasks: 3 }), secondNode)?.kind, 'known');
@@ -101,12 +109,12 @@
   it('a leader cut off from its peers finds the jobs that they accept by watching the job records', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
-    const leader = world.owner!;
+    const leader = world.leader!;
     const others = [...world.nodes.keys()].filter((n) => n !== leader);
     for (const node of others) world.cut(leader, node, 'drop');
     assert.equal(world.submit(job('run-2', { tasks: 4 }), others[0]!)?.kind, 'accepted');
     assert.ok(world.until(() => world.isDone('run-2', leader), 60));
-    assert.equal(world.owner, leader);
+    assert.equal(world.leader, leader);
     assertUnbroken(world);
   });
 
@@ -141,15 +149,15 @@
     const world = new SimulatedWorld();
     world.runS = 20;
     world.submit(job('run-1', { tasks: 12 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
-    const crashedLeader = world.owner!;
+    const crashedLeader = world.leader!;
     world.crash(crashedLeader);
     world.run(6);
     world.start(crashedLeader);
     const controller = crashedLeader === 'node-0' ? 'node-1' : 'node-0';
     assert.ok(world.until(() => world.isDone('run-1', controller), 200));
-    assert.notEqual(world.owner, undefined);
+    assert.notEqual(world.leader, undefined);
     assert.equal(
       [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0),
       12,
@@ -161,7 +169,7 @@
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { tasks: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(2);
     for (const node of ['node-0', 'node-1', 'node-2']) world.crash(node);
     world.run(5);
@@ -179,7 +187,7 @@
     world.runS = 4;
     world.cloud.capacity = 2;
     world.submit(job('run-1', { tasks: 40 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
     const startsBefore = [...world.workers.values()].reduce((sum, worker) => sum + worker.starts, 0);
     world.state.outage(15);
@@ -200,21 +208,21 @@
   it('tasks of a cancelled job end in time on all machines, even on those in reach of only a cut-off former leader', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1', { kind: 'service', tasks: 3 }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(3);
-    const formerLeader = world.owner!;
+    const formerLeader = world.leader!;
     // The leader is cut off from all but its agents, which continue to send it heartbeats. The cloud is down,
     // so no machine can be released.
     world.cloud.down = true;
-    world.state.refused.add(formerLeader);
+    world.state.refusedNodes.add(formerLeader);
     for (const node of world.nodes.keys()) if (node !== formerLeader) world.cut(formerLeader, node, 'drop');
     for (const machineId of world.workers.keys())
       for (const node of world.nodes.keys()) if (node !== formerLeader) world.cut(machineId, node, 'drop');
     const other = [...world.nodes.keys()].find((n) => n !== formerLeader)!;
-    const response = world.insist({ op: 'cancel', id: 'run-1' as JobId }, other, 60);
+    const response = world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId }, other, 60);
     assert.deepEqual(response, { kind: 'ended', id: 'run-1', status: 'cancelled' });
     world.run(40);
-    assert.deepEqual(world.holders('run-1'), []);
+    assert.deepEqual(world.machinesRunning('run-1'), []);
     assert.deepEqual(world.status('run-1', other), { kind: 'ended', id: 'run-1', status: 'cancelled' });
     assertUnbroken(world);
   });
@@ -223,13 +231,13 @@
     const world = new SimulatedWorld();
     world.submit(job('run-1'));
     assert.ok(world.until(() => world.isDone('run-1')));
-    assert.deepEqual(world.insist({ op: 'cancel', id: 'run-1' as JobId }), {
+    assert.deepEqual(world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId }), {
       kind: 'ended',
       id: 'run-1',
       status: 'done',
     });
     world.submit(job('run-2', { tasks: 4 }));
-    assert.deepEqual(world.insist({ op: 'cancel', id: 'run-2' as JobId }), {
+    assert.deepEqual(world.requestUntilAnswered({ op: 'cancel', id: 'run-2' as JobId }), {
       kind: 'ended',
       id: 'run-2',
       status: 'cancelled',
@@ -240,7 +248,7 @@
 
   it('tasks are placed only on types, zones and kinds of machine that their job allows', () => {
     const world = new SimulatedWorld();
-    world.submit(job('run-1', { gpus: 1, machineTypes: ['gpu' as TypeName], spot: true }));
+    world.submit(job('run-1', { gpus: 1, machineTypes: ['gpu' as MachineTypeName], spot: true }));
     world.submit(job('run-2', { zone: 'south' as ZoneName, tasks: 3 }));
     world.submit(job('run-3', { oneZone: true, tasks: 4, kind: 'gang' }));
     world.submit(job('run-4', { spread: true, tasks: 5 }));
--- a/test/scale-experiment.test.ts
+++ b/test/scale-experiment.test.ts
@@ -6,20 +6,20 @@
 import { describe, it } from 'node:test';
 import { fitLine } from '../scripts/experiments/scale/line-fit.ts';
 import { ObservationQueue } from '../scripts/experiments/scale/observation-queue.ts';
-import { LastingRooms, TrackedPlacements } from '../scripts/experiments/scale/placements.ts';
-import { lacking } from '../scripts/experiments/scale/resources.ts';
+import { LastingFreeCapacity, TrackedPlacements } from '../scripts/experiments/scale/placements.ts';
+import { findResourceShortage } from '../scripts/experiments/scale/resources.ts';
 import { sleep } from '../scripts/experiments/scale/time.ts';
 import { teamsFor } from '../scripts/experiments/scale/workload.ts';
 import type { JobSpec } from '../src/core/base/model.ts';
 import type { JobId, TeamName } from '../src/types/index.ts';
-import { type Place, type Room, RuleChecker, UNLIMITED } from './support/rule-checker.ts';
+import { type FreeCapacity, type MachineInfo, RuleChecker, UNLIMITED } from './support/rule-checker.ts';
 import { job } from './support/simulated-world.ts';
 
 const RUN = ['--import', 'tsx', 'scripts/experiments/run.ts', 'scale'];
-const createMachine = (id: string): Place => ({ id, type: 'plain', zone: 'zone-0', spot: false });
+const createMachine = (id: string): MachineInfo => ({ id, type: 'plain', zone: 'zone-0', spot: false });
 const machines = new Map(['i-1', 'i-2'].map((id) => [id, createMachine(id)]));
 
-function createFixture(limitCpus: number, freeCapacity: () => Room[] = () => []) {
+function createFixture(limitCpus: number, freeCapacity: () => FreeCapacity[] = () => []) {
   const specs = new Map<string, JobSpec>([
     ['run-1', job('run-1', { team: 'small' as TeamName, tasks: 3, cpus: 2 })],
   ]);
@@ -71,9 +71,9 @@
       { at: 200, kind: 'off', task: 'run-1/0', machine: 'i-1' },
     ]);
     observations.advance(5000);
-    assert.deepEqual(rules.broken, []);
+    assert.deepEqual(rules.violations, []);
     assert.deepEqual([placements.size, placements.usedBy('small').cpus], [1, 2]);
-    assert.equal(placements.room(createMachine('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
+    assert.equal(placements.freeCapacityOf(createMachine('i-2'), { cpus: 8, gpus: 0, memoryGb: 8 }).cpus, 6);
   });
 
   it('a task on two machines and a team above its limit are reported', () => {
@@ -84,12 +84,12 @@
       { at: 300, kind: 'on', task: 'run-1/1', machine: 'i-2' },
     ]);
     observations.advance(5000);
-    assert.match(rules.broken.join('\n'), /ran_twice: run-1\/0 on i-2 and i-1/);
-    assert.match(rules.broken.join('\n'), /quota: small uses 6 of 4 CPUs/);
+    assert.match(rules.violations.join('\n'), /ran_twice: run-1\/0 on i-2 and i-1/);
+    assert.match(rules.violations.join('\n'), /quota: small uses 6 of 4 CPUs/);
   });
 
   it('capacity of a machine counts as free only if it has been free at several checks in a row', () => {
-    const lastingCapacity = new LastingRooms();
+    const lastingCapacity = new LastingFreeCapacity();
     const freeCapacity = (id: string, cpus: number) => ({
       machine: createMachine(id),
       cpus,
@@ -99,7 +99,7 @@
     let found: string[] = [];
     for (let check = 0; check < 20; check++)
       found = [
-        ...lastingCapacity.look([freeCapacity('i-1', 4), freeCapacity('i-2', check % 5 === 0 ? 4 : 0)]),
+        ...lastingCapacity.sample([freeCapacity('i-1', 4), freeCapacity('i-2', check % 5 === 0 ? 4 : 0)]),
       ].map((free) => `${free.machine.id} ${free.cpus}`);
     assert.deepEqual(found, ['i-1 4', 'i-2 0']);
   });
@@ -110,7 +110,7 @@
     ]);
     observations.add([{ at: 2, kind: 'over' }]);
     for (let seconds = 2; seconds < 120; seconds++) observations.advance(seconds * 1000);
-    assert.match(rules.broken.join('\n'), /left_waiting: run-1/);
+    assert.match(rules.violations.join('\n'), /left_waiting: run-1/);
   });
 
   it('a fitted line has the slope and intercept of the points, and a residual that shows how well it fits', () => {
@@ -137,7 +137,7 @@
   });
 
   it('a run that exceeds the resources of the machine is rejected with a reason, invalid options with exit code 2', async () => {
-    assert.match(lacking(40_000, 15) ?? '', /processes|MB/);
+    assert.match(findResourceShortage(40_000, 15) ?? '', /processes|MB/);
     const { code, text } = await new Promise<{ code: number | null; text: string }>((resolve) => {
       const child = spawn(process.execPath, [...RUN, '--workers', 'many']);
       let text = '';
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -1,7 +1,7 @@
 // Placement of work on machines, and scaling the fleet out and in.
 import assert from 'node:assert/strict';
 import { describe, it } from 'node:test';
-import { quantile } from '../src/core/autoscaling/spare-capacity.ts';
+import { standardNormalQuantile } from '../src/core/autoscaling/spare-capacity.ts';
 import type { JobId, ZoneName } from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
@@ -14,29 +14,29 @@
     const world = new SimulatedWorld();
     world.runS = 10;
     world.submit(job('run-1', { kind: 'gang', tasks: 6, cpus: 4, oneZone: true }));
-    assert.ok(world.until(() => world.holders('run-1').length > 0));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length > 0));
     world.run(2.5);
     assert.equal(startCount(world), 6);
-    const zones = new Set(world.holders('run-1').map((id) => world.workers.get(id)?.zone));
+    const zones = new Set(world.machinesRunning('run-1').map((id) => world.workers.get(id)?.zone));
     assert.equal(zones.size, 1);
     assert.ok(world.until(() => world.isDone('run-1')));
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('replaces a lost task of a waiting gang under the same attempt', () => {
     const world = new SimulatedWorld();
     world.runS = 30;
     world.submit(job('run-1', { kind: 'gang', tasks: 2, cpus: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length === 2));
-    const [lost] = world.holders('run-1');
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 2));
+    const [lost] = world.machinesRunning('run-1');
     for (const worker of world.workers.values())
       for (const task of worker.tasks.values()) task.state = 'waiting';
     world.run(2);
-    world.workers.get(lost!)?.die();
+    world.workers.get(lost!)?.terminate();
     world.workers.delete(lost!);
-    assert.ok(world.until(() => world.holders('run-1').length === 2, 60));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 2, 60));
     const attempts = new Set(
-      [...world.workers.values()].flatMap((worker) => worker.live().map((task) => task.attempt)),
+      [...world.workers.values()].flatMap((worker) => worker.activeTasks().map((task) => task.attempt)),
     );
     assert.equal(attempts.size, 1);
   });
@@ -44,14 +44,14 @@
   it('keeps the replicas of a service running until it is cancelled', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-1', { kind: 'service', tasks: 3, cpus: 8, zone: 'north' as ZoneName }));
-    assert.ok(world.until(() => world.holders('run-1').length === 3));
-    const [lost] = world.holders('run-1');
-    world.workers.get(lost!)?.die();
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 3));
+    const [lost] = world.machinesRunning('run-1');
+    world.workers.get(lost!)?.terminate();
     world.workers.delete(lost!);
-    assert.ok(world.until(() => world.holders('run-1').length === 3, 60));
-    assert.equal(world.insist({ op: 'cancel', id: 'run-1' as JobId })?.kind, 'ended');
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 3, 60));
+    assert.equal(world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId })?.kind, 'ended');
     world.run(10);
-    assert.deepEqual(world.holders('run-1'), []);
+    assert.deepEqual(world.machinesRunning('run-1'), []);
   });
 
   it('queues no task on a machine beyond the threshold; tasks that find no machine wait in the controller', () => {
@@ -59,9 +59,9 @@
     world.runS = 30;
     world.cloud.capacity = 2;
     world.submit(job('run-1', { tasks: 50, cpus: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length === 2));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 2));
     world.run(5);
-    const leaderTerm = world.nodes.get(world.owner!)?.leaderTerm;
+    const leaderTerm = world.nodes.get(world.leader!)?.leaderTerm;
     for (const { queue } of leaderTerm!.machines.byId.values())
       assert.ok(queue.length <= 2, `${queue.length} queued`);
     assert.equal(leaderTerm!.jobs.openJobs.get('run-1' as JobId)?.waitingTasks, 50 - 2 - 4);
@@ -85,14 +85,14 @@
     world.run(0.35);
     const before = world.now;
     world.submit(job('run-2'));
-    assert.ok(world.until(() => world.holders('run-2').length === 1, 2));
+    assert.ok(world.until(() => world.machinesRunning('run-2').length === 1, 2));
     assert.ok(world.now - before <= 600, `${world.now - before} ms`);
   });
 
   it('backs off a job that fails on every machine, and does not release the machines because of it', () => {
     const world = new SimulatedWorld();
     world.submit(job('run-0', { kind: 'service', tasks: 3, cpus: 6 }));
-    assert.ok(world.until(() => world.holders('run-0').length === 3));
+    assert.ok(world.until(() => world.machinesRunning('run-0').length === 3));
     for (const worker of world.workers.values()) worker.faulty = true;
     world.submit(job('run-1', { tasks: 3, cpus: 2 }));
     world.run(60);
@@ -112,7 +112,7 @@
       world.run(1);
     }
     assert.ok(world.isDone('run-big'));
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('places no more tasks on a machine with a preemption notice; its tasks run on and write checkpoints just in time', () => {
@@ -120,38 +120,38 @@
     world.runS = 40;
     world.submit(job('run-1', { spot: true, checkpointIntervalS: 5, checkpointDurationS: 2 }));
     assert.equal(
-      world.until(() => world.holders('run-1').length > 0),
+      world.until(() => world.machinesRunning('run-1').length > 0),
       true,
     );
     world.run(2);
-    const worker = world.workers.get(world.holders('run-1')[0]!)!;
+    const worker = world.workers.get(world.machinesRunning('run-1')[0]!)!;
     const noticeEndsAt = world.now + 15_000;
     for (let second = 0; second <= 15; second++)
       world.after(second * 1000, () => {
-        worker.noticeS = (noticeEndsAt - world.now) / 1000;
+        worker.preemptionNoticeS = (noticeEndsAt - world.now) / 1000;
       });
     world.run(2);
     world.submit(job('run-2', { spot: true }));
     world.run(13);
     assert.deepEqual(
-      worker.stops.map(({ task }) => task),
+      worker.stopCommands.map(({ task }) => task),
       ['run-1/0'],
     );
-    const [stop] = worker.stops;
+    const [stop] = worker.stopCommands;
     // The stop command leaves enough time for a checkpoint, and is not sent earlier than necessary.
     assert.equal(stop!.graceS >= 2, true);
     assert.equal(
-      noticeEndsAt - stop!.at >= 2000 && noticeEndsAt - stop!.at <= 8000,
+      noticeEndsAt - stop!.receivedAt >= 2000 && noticeEndsAt - stop!.receivedAt <= 8000,
       true,
-      `${noticeEndsAt - stop!.at} ms before the end`,
+      `${noticeEndsAt - stop!.receivedAt} ms before the end`,
     );
-    assert.equal(world.holders('run-2').includes(worker.id), false);
-    worker.die();
+    assert.equal(world.machinesRunning('run-2').includes(worker.id), false);
+    worker.terminate();
     assert.equal(
       world.until(() => world.isDone('run-1') && world.isDone('run-2'), 120),
       true,
     );
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('places no tasks on a machine without heartbeats, long before its lease expires', () => {
@@ -169,7 +169,7 @@
       world.run(0.9);
       assert.equal(reachable!.starts, before + i);
     }
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
 
@@ -191,7 +191,10 @@
       [0.9, 1.282],
       [0.96, 1.751],
     ] as const)
-      assert.ok(Math.abs(quantile(share) - expected) < 0.03, `${share}: ${quantile(share)}`);
+      assert.ok(
+        Math.abs(standardNormalQuantile(share) - expected) < 0.03,
+        `${share}: ${standardNormalQuantile(share)}`,
+      );
   });
 
   // When cloud calls are limited, a machine marked for release must wait for its call. Taken out of use at
@@ -206,7 +209,7 @@
     world.submit(job('run-2', { kind: 'service', tasks: 6, gpus: 2, cpus: 1 }));
     for (let i = 0; i < 120; i++) {
       world.run(0.5);
-      const leaderTerm = world.nodes.get(world.owner!)!.leaderTerm!;
+      const leaderTerm = world.nodes.get(world.leader!)!.leaderTerm!;
       for (const machine of leaderTerm.machines.byId.values())
         assert.ok(
           !machine.isReleasing || leaderTerm.autoscaler.isScalingIn,
@@ -220,12 +223,14 @@
     const world = new SimulatedWorld();
     world.runS = 200;
     world.cloud.types = world.cloud.types.slice(0, 1);
-    world.cloud.room = (_type, zone) => (zone === 'south' ? 40 : 8);
+    world.cloud.capacityOf = (_type, zone) => (zone === 'south' ? 40 : 8);
     for (const [zoneIndex, zone] of (['north', 'south'] as ZoneName[]).entries())
       for (let machine = 0; machine < 4; machine++)
-        world.machine(`i-${90_000 + 10 * zoneIndex + machine}` as never, 'box' as never, zone, false).boot();
+        world
+          .createMachine(`i-${90_000 + 10 * zoneIndex + machine}` as never, 'box' as never, zone, false)
+          .boot();
     world.submit(job('run-1', { tasks: 8, cpus: 8 }));
-    assert.ok(world.until(() => world.holders('run-1').length === 8, 30));
+    assert.ok(world.until(() => world.machinesRunning('run-1').length === 8, 30));
     for (const worker of world.workers.values())
       if (worker.zone === 'south') for (const node of world.nodeNames) world.cut(worker.id, node, 'hold');
     world.run(4);
@@ -235,7 +240,7 @@
     const added = [...world.workers.values()].filter((worker) => !before.has(worker.id));
     const zones = added.map((worker) => worker.zone);
     assert.ok(zones.length >= 3 && zones.every((zone) => zone === 'north'), zones.join());
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 
   it('has at most one request at a time for the same machines, when the cloud has run out of them', () => {
--- a/test/services.test.ts
+++ b/test/services.test.ts
@@ -4,19 +4,27 @@
 import { describe, it } from 'node:test';
 import { Job } from '../src/core/jobs/job.ts';
 import { Quota } from '../src/core/teams/quota.ts';
-import type { Instant, JobId, Revision, TeamName, TypeName, WallTime, ZoneName } from '../src/types/index.ts';
+import type {
+  Instant,
+  JobId,
+  MachineTypeName,
+  Revision,
+  TeamName,
+  WallTime,
+  ZoneName,
+} from '../src/types/index.ts';
 import { job, SimulatedWorld } from './support/simulated-world.ts';
 
-const BOX = 'box' as TypeName;
+const BOX = 'box' as MachineTypeName;
 const NORTH = 'north' as ZoneName;
-const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
+const assertNoRuleBroken = (world: SimulatedWorld): void => assert.deepEqual(world.violations, []);
 /** Boots machines for which no request to the cloud is recorded. */
 const bootUnrequested = (world: SimulatedWorld, count: number, zones: ZoneName[] = [NORTH]): void => {
   for (let i = 0; i < count; i++)
-    world.machine(`i-${900_000 + i}` as never, BOX, zones[i % zones.length]!, false).boot();
+    world.createMachine(`i-${900_000 + i}` as never, BOX, zones[i % zones.length]!, false).boot();
 };
 const liveTasks = (world: SimulatedWorld): number =>
-  [...world.workers.values()].reduce((sum, worker) => sum + worker.live().length, 0);
+  [...world.workers.values()].reduce((sum, worker) => sum + worker.activeTasks().length, 0);
 
 describe('services', () => {
   it('starts work on machines that were up before any submission while a burst of submissions is being written', () => {
@@ -29,15 +37,15 @@
     bootUnrequested(world, 6);
     assert.ok(
       world.until(
-        () => world.owner !== undefined && world.nodes.get(world.owner)!.leaderTerm!.failover.isComplete,
+        () => world.leader !== undefined && world.nodes.get(world.leader)!.leaderTerm!.failover.isComplete,
         5,
       ),
     );
-    for (let i = 0; i < 60; i++) world.ask(world.owner!, { op: 'submit', spec: job(`run-${i}`) });
+    for (let i = 0; i < 60; i++) world.sendRequest(world.leader!, { op: 'submit', spec: job(`run-${i}`) });
     world.run(2.5);
     // If machines were registered only after all acceptances are written, they could start no task until
     // then.
-    assert.ok(world.nodes.get(world.owner!)!.leaderTerm!.writer.backlog > 0);
+    assert.ok(world.nodes.get(world.leader!)!.leaderTerm!.writer.backlog > 0);
     assert.ok(liveTasks(world) >= 4, `${liveTasks(world)} live tasks`);
     assertNoRuleBroken(world);
   });
@@ -69,8 +77,8 @@
     for (const id of ['run-2', 'run-3']) {
       world.submit(job(id, { class: 'watch', kind: 'service', tasks: 4, priority: 3 }));
       world.run(4);
-      assert.equal(world.holders('run-1').length, 0);
-      assert.ok(world.holders(id).length > 0, id);
+      assert.equal(world.machinesRunning('run-1').length, 0);
+      assert.ok(world.machinesRunning(id).length > 0, id);
     }
     assertNoRuleBroken(world);
   });
@@ -112,19 +120,19 @@
     const south = [...world.workers.values()].filter((worker) => worker.zone === 'south');
     for (const worker of south) for (const node of world.nodeNames) world.cut(worker.id, node, 'hold');
     world.run(5);
-    const leader = world.owner!;
+    const leader = world.leader!;
     world.crash(leader);
     world.run(4);
     world.start(leader);
     world.run(15);
     // Replicas that cannot be reached may still be up: no more than half may be in the remaining zone.
     assert.equal(
-      world.holders('run-1').filter((id) => world.workers.get(id)!.zone === NORTH).length > 0,
+      world.machinesRunning('run-1').filter((id) => world.workers.get(id)!.zone === NORTH).length > 0,
       true,
     );
     const north = [...world.workers.values()].filter((worker) => worker.zone === NORTH);
     assert.equal(
-      north.reduce((sum, worker) => sum + worker.live().length, 0),
+      north.reduce((sum, worker) => sum + worker.activeTasks().length, 0),
       3,
     );
     for (const worker of south) for (const node of world.nodeNames) world.heal(worker.id, node);
@@ -132,7 +140,7 @@
       world.until(() => liveTasks(world) === 6, 90),
       `${liveTasks(world)} live tasks`,
     );
-    world.insist({ op: 'cancel', id: 'run-1' as JobId }, world.owner);
+    world.requestUntilAnswered({ op: 'cancel', id: 'run-1' as JobId }, world.leader);
     world.run(40);
     assert.equal(liveTasks(world), 0);
     assertNoRuleBroken(world);
--- a/test/support/behaviour-digest.ts
+++ b/test/support/behaviour-digest.ts
@@ -77,9 +77,9 @@
 
 /** Encodes the contents of the key-value store, in the order of the keys. */
 export function storedBytes(world: SimulatedWorld): Buffer[] {
-  const keys = [...world.state.keys.keys()].sort();
+  const keys = [...world.state.entries.keys()].sort();
   return keys.map((key) => {
-    const { value, revision } = world.state.keys.get(key)!;
+    const { value, revision } = world.state.entries.get(key)!;
     return Buffer.from(JSON.stringify([key, revision, value]));
   });
 }
--- a/test/support/checked-world.ts
+++ b/test/support/checked-world.ts
@@ -4,9 +4,9 @@
 import type { JobSpec, UserRequest } from '../../src/core/base/model.ts';
 import type { JobId } from '../../src/types/index.ts';
 import {
+  type FreeCapacity,
   type Limits,
-  type OnMachine,
-  type Room,
+  type PlacedTask,
   RuleChecker,
   ScannedPlacements,
   type TeamAmounts,
@@ -35,7 +35,7 @@
  * The given machines reach only the leader.
  */
 export function cutLeader(world: SimulatedWorld, leader: string, machines: readonly string[] = []): void {
-  world.state.refused.add(leader);
+  world.state.refusedNodes.add(leader);
   for (const node of world.nodes.keys()) {
     if (node === leader) continue;
     world.cut(node, leader, 'drop');
@@ -44,27 +44,28 @@
 }
 
 /** All tasks that are on machines which still exist. */
-export function* tasksOnMachines(world: SimulatedWorld): Iterable<OnMachine> {
+export function* tasksOnMachines(world: SimulatedWorld): Iterable<PlacedTask> {
   for (const machine of world.workers.values()) {
-    if (machine.over) continue;
-    for (const { task } of machine.live()) yield { task, machine };
+    if (machine.isTerminatedOrExpired) continue;
+    for (const { task } of machine.activeTasks()) yield { task, machine };
   }
 }
 
 /** Whether the machine is up, can exchange messages with a node, and can run new tasks. */
 function canTakeTasks(world: SimulatedWorld, machine: FakeWorker): boolean {
-  if (!machine.up || machine.over || machine.faulty || machine.noticeS !== null) return false;
-  if (world.mute.has(machine.id) || world.deaf.has(machine.id)) return false;
+  if (!machine.up || machine.isTerminatedOrExpired || machine.faulty || machine.preemptionNoticeS !== null)
+    return false;
+  if (world.silencedMachines.has(machine.id) || world.unreachableMachines.has(machine.id)) return false;
   return ![...world.nodes.keys()].every((node) => world.isCut(machine.id, node));
 }
 
 /** Free capacity of each machine that can take tasks. */
-export function* freeCapacities(world: SimulatedWorld): Iterable<Room> {
+export function* freeCapacities(world: SimulatedWorld): Iterable<FreeCapacity> {
   for (const machine of world.workers.values()) {
     if (!canTakeTasks(world, machine)) continue;
     const { cpus, gpus, memoryGb } = world.cloud.types.find((type) => type.name === machine.type)!;
-    const free: Room = { machine, cpus, gpus, memoryGb };
-    for (const { job } of machine.live()) {
+    const free: FreeCapacity = { machine, cpus, gpus, memoryGb };
+    for (const { job } of machine.activeTasks()) {
       const spec = world.jobs.get(job)?.spec;
       if (spec === undefined) continue;
       free.cpus -= spec.cpus;
@@ -76,7 +77,7 @@
 }
 
 /** Why a job can never run in this world, judged by its description alone; null if it can. */
-export function unfit(world: SimulatedWorld, spec: JobSpec): string | null {
+export function impossibleReason(world: SimulatedWorld, spec: JobSpec): string | null {
   for (const field of REQUIRED_FIELDS)
     if (spec[field] === undefined) return `its description has no field ${field}`;
   const fits = world.cloud.types.some(
@@ -96,17 +97,17 @@
 }
 
 /** A world's rule checker, with users that poll and retry. */
-export interface Judged {
+export interface RuleChecks {
   rules: RuleChecker;
   /** Asserts that neither the rule checker nor the world's own placement check found a violation. */
-  sound(): void;
+  assertNoViolations(): void;
   /** From now on requests the job's status every second, from each node in turn. */
-  follow(id: JobId): void;
+  pollStatus(id: JobId): void;
   /**
    * Repeats a request every second, at each node in turn, until the response is not `retry`; `over` is true
    * from then on.
    */
-  insist(request: UserRequest): { over: boolean };
+  requestUntilAnswered(request: UserRequest): { over: boolean };
 }
 
 /** Attaches a rule checker to a world; the caller has to call `look` regularly. */
@@ -114,7 +115,7 @@
   const limits: Limits = {
     cancelMs: CANCEL_MS,
     limitOf: limitAt,
-    unfit: (spec) => unfit(world, spec),
+    unfit: (spec) => impossibleReason(world, spec),
     rooms: () => freeCapacities(world),
   };
   world.rules = new RuleChecker(limits, new ScannedPlacements(() => tasksOnMachines(world)));
@@ -122,10 +123,10 @@
 }
 
 /** Attaches a rule checker to a world and schedules its checks. */
-export function judge(world: SimulatedWorld): Judged {
+export function checkRules(world: SimulatedWorld): RuleChecks {
   const rules = ruleCheckerFor(world);
   const check = (): void => {
-    rules.look(world.now);
+    rules.checkTimeLimits(world.now);
     world.after(CHECK_INTERVAL_MS, check);
   };
   check();
@@ -135,13 +136,13 @@
     return running[nodeIndex++ % Math.max(1, running.length)] ?? world.nodeNames[0]!;
   };
   const follow = (id: JobId): void => {
-    world.ask(nextNode(), { op: 'status', id });
+    world.sendRequest(nextNode(), { op: 'status', id });
     world.after(POLL_INTERVAL_MS, () => follow(id));
   };
   const insist = (request: UserRequest): { over: boolean } => {
     const state = { over: false };
     const sendRequest = (): void => {
-      const pending = world.ask(nextNode(), request);
+      const pending = world.sendRequest(nextNode(), request);
       world.after(POLL_INTERVAL_MS, () => {
         if (pending.answer !== null && pending.answer.kind !== 'retry') state.over = true;
         else if (!state.over) sendRequest();
@@ -152,8 +153,8 @@
   };
   return {
     rules,
-    sound: () => assert.deepEqual([...rules.broken, ...world.broken], []),
-    follow,
-    insist,
+    assertNoViolations: () => assert.deepEqual([...rules.violations, ...world.violations], []),
+    pollStatus: follow,
+    requestUntilAnswered: insist,
   };
 }
--- a/test/support/fault-observer.ts
+++ b/test/support/fault-observer.ts
@@ -45,7 +45,7 @@
     const { world, met } = this.run;
     if (world.recordedLeader === null || world.now - this.termBeganAt < NEW_TERM_MS)
       met['cancelled-in-a-hand-over']++;
-    if (world.state.down || world.stateSlowMs > 0) met['state-away-while-cancelling']++;
+    if (world.state.down || world.storeDelayMs > 0) met['state-away-while-cancelling']++;
   }
 
   /** Counts cancellations confirmed while tasks of the job run on machines that follow a former leader. */
@@ -56,8 +56,9 @@
     this.cancelledJobs.add(id);
     const { world, term, met } = this.run;
     for (const machine of world.workers.values()) {
-      const followsEarlierTerm = !machine.over && machine.token > 0 && machine.token < term;
-      if (followsEarlierTerm && machine.live().some((running) => running.job === id))
+      const followsEarlierTerm =
+        !machine.isTerminatedOrExpired && machine.fencingToken > 0 && machine.fencingToken < term;
+      if (followsEarlierTerm && machine.activeTasks().some((running) => running.job === id))
         met['leader-cut-cancelled-elsewhere']++;
     }
   }
@@ -66,7 +67,7 @@
   onMachinesLost(ids: readonly MachineId[]): void {
     const { world, met } = this.run;
     for (const id of ids)
-      for (const { job } of world.workers.get(id)!.live()) {
+      for (const { job } of world.workers.get(id)!.activeTasks()) {
         const spec = world.jobs.get(job)?.spec;
         if (spec?.oneZone === true || spec?.zone != null) met['bound-job-loses-machine']++;
       }
@@ -75,11 +76,11 @@
   /** Adds the counters that the world and its services keep. */
   finish(): void {
     const { world, met } = this.run;
-    met['late-writes'] = world.state.lateAfterNewer;
+    met['late-writes'] = world.state.executedAfterNewer;
     met['old-reports'] = world.outdatedHeartbeatCopies;
     met['late-commands'] = sumOf([...world.workers.values()].map((machine) => machine.lateCommands));
     met['answers-lost-others-read'] = world.state.answersLost;
-    met['reports-kept-for-the-next-leader'] = world.keptDelivered;
+    met['reports-kept-for-the-next-leader'] = world.outdatedKeptHeartbeats;
     met['tasks-apart-over-terms'] = this.jobsCompletedOverTerms.size;
     met['leader-ended-machines-away'] = this.wasBusyMachineUnreachableAtTakeover ? 1 : 0;
   }
@@ -99,7 +100,7 @@
       (machine) => machine.up && machine.upSince > world.now - YOUNG_MACHINE_MS,
     );
     if (hasYoungMachine && world.cloud.bootS <= QUICK_BOOT_S) met['quick-boot-leader-ends']++;
-    if (machines.some((machine) => this.run.isUnreachable(machine.id) && machine.live().length > 0))
+    if (machines.some((machine) => this.run.isUnreachable(machine.id) && machine.activeTasks().length > 0))
       this.wasBusyMachineUnreachableAtTakeover = true;
   }
 
@@ -123,15 +124,20 @@
   private observeMachines(): void {
     const { world, met } = this.run;
     if (world.workers.size < world.cloud.capacity) return;
-    const running = [...world.workers.values()].filter((machine) => machine.up && !machine.over);
-    if (running.length > 0 && running.every((machine) => machine.live().length >= CROWDED_TASKS_PER_MACHINE))
+    const running = [...world.workers.values()].filter(
+      (machine) => machine.up && !machine.isTerminatedOrExpired,
+    );
+    if (
+      running.length > 0 &&
+      running.every((machine) => machine.activeTasks().length >= CROWDED_TASKS_PER_MACHINE)
+    )
       met['work-beyond-room']++;
   }
 
   private observeEndedTasks(term: number): void {
     for (const machine of this.run.world.workers.values())
       for (const task of machine.tasks.values()) {
-        if (task.state !== 'exited' || task.why !== 'done') continue;
+        if (task.state !== 'exited' || task.exitReason !== 'done') continue;
         const terms = this.completionTermsByJob.get(task.job) ?? new Set();
         this.completionTermsByJob.set(task.job, terms.add(term));
         if (terms.size > 1) this.jobsCompletedOverTerms.add(task.job);
--- a/test/support/golden-records.ts
+++ b/test/support/golden-records.ts
@@ -7,11 +7,11 @@
   FencingToken,
   JobId,
   MachineId,
+  MachineTypeName,
   NodeId,
   Revision,
   TaskId,
   TeamName,
-  TypeName,
   ZoneName,
 } from '../../src/types/index.ts';
 import { BehaviourDigest, encoding, storedBytes } from './behaviour-digest.ts';
@@ -31,7 +31,7 @@
   world.run(4);
   submitJobsOfEveryKind(world);
   world.run(10);
-  world.ask('node-0', { op: 'cancel', id: 'run-cancelled' as JobId });
+  world.sendRequest('node-0', { op: 'cancel', id: 'run-cancelled' as JobId });
   new Operator(world).change(team('small', { cpusMax: 4 }));
   world.run(10);
   submitDependentJobs(world);
@@ -43,7 +43,7 @@
 function submitJobsOfEveryKind(world: SimulatedWorld): void {
   world.runS = 40;
   world.submit(job('run-done', { tasks: 2 }));
-  world.runOf.set('run-done', 2);
+  world.runSByJob.set('run-done', 2);
   world.run(20);
   world.submit(
     job('run-array', {
@@ -56,7 +56,7 @@
   );
   world.submit(job('run-gang', { kind: 'gang', tasks: 2, oneZone: true, zone: 'north' as ZoneName }));
   world.submit(job('run-service', { kind: 'service', tasks: 2, spread: true, estimatedRunS: 0 }));
-  world.submit(job('run-cancelled', { machineTypes: ['box' as TypeName] }));
+  world.submit(job('run-cancelled', { machineTypes: ['box' as MachineTypeName] }));
 }
 
 function submitDependentJobs(world: SimulatedWorld): void {
@@ -64,7 +64,7 @@
     { length: DEPENDENCY_COUNT },
     (_, i) => `run-${String(i).padStart(100, '0')}` as JobId,
   );
-  for (const id of dependsOn) world.ask(world.owner!, { op: 'submit', spec: job(id, { cpus: 1 }) });
+  for (const id of dependsOn) world.sendRequest(world.leader!, { op: 'submit', spec: job(id, { cpus: 1 }) });
   world.run(20);
   world.submit(job('run-waiting', { dependsOn, team: 'small' as TeamName }));
   world.submit(job('run-after', { dependsOn: ['run-array'] as JobId[] }));
@@ -73,8 +73,8 @@
 /** Cancels a job and lets time pass until a record of it is marked as cancelled. */
 function cancelUntilMarked(world: SimulatedWorld, id: JobId): void {
   const isMarked = (): boolean =>
-    [...world.state.keys.values()].some((entry) => (entry.value as { c?: 1 }).c === 1);
-  world.ask(world.owner!, { op: 'cancel', id });
+    [...world.state.entries.values()].some((entry) => (entry.value as { c?: 1 }).c === 1);
+  world.sendRequest(world.leader!, { op: 'cancel', id });
   for (let i = 0; i < MAX_POLLS && !isMarked(); i++) world.run(POLL_INTERVAL_S);
 }
 
@@ -103,7 +103,7 @@
 const MACHINE = {
   machine: 'm-1' as MachineId,
   addr: '10.1.0.1:80',
-  type: 'std' as TypeName,
+  type: 'std' as MachineTypeName,
   zone: 'north' as ZoneName,
   spot: true,
   agentEpoch: 3,
--- a/test/support/history-player.ts
+++ b/test/support/history-player.ts
@@ -61,7 +61,7 @@
     this.rules = ruleCheckerFor(this.world, (team) => ({ ...UNLIMITED, cpus: this.limitOf(team) }));
     this.observer = new FaultObserver(this.run);
     this.users = new HistoryUsers(history, this.run, this.observer);
-    this.world.onTold = (response) => this.users.onResponse(response);
+    this.world.onUserResponse = (response) => this.users.onResponse(response);
     this.world.onTaskDone = (task) => this.users.onTaskEnd(task);
     this.world.cloud.capacity = MAX_MACHINES;
     this.world.cloud.bootS = history.bootS ?? DEFAULT_BOOT_S;
@@ -77,14 +77,14 @@
     this.scheduleFaults();
     for (let s = 0; s < faultsEndS(history); s++) this.playSecond();
     world.run(RECOVERY_S);
-    rules.troublesOver(world.now);
+    rules.onFaultsEnded(world.now);
     const unfinished = this.playUntilFinished();
-    rules.close(world.now);
+    rules.checkAnyTaskStarted(world.now);
     this.observer.finish();
     const { latestGoneMs, longestSilenceMs, longestNeedlessMs, latestStartMs } = rules;
     return {
       broken: [
-        ...rules.broken,
+        ...rules.violations,
         ...unfinished.map((id) => `not ended ${faultFreeS(history)} s after the recovery: ${id}`),
       ],
       met: this.run.met,
@@ -119,7 +119,7 @@
     let unfinished: string[] = [];
     for (let s = 0; s < faultFreeS(this.history); s++) {
       this.playSecond();
-      unfinished = this.rules.unfinished();
+      unfinished = this.rules.unfinishedJobs();
       if (unfinished.length === 0 && s > MIN_FAULT_FREE_S) break;
     }
     return unfinished;
@@ -128,7 +128,7 @@
   private playSecond(): void {
     for (let i = 0; i < CHECKS_PER_S; i++) {
       this.world.run(1 / CHECKS_PER_S);
-      this.rules.look(this.world.now);
+      this.rules.checkTimeLimits(this.world.now);
     }
     this.observer.observe();
   }
--- a/test/support/history-run.ts
+++ b/test/support/history-run.ts
@@ -43,21 +43,24 @@
   /** The first `count` machines that are up and run tasks. */
   busyMachines(count: number): MachineId[] {
     return [...this.world.workers.values()]
-      .filter((machine) => machine.up && machine.live().length > 0)
+      .filter((machine) => machine.up && machine.activeTasks().length > 0)
       .slice(0, count)
       .map((machine) => machine.id);
   }
 
   /** Whether the machine receives no messages from controllers, or is cut off from all nodes. */
   isUnreachable(machine: string): boolean {
-    return this.world.deaf.has(machine) || this.names.every((node) => this.world.isCut(machine, node));
+    return (
+      this.world.unreachableMachines.has(machine) ||
+      this.names.every((node) => this.world.isCut(machine, node))
+    );
   }
 
   /** CPUs that tasks of the limited team use now, by machine. */
   limitedTeamUse(): Map<string, number> {
     const use = new Map<string, number>();
     for (const machine of this.world.workers.values())
-      for (const { job } of machine.live()) {
+      for (const { job } of machine.activeTasks()) {
         const spec = this.world.jobs.get(job)?.spec;
         if (spec?.team === LIMITED_TEAM) use.set(machine.id, (use.get(machine.id) ?? 0) + spec.cpus);
       }
--- a/test/support/history-users.ts
+++ b/test/support/history-users.ts
@@ -62,7 +62,7 @@
     const { atS, cancelAtS, runS } = this.history.jobs[index]!;
     const spec = specOf(this.history, index);
     const { world } = this.run;
-    world.runOf.set(spec.id, runS);
+    world.runSByJob.set(spec.id, runS);
     world.after(atS * 1000, () =>
       this.requestUntilAnswered({ op: 'submit', spec }, () => {
         this.poll(spec.id);
@@ -83,7 +83,7 @@
     const jobNumber = this.streamedJobCount++;
     const id = `run-s${jobNumber}` as JobId;
     met['one-task-stream']++;
-    world.runOf.set(id, 1 + (jobNumber % 4));
+    world.runSByJob.set(id, 1 + (jobNumber % 4));
     this.requestUntilAnswered({ op: 'submit', spec: job(id) }, () => {
       this.poll(id);
       if (jobNumber % 4 === 0) world.after(random.below(3000), () => this.cancel(id));
@@ -93,7 +93,7 @@
   /** Submits a job with more tasks than the limited team may run at the same time. */
   submitLimitedJob(): void {
     const id = `run-q${this.limitedJobCount++}` as JobId;
-    this.run.world.runOf.set(id, LIMITED_RUN_S);
+    this.run.world.runSByJob.set(id, LIMITED_RUN_S);
     const spec = job(id, { team: LIMITED_TEAM as TeamName, tasks: 2 * LIMITED_TEAM_MAX_TASKS });
     this.requestUntilAnswered({ op: 'submit', spec }, () => this.poll(id));
   }
@@ -116,19 +116,19 @@
       { team: 'nobody' as TeamName },
       { kind: 'gang' as const, tasks: 2, spread: true, oneZone: true },
     ][random.below(4)]!;
-    world.ask(node, { op: 'submit', spec: job(`run-odd-${requestNumber}`, invalidFields) });
+    world.sendRequest(node, { op: 'submit', spec: job(`run-odd-${requestNumber}`, invalidFields) });
     if (existing === undefined) return;
-    world.ask(run.randomRunningNode(), { op: 'submit', spec: existing.spec });
-    world.ask(run.randomRunningNode(), {
+    world.sendRequest(run.randomRunningNode(), { op: 'submit', spec: existing.spec });
+    world.sendRequest(run.randomRunningNode(), {
       op: 'submit',
       spec: { ...existing.spec, ...invalidFields, id: existing.spec.id },
     });
-    world.ask(run.randomRunningNode(), { op: 'cancel', id: `run-none-${requestNumber}` as JobId });
+    world.sendRequest(run.randomRunningNode(), { op: 'cancel', id: `run-none-${requestNumber}` as JobId });
   }
 
   /** Sends a request once; `onResult` is called with whether the response was one other than `retry`. */
   private sendRequest(request: UserRequest, onResult: (isAnswered: boolean) => void): void {
-    const pending = this.run.world.ask(this.run.randomRunningNode(), request);
+    const pending = this.run.world.sendRequest(this.run.randomRunningNode(), request);
     const waitMs = request.op === 'status' ? STATUS_WAIT_MS : CHANGE_WAIT_MS;
     this.run.world.after(waitMs, () => onResult(pending.answer !== null && pending.answer.kind !== 'retry'));
   }
@@ -170,9 +170,9 @@
     for (const ms of BURST_DELAYS_MS)
       world.after(ms, () => {
         for (const node of [...world.nodes.keys()]) {
-          world.ask(node, { op: 'status', id });
-          world.ask(node, { op: 'submit', spec });
-          if (shouldCancel && ms === BURST_CANCEL_DELAY_MS) world.ask(node, { op: 'cancel', id });
+          world.sendRequest(node, { op: 'status', id });
+          world.sendRequest(node, { op: 'submit', spec });
+          if (shouldCancel && ms === BURST_CANCEL_DELAY_MS) world.sendRequest(node, { op: 'cancel', id });
           this.run.met['close-looks']++;
         }
       });
--- a/test/support/long-job.ts
+++ b/test/support/long-job.ts
@@ -1,7 +1,7 @@
 // Starting points of scenarios with a job whose tasks run longer than the scenario lasts.
 import assert from 'node:assert/strict';
 import type { JobSpec } from '../../src/core/base/model.ts';
-import { type Judged, judge } from './checked-world.ts';
+import { checkRules, type RuleChecks } from './checked-world.ts';
 import { job, SimulatedWorld } from './simulated-world.ts';
 
 const JOB_ID = 'run-1';
@@ -15,7 +15,7 @@
 }
 
 /** Asserts that the world's own checks found no violation. */
-export const assertUnbroken = (world: SimulatedWorld): void => assert.deepEqual(world.broken, []);
+export const assertUnbroken = (world: SimulatedWorld): void => assert.deepEqual(world.violations, []);
 
 /** Starts a world and the array `run-1` of eight tasks in it; machines boot in `bootS` seconds. */
 export function startLongArray(
@@ -33,11 +33,11 @@
 export function startCheckedLongJob(
   overrides: Partial<JobSpec> = {},
   bootS = DEFAULT_BOOT_S,
-): Roles & { world: SimulatedWorld; checks: Judged } {
+): Roles & { world: SimulatedWorld; checks: RuleChecks } {
   const world = new SimulatedWorld();
-  const checks = judge(world);
+  const checks = checkRules(world);
   // Agents connect to the first controller, which is the first leader.
-  world.spread = false;
+  world.connectsRoundRobin = false;
   return { world, checks, ...startLongJob(world, job(JOB_ID, overrides), bootS) };
 }
 
@@ -45,8 +45,8 @@
   for (const type of world.cloud.types) type.bootS = bootS;
   world.runS = TASK_RUN_S;
   assert.equal(world.submit(spec)?.kind, 'accepted');
-  assert.ok(world.until(() => world.holders(spec.id).length > 0));
+  assert.ok(world.until(() => world.machinesRunning(spec.id).length > 0));
   world.run(3);
-  const leader = world.owner!;
+  const leader = world.leader!;
   return { leader, others: [...world.nodes.keys()].filter((node) => node !== leader) };
 }
--- a/test/support/machine-faults.ts
+++ b/test/support/machine-faults.ts
@@ -21,20 +21,20 @@
   | 'mute'
 > = {
   'late-reports': ({ run }, { share }) => {
-    run.world.copyMs = () =>
+    run.world.heartbeatCopyDelayMs = () =>
       run.occursWithProbability(share)
         ? LATE_HEARTBEAT_MS + run.random.below(LATE_HEARTBEAT_SPREAD_MS)
         : null;
     return () => {
-      run.world.copyMs = null;
+      run.world.heartbeatCopyDelayMs = null;
     };
   },
 
   deaf: ({ run }, { count }) => {
     const ids = run.busyMachines(count);
-    for (const id of ids) run.world.deaf.add(id);
+    for (const id of ids) run.world.unreachableMachines.add(id);
     return () => {
-      for (const id of ids) run.world.deaf.delete(id);
+      for (const id of ids) run.world.unreachableMachines.delete(id);
     };
   },
 
@@ -46,9 +46,9 @@
 
   'held-up': ({ run }, { count, ms }) => {
     const ids = run.busyMachines(count);
-    for (const id of ids) run.world.heldUpMs.set(id, ms);
+    for (const id of ids) run.world.extraLatencyMs.set(id, ms);
     return () => {
-      for (const id of ids) run.world.heldUpMs.delete(id);
+      for (const id of ids) run.world.extraLatencyMs.delete(id);
     };
   },
 
@@ -66,25 +66,25 @@
   'machine-die': ({ run, observer }, { count }) => {
     const ids = run.busyMachines(count);
     observer.onMachinesLost(ids);
-    for (const id of ids) run.world.workers.get(id)!.die();
+    for (const id of ids) run.world.workers.get(id)!.terminate();
     return NO_RECOVERY;
   },
 
   'kept-reports': ({ run }, { share, afterMs }) => {
-    run.world.keptMs = afterMs;
+    run.world.keptHeartbeatDelayMs = afterMs;
     // Only a fifth of the share is kept, because each kept heartbeat is delivered to every node.
-    run.world.keepReport = () => run.random.below(1000) < share * 200;
+    run.world.shouldKeepHeartbeat = () => run.random.below(1000) < share * 200;
     return () => {
-      run.world.keepReport = null;
+      run.world.shouldKeepHeartbeat = null;
     };
   },
 
   mute: ({ run }, { count }) => {
     const ids = run.busyMachines(count);
-    for (const id of ids) run.world.mute.add(id);
+    for (const id of ids) run.world.silencedMachines.add(id);
     run.met['mute-with-work'] += ids.length;
     return () => {
-      for (const id of ids) run.world.mute.delete(id);
+      for (const id of ids) run.world.silencedMachines.delete(id);
     };
   },
 };
--- a/test/support/node-faults.ts
+++ b/test/support/node-faults.ts
@@ -46,8 +46,8 @@
     const healPeers = peers ? run.isolate(leader, names, 'drop') : NO_RECOVERY;
     const healStore = hold
       ? run.isolate(leader, ['state'], 'hold')
-      : () => void world.state.refused.delete(leader);
-    if (!hold) world.state.refused.add(leader);
+      : () => void world.state.refusedNodes.delete(leader);
+    if (!hold) world.state.refusedNodes.add(leader);
     const others = names.filter((name) => name !== leader);
     const machines = side
       ? [...world.workers.values()].filter((machine) => machine.up && machine.node === leader)
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import type { StoreItem, StoreReply } from '../../src/core/base/model.ts';
 import {
-  changesBackTo,
-  changesTo,
+  changeTransaction,
+  decodeHistoryEntry,
   type HistoryEntry,
-  preparation,
-  readHistory,
+  planChanges,
+  planRollback,
+  preparationTransaction,
   type StoreTransaction,
-  transactionOf,
 } from '../../src/core/configuration/change.ts';
 import {
   type ConfigDocument,
@@ -64,18 +64,18 @@
   /** The stored history of changes. */
   get history(): HistoryEntry[] {
     return this.storedItems(CONFIG_HISTORY_PREFIX)
-      .map(readHistory)
+      .map(decodeHistoryEntry)
       .filter((entry) => entry !== null);
   }
 
   /** The leader's record of the configuration in force; null if there is none. */
   get inForce(): InForceRecord | null {
-    return (this.world.state.keys.get(CONFIG_IN_FORCE_KEY)?.value as InForceRecord | undefined) ?? null;
+    return (this.world.state.entries.get(CONFIG_IN_FORCE_KEY)?.value as InForceRecord | undefined) ?? null;
   }
 
   /** Revision of the record that marks the leader's key as moved; null if the key has not moved. */
   get leaderKeyMoveRevision(): Revision | null {
-    const entry = this.world.state.keys.get(LEADER_KEY);
+    const entry = this.world.state.entries.get(LEADER_KEY);
     const moved = (entry?.value as { moved?: string } | undefined)?.moved;
     return moved === undefined ? null : (entry!.revision as Revision);
   }
@@ -84,13 +84,13 @@
   commit(transaction: StoreTransaction): StoreReply {
     const { state } = this.world;
     let reply: StoreReply = { kind: 'no-answer' };
-    const { lateMs, losesAnswer } = state;
-    state.lateMs = null;
+    const { executionDelayMs: lateMs, losesAnswer } = state;
+    state.executionDelayMs = null;
     state.losesAnswer = null;
     state.serve(OPERATOR, { kind: 'compare-and-swap', ...transaction }, (served) => {
       reply = served;
     });
-    state.lateMs = lateMs;
+    state.executionDelayMs = lateMs;
     state.losesAnswer = losesAnswer;
     return reply;
   }
@@ -98,7 +98,7 @@
   /** Prepares the shard for configuration documents, as the first change of the command does. */
   prepare(): void {
     if (this.leaderKeyMoveRevision !== null) return;
-    this.commit(preparation('prepare', this.world.now));
+    this.commit(preparationTransaction('prepare', this.world.now));
     const hasMoved = this.world.until(() => this.leaderKeyMoveRevision !== null, PREPARATION_TIMEOUT_S);
     assert.equal(hasMoved, true, `the leader key has not moved within ${PREPARATION_TIMEOUT_S} s`);
   }
@@ -106,9 +106,9 @@
   /** Builds the transaction of a change, based on the documents that are stored now. */
   planned(wanted: readonly ConfigDocument[], id = `change-${++this.changeCount}`): StoreTransaction {
     const { snapshot } = this;
-    return transactionOf(
+    return changeTransaction(
       snapshot,
-      changesTo(snapshot, wanted),
+      planChanges(snapshot, wanted),
       id,
       this.world.now,
       this.leaderKeyMoveRevision!,
@@ -125,11 +125,11 @@
   /** Restores the configuration before a change; returns the revision of the rollback. */
   rollback(number: number): Revision {
     const { snapshot } = this;
-    const changes = changesBackTo(snapshot, this.history, number);
+    const changes = planRollback(snapshot, this.history, number);
     assert.notEqual(changes, null);
     const id = `back-${number}`;
     return this.commitOrFail(
-      transactionOf(snapshot, changes!, id, this.world.now, this.leaderKeyMoveRevision!, LIMITS),
+      changeTransaction(snapshot, changes!, id, this.world.now, this.leaderKeyMoveRevision!, LIMITS),
     );
   }
 
@@ -138,7 +138,7 @@
     const retry = (): void =>
       this.world.after(RETRY_DELAY_MS, () => this.changeLimitUntilCommitted(name, cpusMax, above));
     if (this.leaderKeyMoveRevision === null) {
-      this.commit(preparation('prepare', this.world.now));
+      this.commit(preparationTransaction('prepare', this.world.now));
       return retry();
     }
     const reply = this.commit(this.planned([team(name, { cpusMax, above })]));
@@ -157,14 +157,14 @@
   }
 
   /** Waits until the leader records the revision as in force; returns the seconds taken, null on timeout. */
-  untilInForce(revision: Revision, seconds: number): number | null {
+  secondsUntilInForce(revision: Revision, seconds: number): number | null {
     const startedAt = this.world.now;
     const isInForce = (): boolean => (this.inForce?.revision ?? 0) >= revision;
     return this.world.until(isInForce, seconds) ? (this.world.now - startedAt) / 1000 : null;
   }
 
   private storedItems(prefix: string): StoreItem[] {
-    return [...this.world.state.keys]
+    return [...this.world.state.entries]
       .filter(([key]) => key.startsWith(prefix))
       .map(([key, { value, revision }]) => ({ key, value, revision: revision as Revision }));
   }
--- a/test/support/placement-check.ts
+++ b/test/support/placement-check.ts
@@ -11,8 +11,8 @@
   readonly workers: ReadonlyMap<string, FakeWorker>;
   readonly jobs: ReadonlyMap<string, SubmittedJob>;
   /** Receives a line for each violation. */
-  readonly broken: string[];
-  doneOnRecord(job: string): boolean;
+  readonly violations: string[];
+  isDoneInStore(job: string): boolean;
 }
 
 /** A task of a cancelled job may start no later than this after the cancellation was confirmed. */
@@ -26,7 +26,7 @@
 
   /** Checks the start of a task on a machine, before the machine has the task. */
   check(worker: FakeWorker, task: TaskId): void {
-    const { now, jobs, broken: violations } = this.environment;
+    const { now, jobs, violations } = this.environment;
     const report = (violation: string): number =>
       violations.push(`${(now / 1000).toFixed(2)} ${violation}: ${task} on ${worker.id}`);
     for (const placement of this.placements.all())
@@ -36,7 +36,7 @@
     const { spec, cancelledAt } = submitted;
     if (cancelledAt !== null && now > cancelledAt + CANCEL_DEADLINE_MS) report('ran_cancelled');
     for (const id of spec.dependsOn ?? [])
-      if (!this.environment.doneOnRecord(id)) report(`too_early for ${id}`);
+      if (!this.environment.isDoneInStore(id)) report(`too_early for ${id}`);
     for (const _ of placementViolations(spec, worker, this.placements)) report('wrong_place');
     if (spec.team !== LIMITED_TEAM) return;
     const specOf = (job: string) => jobs.get(job)?.spec ?? null;
@@ -46,6 +46,6 @@
 
   private *onMachines(): Iterable<PlacedTask> {
     for (const machine of this.environment.workers.values())
-      for (const { task } of machine.live()) yield { task, machine };
+      for (const { task } of machine.activeTasks()) yield { task, machine };
   }
 }
--- a/test/support/placement-rules.ts
+++ b/test/support/placement-rules.ts
@@ -37,7 +37,7 @@
   /** Resources that the team's tasks use; `specOf` returns null for an unknown job. */
   usedBy(team: string, specOf: (job: string) => JobSpec | null): TeamAmounts;
   /** Recent peak use of the team, where tasks end all the time; if absent, current use counts. */
-  lastingUseOf?(team: string): TeamAmounts;
+  recentPeakUseOf?(team: string): TeamAmounts;
 }
 
 const jobOf = (task: string): string => parseTaskId(task as TaskId).job;
--- a/test/support/rule-checker.ts
+++ b/test/support/rule-checker.ts
@@ -10,10 +10,10 @@
   type TeamAmounts,
 } from './placement-rules.ts';
 
-export type { FreeCapacity as Room } from './free-capacity.ts';
+export type { FreeCapacity } from './free-capacity.ts';
 export {
-  type MachineInfo as Place,
-  type PlacedTask as OnMachine,
+  type MachineInfo,
+  type PlacedTask,
   type Placements,
   ScannedPlacements,
   type TeamAmounts,
@@ -62,7 +62,7 @@
 /** Receives the events of a world and records each violation of a rule. */
 export class RuleChecker {
   /** One line for each violation: time in seconds, name of the rule, and details. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** The longest time for which a task was still on a machine after its job's cancellation was confirmed. */
   latestGoneMs = 0;
   /** Number of tasks that were started. */
@@ -87,7 +87,7 @@
   // ---- events of the world
 
   /** Records that a user sends a request. */
-  asked(now: number, request: UserRequest): void {
+  onRequest(now: number, request: UserRequest): void {
     if (request.op === 'submit') return this.registerJob(now, request.spec);
     const job = this.jobs.get(request.id);
     if (job === undefined) return;
@@ -96,7 +96,7 @@
   }
 
   /** Checks a response to a request sent at `sentAt` against the responses received before that. */
-  told(now: number, sentAt: number, request: UserRequest, response: UserResponse): void {
+  onResponse(now: number, sentAt: number, request: UserRequest, response: UserResponse): void {
     if (response.kind === 'retry') return;
     const id = request.op === 'submit' ? request.spec.id : request.id;
     const job = this.jobs.get(id);
@@ -115,12 +115,12 @@
   }
 
   /** Records that a task has completed its work. */
-  completed(task: string): void {
+  onTaskDone(task: string): void {
     this.completedTasks.add(task);
   }
 
   /** Checks the start of a task on a machine; `placements` must not contain the task yet. */
-  placing(now: number, task: string, machine: MachineInfo): void {
+  onTaskStart(now: number, task: string, machine: MachineInfo): void {
     this.started++;
     const job = this.jobs.get(parseTaskId(task as TaskId).job);
     if (job === undefined)
@@ -136,26 +136,26 @@
   }
 
   /** Records that no faults occur from now on. */
-  troublesOver(now: number): void {
+  onFaultsEnded(now: number): void {
     this.faultsEndedAt = now;
   }
 
   /** Checks the rules with time limits; must be called about every second or more often. */
-  look(now: number): void {
+  checkTimeLimits(now: number): void {
     this.checkCancelledOnMachines(now);
     this.checkWaitingJobs(now);
     this.checkUnansweredJobs(now);
   }
 
   /** Accepted jobs that are neither done nor cancelled, except services. */
-  unfinished(): string[] {
+  unfinishedJobs(): string[] {
     return [...this.jobs]
       .filter(([, job]) => job.accepted && job.finalOutcome === null && job.spec.kind !== 'service')
       .map(([id]) => id);
   }
 
   /** To be called at the end: reports `nothing_ran` if no task of the accepted, uncancelled jobs started. */
-  close(now: number): void {
+  checkAnyTaskStarted(now: number): void {
     if (this.started > 0) return;
     if ([...this.jobs.values()].some((job) => job.accepted && !this.mayBeCancelled(job)))
       this.report(now, 'nothing_ran', 'jobs were accepted and not cancelled, but no task was started');
@@ -164,7 +164,7 @@
   // ---- checks
 
   private report(now: number, rule: string, detail: string): void {
-    this.broken.push(`${(now / 1000).toFixed(2)} ${rule}: ${detail}`);
+    this.violations.push(`${(now / 1000).toFixed(2)} ${rule}: ${detail}`);
   }
 
   private registerJob(now: number, spec: JobSpec): void {
@@ -302,7 +302,7 @@
     // A gang that runs in part starts its next attempt only after its running tasks have ended.
     if (isGang && placed.size > 0) return false;
     const needed = isGang ? missing : 1;
-    const lastingUse = this.placements.lastingUseOf?.(spec.team);
+    const lastingUse = this.placements.recentPeakUseOf?.(spec.team);
     if (this.useOverLimit(spec, needed, now, lastingUse) !== null) return false;
     return startableTasks(spec, machines, this.placements) >= needed;
   }
--- a/test/support/service-faults.ts
+++ b/test/support/service-faults.ts
@@ -15,17 +15,17 @@
   },
 
   slow: ({ run }, { ms }) => {
-    run.world.stateSlowMs = ms;
+    run.world.storeDelayMs = ms;
     return () => {
-      run.world.stateSlowMs = 0;
+      run.world.storeDelayMs = 0;
     };
   },
 
   'late-writes': ({ run }, { share }) => {
-    run.world.state.lateMs = () =>
+    run.world.state.executionDelayMs = () =>
       run.occursWithProbability(share) ? LATE_WRITE_MS + run.random.below(LATE_WRITE_SPREAD_MS) : null;
     return () => {
-      run.world.state.lateMs = null;
+      run.world.state.executionDelayMs = null;
     };
   },
 
--- a/test/support/simulated-controllers.ts
+++ b/test/support/simulated-controllers.ts
@@ -34,15 +34,15 @@
   /** Number of events added to the world's queue so far, used to seed random generators. */
   readonly eventCount: number;
   /** Processing delay of the key-value store, in addition to network latency. */
-  readonly stateSlowMs: number;
+  readonly storeDelayMs: number;
   /** Inspects each message between controllers; the message is dropped if it returns false. */
-  readonly tapPeer: ((message: PeerMessage) => boolean) | null;
+  readonly filterPeerMessage: ((message: PeerMessage) => boolean) | null;
   /** Additional milliseconds between the ticks of a node, by node. */
-  readonly slowTicks: ReadonlyMap<string, number>;
+  readonly tickDelaysMs: ReadonlyMap<string, number>;
   /** Fraction of its memory that a node uses, by node. */
   readonly memory: ReadonlyMap<string, number>;
   /** Nodes whose `hello` message is that of a version without support for job dependencies. */
-  readonly oldForm: ReadonlySet<string>;
+  readonly oldVersionNodes: ReadonlySet<string>;
 }
 
 const QUEUE_THRESHOLD = 2;
@@ -115,7 +115,7 @@
   }
 
   protected override tickIntervalMs(name: string): number {
-    return TICK_MS + (this.environment.slowTicks.get(name) ?? 0);
+    return TICK_MS + (this.environment.tickDelaysMs.get(name) ?? 0);
   }
 
   protected override observe(name: string, effect: Effect): void {
@@ -147,7 +147,7 @@
       'state',
       effect.timeoutMs,
       (respond) =>
-        environment.after(environment.stateSlowMs, () =>
+        environment.after(environment.storeDelayMs, () =>
           environment.state.serve(name, effect.request, respond),
         ),
       (reply) => onInput({ kind: 'store', tag: effect.tag, reply: reply ?? { kind: 'no-answer' } }),
@@ -172,13 +172,13 @@
       name,
       worker?.id ?? '?',
       effect.timeoutMs,
-      (respond) => worker?.orders(effect.fencingToken, effect.agentEpoch, [], respond),
+      (respond) => worker?.handleCommands(effect.fencingToken, effect.agentEpoch, [], respond),
       (reply) => onInput({ kind: 'worker', tag: effect.tag, reply: reply ?? { kind: 'no-answer' } }),
     );
   }
 
   private sendToPeer(name: string, { node, message }: EffectOf<'peer'>): void {
-    const { network, tapPeer: filterPeerMessage, oldForm: oldVersionNodes } = this.environment;
+    const { network, filterPeerMessage, oldVersionNodes } = this.environment;
     if (filterPeerMessage?.(message) === false) return;
     network.send(name, node, () => {
       const isOldHello = message.kind === 'hello' && oldVersionNodes.has(name);
--- a/test/support/simulated-heartbeats.ts
+++ b/test/support/simulated-heartbeats.ts
@@ -12,16 +12,16 @@
   readonly controllers: SimulatedControllers;
   readonly workers: ReadonlyMap<string, FakeWorker>;
   /** Machines whose heartbeats reach no controller, while direct commands still reach them. */
-  readonly mute: ReadonlySet<string>;
+  readonly silencedMachines: ReadonlySet<string>;
   /** Selects heartbeats that are delivered again, to every controller, after the next leader change. */
-  readonly keepReport: (() => boolean) | null;
+  readonly shouldKeepHeartbeat: (() => boolean) | null;
   /** Delay in milliseconds after which a heartbeat is delivered a second time; null for no duplicate. */
-  readonly copyMs: (() => number | null) | null;
+  readonly heartbeatCopyDelayMs: (() => number | null) | null;
 }
 
 /** Whether the machine has already sent a newer heartbeat than this one. */
 const isOutdated = (worker: FakeWorker, heartbeat: Heartbeat): boolean =>
-  worker.session > heartbeat.agentEpoch || worker.seq > heartbeat.seq;
+  worker.agentEpoch > heartbeat.agentEpoch || worker.seq > heartbeat.seq;
 
 /** Delivers heartbeats from machines to nodes. */
 export class SimulatedHeartbeats {
@@ -42,9 +42,9 @@
     onReply: (response: HeartbeatResponse | null) => void,
   ): void {
     const { environment } = this;
-    if (environment.mute.has(worker.id)) return environment.after(timeoutMs, () => onReply(null));
-    if (environment.keepReport?.() === true) this.keptHeartbeats.push(structuredClone(heartbeat));
-    const copyMs = environment.copyMs?.() ?? null;
+    if (environment.silencedMachines.has(worker.id)) return environment.after(timeoutMs, () => onReply(null));
+    if (environment.shouldKeepHeartbeat?.() === true) this.keptHeartbeats.push(structuredClone(heartbeat));
+    const copyMs = environment.heartbeatCopyDelayMs?.() ?? null;
     if (copyMs !== null) environment.after(copyMs, () => this.deliverCopy(worker, node, heartbeat));
     environment.network.call<HeartbeatResponse>(
       worker.id,
--- a/test/support/simulated-tasks.ts
+++ b/test/support/simulated-tasks.ts
@@ -12,7 +12,7 @@
   readonly jobs: ReadonlyMap<string, SubmittedJob>;
   /** Run time of a task in seconds, unless `runOf` has another one for its job. */
   readonly runS: number;
-  readonly runOf: ReadonlyMap<string, number>;
+  readonly runSByJob: ReadonlyMap<string, number>;
   /** Simulated time at which each running array task completes. */
   readonly endsAt: Map<string, number>;
   readonly rules: RuleChecker | null;
@@ -56,9 +56,9 @@
     const { environment } = this;
     const { job } = parseTaskId(task);
     const spec = environment.jobs.get(job)?.spec;
-    const runMs = (environment.runOf.get(job) ?? environment.runS) * 1000;
+    const runMs = (environment.runSByJob.get(job) ?? environment.runS) * 1000;
     const onDone = (): void => {
-      environment.rules?.completed(task);
+      environment.rules?.onTaskDone(task);
       environment.onTaskDone?.(task);
       onExit('done');
     };
--- a/test/support/simulated-users.ts
+++ b/test/support/simulated-users.ts
@@ -24,7 +24,7 @@
   readonly controllers: SimulatedControllers;
   readonly jobs: Map<string, SubmittedJob>;
   readonly rules: RuleChecker | null;
-  readonly onTold: ((response: UserResponse) => void) | null;
+  readonly onUserResponse: ((response: UserResponse) => void) | null;
   run(seconds: number): void;
   until(condition: () => boolean, seconds: number): boolean;
 }
@@ -43,7 +43,7 @@
     const { environment } = this;
     const pending: PendingResponse = { answer: null };
     const sentAt = environment.now;
-    environment.rules?.asked(sentAt, request);
+    environment.rules?.onRequest(sentAt, request);
     if (request.op === 'submit') this.recordSubmission(request.spec);
     environment.network.call<UserResponse>(
       'user',
@@ -80,8 +80,8 @@
   }
 
   private onResponse(request: UserRequest, sentAt: number, response: UserResponse): void {
-    const { now, rules, onTold: onUserResponse, jobs } = this.environment;
-    rules?.told(now, sentAt, request, response);
+    const { now, rules, onUserResponse, jobs } = this.environment;
+    rules?.onResponse(now, sentAt, request, response);
     onUserResponse?.(response);
     if (response.kind !== 'ended' || response.status !== 'cancelled') return;
     const cancelled = jobs.get(response.id as JobId);
--- a/test/support/simulated-world.ts
+++ b/test/support/simulated-world.ts
@@ -20,7 +20,7 @@
   UserResponse,
 } from '../../src/core/base/model.ts';
 import { CONFIGURED_LEADER_KEY, LEADER_KEY } from '../../src/core/storage/keys.ts';
-import type { JobId, MachineId, TaskId, TypeName, ZoneName } from '../../src/types/index.ts';
+import type { JobId, MachineId, MachineTypeName, TaskId, ZoneName } from '../../src/types/index.ts';
 import { EventQueue } from './event-queue.ts';
 import { PlacementCheck } from './placement-check.ts';
 import type { RuleChecker } from './rule-checker.ts';
@@ -67,7 +67,7 @@
   /** Jobs that users have submitted. */
   readonly jobs = new Map<string, SubmittedJob>();
   /** One line for each rule that a task start has violated. */
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** Log lines of all controllers. */
   readonly logs: string[] = [];
 
@@ -79,10 +79,10 @@
   /** Default run time of tasks, in seconds. */
   runS = 5;
   /** Run time of the tasks of a job in seconds, by job, where it differs from `runS`. */
-  readonly runOf = new Map<string, number>();
+  readonly runSByJob = new Map<string, number>();
   readonly endsAt = new Map<string, number>();
   /** Whether new machines connect to the nodes in turn, instead of all to the first one. */
-  spread = true;
+  connectsRoundRobin = true;
 
   // Listeners.
 
@@ -91,27 +91,27 @@
   /** Called for every task that completes. */
   onTaskDone: ((task: TaskId) => void) | null = null;
   /** Called for every response to a user. */
-  onTold: ((response: UserResponse) => void) | null = null;
+  onUserResponse: ((response: UserResponse) => void) | null = null;
 
   // Faults.
 
   /** Machines whose heartbeats reach no controller, while direct commands still reach them. */
-  readonly mute = new Set<string>();
-  keepReport: (() => boolean) | null = null;
+  readonly silencedMachines = new Set<string>();
+  shouldKeepHeartbeat: (() => boolean) | null = null;
   /** Delay from the start of a leader's term until kept heartbeats are delivered, in milliseconds. */
-  keptMs = 150;
-  copyMs: (() => number | null) | null = null;
-  stateSlowMs = 0;
-  tapPeer: ((message: PeerMessage) => boolean) | null = null;
-  readonly slowTicks = new Map<string, number>();
+  keptHeartbeatDelayMs = 150;
+  heartbeatCopyDelayMs: (() => number | null) | null = null;
+  storeDelayMs = 0;
+  filterPeerMessage: ((message: PeerMessage) => boolean) | null = null;
+  readonly tickDelaysMs = new Map<string, number>();
   readonly memory = new Map<string, number>();
-  readonly oldForm = new Set<string>();
+  readonly oldVersionNodes = new Set<string>();
 
   readonly network = new SimulatedNetwork(this);
   /** Machines whose heartbeats arrive, while responses and direct commands to them are lost. */
-  readonly deaf = this.network.unreachable;
+  readonly unreachableMachines = this.network.unreachable;
   /** Additional latency of all messages to a machine, in milliseconds. */
-  readonly heldUpMs = this.network.extraLatencyMs;
+  readonly extraLatencyMs = this.network.extraLatencyMs;
   readonly controllers: SimulatedControllers;
   readonly nodes: SimulatedControllers['nodes'];
   private readonly events = new EventQueue();
@@ -132,8 +132,8 @@
     this.heartbeats = new SimulatedHeartbeats(this);
     this.tasks = new SimulatedTasks(this, settings('node-0', overrides).workers);
     this.state.onChange = (change) => {
-      if ('key' in change && isLeaderKey(change.key) && change.kept !== null)
-        this.after(this.keptMs, () => this.heartbeats.deliverKept());
+      if ('key' in change && isLeaderKey(change.key) && change.entry !== null)
+        this.after(this.keptHeartbeatDelayMs, () => this.heartbeats.deliverKept());
     };
     for (const name of names) this.start(name);
   }
@@ -212,7 +212,7 @@
   /** The leader and its term by the key-value store, under the key for shards with or without documents. */
   get recordedLeader(): { node: string; term: number } | null {
     for (const key of [CONFIGURED_LEADER_KEY, LEADER_KEY]) {
-      const entry = this.state.keys.get(key);
+      const entry = this.state.entries.get(key);
       const node = (entry?.value as { node?: string } | undefined)?.node;
       if (entry !== undefined && node !== undefined) return { node, term: entry.revision };
     }
@@ -220,7 +220,7 @@
   }
 
   /** The controller that holds the leader's lease, if there is one. */
-  get owner(): string | undefined {
+  get leader(): string | undefined {
     return this.controllers.leader;
   }
 
@@ -239,35 +239,35 @@
   }
 
   /** Whether the key-value store records the job as done. */
-  doneOnRecord(id: string): boolean {
-    return (this.state.keys.get(`f/${id}`)?.value as { s?: string } | undefined)?.s === 'done';
+  isDoneInStore(id: string): boolean {
+    return (this.state.entries.get(`f/${id}`)?.value as { s?: string } | undefined)?.s === 'done';
   }
 
   /** Number of requests of a kind that the key-value store has served. */
   storeRequestCount(kind: StoreRequest['kind']): number {
-    return this.state.served.filter((request) => request.kind === kind).length;
+    return this.state.executedRequests.filter((request) => request.kind === kind).length;
   }
 
   // ---- users
 
   /** Sends a request to a node, without retries. */
-  ask(name: string, request: UserRequest): PendingResponse {
+  sendRequest(name: string, request: UserRequest): PendingResponse {
     return this.users.ask(name, request);
   }
 
   /** Repeats a request until the response is not `retry`; returns null if all attempts fail. */
-  insist(request: UserRequest, node = 'node-0', attempts = 30): UserResponse | null {
+  requestUntilAnswered(request: UserRequest, node = 'node-0', attempts = 30): UserResponse | null {
     return this.users.requestUntilAnswered(request, node, attempts);
   }
 
   /** Submits a job, with retries until there is a response. */
   submit(spec: JobSpec, node = 'node-0'): UserResponse | null {
-    return this.insist({ op: 'submit', spec }, node);
+    return this.requestUntilAnswered({ op: 'submit', spec }, node);
   }
 
   /** Requests the status of a job, with retries until there is a response. */
   status(id: string, node = 'node-0'): UserResponse | null {
-    return this.insist({ op: 'status', id: id as JobId }, node);
+    return this.requestUntilAnswered({ op: 'status', id: id as JobId }, node);
   }
 
   /** Whether a node reports the job as done. */
@@ -279,21 +279,21 @@
   // ---- machines
 
   /** Creates a machine that the cloud has provided. */
-  machine(id: string, type: TypeName, zone: ZoneName, spot: boolean): FakeWorker {
-    const firstNode = this.spread ? this.workers.size % this.nodeNames.length : 0;
+  createMachine(id: string, type: MachineTypeName, zone: ZoneName, spot: boolean): FakeWorker {
+    const firstNode = this.connectsRoundRobin ? this.workers.size % this.nodeNames.length : 0;
     const worker = new FakeWorker({
       environment: this,
       id: id as MachineId,
       type,
       zone,
       spot,
-      target: firstNode,
+      firstNodeIndex: firstNode,
     });
     this.workers.set(id, worker);
     return worker;
   }
 
-  sendReport(
+  sendHeartbeat(
     worker: FakeWorker,
     node: string,
     heartbeat: Heartbeat,
@@ -314,7 +314,7 @@
   }
 
   /** Kept heartbeats that were delivered after the machine had sent a newer one. */
-  get keptDelivered(): number {
+  get outdatedKeptHeartbeats(): number {
     return this.heartbeats.outdatedKeptCount;
   }
 
@@ -328,17 +328,17 @@
     return this.tasks.launch(task, attempt, onExit, onState);
   }
 
-  gone(): void {}
+  onMachineTerminated(): void {}
 
-  placed(worker: FakeWorker, task: TaskId): void {
-    this.rules?.placing(this.now, task, worker);
+  onTaskPlaced(worker: FakeWorker, task: TaskId): void {
+    this.rules?.onTaskStart(this.now, task, worker);
     this.placementCheck.check(worker, task);
   }
 
   /** Machines with a task of the job in any state but exited. */
-  holders(id: string): string[] {
+  machinesRunning(id: string): string[] {
     return [...this.workers.values()]
-      .filter((worker) => worker.live().some((running) => running.job === id))
+      .filter((worker) => worker.activeTasks().some((running) => running.job === id))
       .map((worker) => worker.id);
   }
 }
--- a/test/support/user-faults.ts
+++ b/test/support/user-faults.ts
@@ -16,7 +16,7 @@
 function runningJobs({ run }: FaultTargets, count: number, hangS: number): Set<string> {
   const ids = new Set<string>();
   for (const machine of run.world.workers.values())
-    for (const { job } of machine.live()) {
+    for (const { job } of machine.activeTasks()) {
       if (ids.size >= count) break;
       ids.add(job);
       if (hangS <= 0 || !machine.up) continue;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -29,7 +29,7 @@
   const world = new SimulatedWorld({ store: LOWER_LIMITS, currentWritesPerS: 40 });
   world.state.limits = { valueBytes: 2048, txnOps: 8 };
   for (const [key, value] of Object.entries({ ...production.records, ...extraRecords })) {
-    world.state.keys.set(key, { value, revision: ++world.state.revision, hold: null });
+    world.state.entries.set(key, { value, revision: ++world.state.revision, hold: null });
     if (key.startsWith('o/')) {
       const { s: spec } = value as unknown as { s: JobSpec };
       world.jobs.set(spec.id, { spec, cancelledAt: null });
@@ -59,7 +59,7 @@
   return doneTasks;
 }
 const recordsOf = (world: SimulatedWorld): [string, unknown][] =>
-  [...world.state.keys].map(([key, item]) => [key, item.value]);
+  [...world.state.entries].map(([key, item]) => [key, item.value]);
 const machinesOnRecord = (records: [string, unknown][]): Set<string> =>
   new Set(
     records.flatMap(([key, value]) =>
@@ -116,7 +116,7 @@
       if (crashAt % 2 === 1) world.state.limits = null;
       for (let i = 0; i < 130; i++) {
         world.run(0.1);
-        const leader = world.owner;
+        const leader = world.leader;
         if (i === crashAt * 4) world.state.limits = limits;
         if (i === crashAt * 4 && leader !== undefined) {
           world.crash(leader);
@@ -137,7 +137,7 @@
         world.logs.filter((line) => line.includes('rejected')),
         [],
       );
-      assert.deepEqual(world.broken, []);
+      assert.deepEqual(world.violations, []);
     }
   });
 
@@ -152,7 +152,7 @@
     const refusal = world.submit(job('run-new', { machineTypes }), 'node-1');
     assert.equal(refusal?.kind, 'too-large');
     assert.match((refusal as { reason: string }).reason, /2 KiB/);
-    const response = world.insist({ op: 'cancel', id: 'run-long' as JobId });
+    const response = world.requestUntilAnswered({ op: 'cancel', id: 'run-long' as JobId });
     assert.deepEqual(response, { kind: 'ended', id: 'run-long', status: 'cancelled' });
     for (const node of NODES) world.crash(node);
     for (const node of NODES) world.start(node);
@@ -169,14 +169,14 @@
     for (const id of ids) {
       const value = { s: 'done', w: 'x' };
       if (id !== ids[299])
-        world.state.keys.set(`f/${id}`, { value, revision: ++world.state.revision, hold: null });
+        world.state.entries.set(`f/${id}`, { value, revision: ++world.state.revision, hold: null });
     }
     world.runS = 25;
     world.submit(job(ids[299]!));
     const spec = job('run-last', { dependsOn: ids });
     assert.equal(world.submit(spec, 'node-1')?.kind, 'accepted');
     const dependencyRecordCount = () =>
-      [...world.state.keys.keys()].filter((key) => key.startsWith('a/run-last/')).length;
+      [...world.state.entries.keys()].filter((key) => key.startsWith('a/run-last/')).length;
     assertTrue(dependencyRecordCount() >= 2, `${dependencyRecordCount()} dependency records`);
     // The only dependency that is not done is in the last value: a leader that reads only the first value
     // would start the job.
@@ -186,7 +186,7 @@
     world.run(12);
     const response = world.status('run-last');
     assert.deepEqual(response?.kind === 'status' && response.dependsOn, [ids[299]]);
-    world.insist({ op: 'cancel', id: ids[299]! });
+    world.requestUntilAnswered({ op: 'cancel', id: ids[299]! });
     assert.deepEqual(world.status('run-last', 'node-2'), {
       kind: 'ended',
       id: 'run-last',
@@ -194,7 +194,7 @@
     });
     world.run(10);
     assert.equal(dependencyRecordCount(), 0);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.violations, []);
   });
 });
 
@@ -204,9 +204,9 @@
     world.runS = 20;
     world.submit(job('run-a', { tasks: 200 }));
     world.submit(job('run-gone'));
-    world.insist({ op: 'cancel', id: 'run-gone' as JobId });
+    world.requestUntilAnswered({ op: 'cancel', id: 'run-gone' as JobId });
     world.submit(job('run-b', { dependsOn: ['run-a'] as JobId[] }));
-    const hasProgressRecords = () => [...world.state.keys.keys()].some((key) => key.startsWith('d/'));
+    const hasProgressRecords = () => [...world.state.entries.keys()].some((key) => key.startsWith('d/'));
     assert.equal(world.until(hasProgressRecords, 60), true);
     const storedSample = (prefix: string) =>
       Object.entries(production.records).find(([key]) => key.startsWith(prefix))![1] as Json;
