--- a/src/core/controller.ts
+++ b/src/core/controller.ts
@@ -169,7 +169,8 @@
   }
 
   /**
-   * The response to a request that is shed under overload without being parsed; null if it is to be served.
+   * The response to a request that is shed under overload, before its body is parsed; null if the request is
+   * to be served.
    */
   rejection(op: UserRequest['op']): UserResponse | null {
     const leader = this.election.leader?.node ?? null;
--- a/src/core/controller/command-authority.ts
+++ b/src/core/controller/command-authority.ts
@@ -45,8 +45,9 @@
   /**
    * Whether machines may be commanded and their leases renewed under this term. Fencing tokens already make
    * the machines of a later leader reject this controller's commands. The time limit guarantees to a later
-   * leader that the tasks on machines that still follow this controller end within `cancel_s`, and to its
-   * users that the cancellations that it confirmed take effect in time.
+   * leader that the tasks on machines that still follow this controller end within `cancel_s` of the expiry
+   * of this controller's leader lease, and to its users that the cancellations that it confirmed take effect
+   * in time.
    */
   mayCommand(): boolean {
     if (this.election.term === null) return false;
--- a/src/core/leader/failover.ts
+++ b/src/core/leader/failover.ts
@@ -39,7 +39,10 @@
     return this.recordLoader.isLoaded;
   }
 
-  /** Whether a record has a version that this program does not know; no requests are served in that case. */
+  /**
+   * Whether a record has a version that this program does not know. No requests are served in that case, as
+   * the content of the record could only be guessed.
+   */
   get isUnreadable(): boolean {
     return this.recordLoader.isUnreadable;
   }
--- a/src/core/leader/heartbeat-handler.ts
+++ b/src/core/leader/heartbeat-handler.ts
@@ -124,7 +124,10 @@
     else respond({ kind: 'full-heartbeat-required' });
   }
 
-  /** A heartbeat not newer than the last processed one: its task list is ignored; mostly nobody awaits it. */
+  /**
+   * Handles a heartbeat that is not newer than the last processed one: its task list is ignored, and in most
+   * cases its agent no longer waits for the response.
+   */
   private onStaleHeartbeat(machine: Machine, heartbeat: Heartbeat, respond: HeartbeatResponder): void {
     if (!machine.mayRespondTo(heartbeat)) return respond({ kind: 'redirect', node: null });
     const { fencingToken } = this.machines;
--- a/src/core/leader/leader-term.ts
+++ b/src/core/leader/leader-term.ts
@@ -37,7 +37,7 @@
 import { UserRequestHandler } from './user-request-handler.ts';
 
 const SCORE_REFRESH_MS = 500;
-/** Capacity is kept free for the jobs expected to arrive within this time. */
+/** Capacity is kept free for the tasks that are expected to arrive within this time. */
 const ARRIVAL_FORECAST_MS = 20_000;
 
 /** Dependencies of {@link LeaderTerm}. */
--- a/src/core/leader/record-loader.ts
+++ b/src/core/leader/record-loader.ts
@@ -60,7 +60,10 @@
 /** Reads the records of the earlier terms into the tables of this one. */
 export class RecordLoader {
   isLoaded = false;
-  /** Whether a record has a version that this program does not know; no requests are served in that case. */
+  /**
+   * Whether a record has a version that this program does not know. No requests are served in that case, as
+   * the content of the record could only be guessed.
+   */
   isUnreadable = false;
   /** The revision as of which jobs were read: jobs recorded after it have not been read. */
   jobsReadAt = 0 as Revision;
@@ -178,17 +181,17 @@
 
   private restoreMachines(item: StoreItem): void {
     const isKnown = (id: MachineId) => this.machines.byId.has(id);
-    this.registry.load(item, isKnown, (machine, page) => this.restoreMachine(machine, page));
+    this.registry.load(item, isKnown, (machine, record) => this.restoreMachine(machine, record));
   }
 
-  private restoreMachine(registered: RegisteredMachine, page: RegistryRecord): Machine {
+  private restoreMachine(registered: RegisteredMachine, record: RegistryRecord): Machine {
     const { id, zone, spot } = registered;
     const type = this.machineTypes.types.get(registered.type) ?? placeholderType(registered.type);
     // The previous leader stops renewing leases early enough for all of them to expire by then
     // (docs/safety.md).
     const leaseExpiresAt = addMs(this.startedAt, this.settings.workers.cancelS * 1000);
     const machine = this.machines.addMachine(id, type, zone, spot, leaseExpiresAt);
-    machine.registryRecord = page;
+    machine.registryRecord = record;
     this.machines.updateIndexes(machine);
     return machine;
   }
--- a/src/core/leader/term-scheduling.ts
+++ b/src/core/leader/term-scheduling.ts
@@ -79,7 +79,10 @@
   return new JobRanking({ io, jobs, quota, ordering, estimates, fairShare, machineSets });
 }
 
-/** Tasks are preempted only while all machines are reconciled and the leader lease is held. */
+/**
+ * Tasks are preempted only while all machines are reconciled and the leader lease is held, as otherwise it is
+ * not certain which tasks run on which machines.
+ */
 function createPreemption({ io, settings, recovery, authority }: TermSchedulingDependencies): Preemption {
   const mayPreempt = () => recovery.isComplete && authority.holdsLease();
   return new Preemption(io, settings.workers.heartbeatS, mayPreempt);
--- a/src/core/scheduling/bin-packing.ts
+++ b/src/core/scheduling/bin-packing.ts
@@ -16,8 +16,8 @@
  */
 const PRICE_WEIGHT = 0.4;
 /**
- * Penalty per fraction of a machine's CPUs that stay free: fuller machines are filled first, so that emptier
- * ones drain for tasks that need whole machines, or can be released.
+ * Weight of the fraction of a machine's CPUs that stay free: fuller machines are filled first, so that
+ * emptier ones drain for tasks that need whole machines, or can be released.
  */
 const FREE_CPUS_WEIGHT = 1.5;
 /** Penalty for a start delay that uses up all slack of a job in a dependency chain, and its upper bound. */
--- a/src/core/scheduling/fair-share.ts
+++ b/src/core/scheduling/fair-share.ts
@@ -1,9 +1,9 @@
 // Fair-share floors: the capacity that each team and each job class gets at least while capacity is short. On
 // the machines that its jobs may use, a team with waiting tasks gets at least the fraction `team` of its
-// weighted max-min share of the dominant resource, and a class the fraction `class`, whatever other work of
-// the same priority demands. Tasks of teams and classes below their floor are placed first until the floor is
-// reached; above it, jobs are placed in the order of their ranking. While there is capacity for all tasks,
-// the floors do not apply.
+// max-min share of the dominant resource (with equal weights, after the teams' guarantees), and a class the
+// fraction `class`, whatever other work of the same priority demands. Tasks of teams and classes below their
+// floor are placed first until the floor is reached; above it, jobs are placed in the order of their ranking.
+// While there is capacity for all tasks, the floors do not apply.
 import type { Team } from '../base/model.ts';
 import type { Job } from '../jobs/job.ts';
 import { dominantShare, maxMinShares, type ShareDemand } from '../teams/max-min-fairness.ts';
--- a/src/core/scheduling/job-ranking.ts
+++ b/src/core/scheduling/job-ranking.ts
@@ -1,5 +1,5 @@
-// Ranks waiting jobs by priority, then teams within their guarantee first, then by the slack to the next
-// deadline that can still be met. Within a group of equal priority and guarantee, deferred jobs
+// Ranks waiting jobs by priority, then jobs of teams within their guarantee before others, then by the slack
+// to the next deadline that can still be met. Within a group of equal priority and guarantee, deferred jobs
 // (late-job-selection.ts) come last.
 import type { ControllerIo } from '../base/io.ts';
 import type { Job } from '../jobs/job.ts';
@@ -176,7 +176,10 @@
 const neededAmount = ({ job, tasks, machineSet }: WaitingJob): number =>
   amountOf(machineSet.resource, job.spec) * tasks;
 
-/** Sort key of late jobs, ascending: work per second of age, so that jobs move ahead as they wait. */
+/**
+ * Sort key of late jobs, ascending: work per second of age. The job with the least work goes first, and jobs
+ * move ahead as they wait.
+ */
 const lateRank = (candidate: AgedCandidate): number =>
   candidate.work / Math.max(MIN_DURATION_S, candidate.ageS);
 
--- a/src/core/scheduling/late-job-selection.ts
+++ b/src/core/scheduling/late-job-selection.ts
@@ -10,7 +10,10 @@
 /** A waiting job. */
 export interface Candidate {
   readonly job: Job;
-  /** Seconds from now by which its tasks should start, one for each objective that can be met, ascending. */
+  /**
+   * Seconds from now by which its tasks should start, one for each objective that can still be met, in
+   * ascending order.
+   */
   readonly deadlines: readonly number[];
   /** The amount of the scarce resource that its waiting tasks need. */
   readonly amount: number;
--- a/src/core/scheduling/preemption.ts
+++ b/src/core/scheduling/preemption.ts
@@ -1,7 +1,8 @@
 // Preempts running tasks for waiting work of a higher priority, and for nothing else (PROTOCOL,
 // "Preemption"). Only array tasks that write checkpoints and have run long enough to justify their start are
-// preempted, and only if they would not end soon anyway. Chains of preemptions cannot form a cycle, since a
-// victim always has the lower priority.
+// preempted. For a reservation, a task is preempted only if it would not end about as soon by itself
+// (reservations.ts); for the head of a machine's queue, only after the head has waited for capacity to come
+// free. Chains of preemptions cannot form a cycle, since a victim always has the lower priority.
 import { elapsedMs, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
@@ -31,7 +32,10 @@
   constructor(
     private readonly io: ControllerIo,
     private readonly heartbeatIntervalS: number,
-    /** Whether every machine has sent a heartbeat and the lease is held; otherwise no task is preempted. */
+    /**
+     * Whether every machine has sent a heartbeat and the leader lease is held; otherwise no task is
+     * preempted.
+     */
     private readonly isStateCertain: () => boolean,
   ) {}
 
--- a/src/core/scheduling/queued-task-return.ts
+++ b/src/core/scheduling/queued-task-return.ts
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Dequeues the tasks that are overdue, except those that no other machine could start. */
+  /** Dequeues overdue tasks, except those of gangs and those that no other machine could start. */
   private dequeueOverdueTasks(machine: Machine, dequeueAfterMs: Millis): void {
     for (const queued of [...machine.queue]) {
       if (this.io.now - queued.queuedAt <= dequeueAfterMs) continue;
--- a/src/core/scheduling/reservations.ts
+++ b/src/core/scheduling/reservations.ts
@@ -1,5 +1,6 @@
-// Reserves machines for large tasks and gangs until enough capacity comes free on them. Without reservations,
-// small tasks refill each gap as it opens, and a task that needs most of a machine starves.
+// Reserves machines for large tasks, also those of gangs, until enough capacity comes free on them. Without
+// reservations, small tasks refill each gap as it opens, and a task that needs most of a machine starves. For
+// smaller tasks, a machine is reserved only if tasks of lower priority on it are preempted for them.
 import { addMs, type Instant, type Millis, type ZoneName } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Job, TaskAssignment } from '../jobs/job.ts';
