--- a/src/core/jobs/accepted-jobs-watch.ts
+++ b/src/core/jobs/accepted-jobs-watch.ts
@@ -35,7 +35,10 @@
     this.watchAfter = readRevision;
   }
 
-  /** Sends the next request, unless one is open or the delay before a retry has not passed. */
+  /**
+   * Sends the next request, unless one is open, the delay before a retry has not passed, or jobs may not be
+   * adopted now.
+   */
   tick(): void {
     if (this.isRequestOpen || this.io.now < this.retryAt || !this.mayAdopt()) return;
     this.isRequestOpen = true;
--- a/src/core/jobs/array-progress.ts
+++ b/src/core/jobs/array-progress.ts
@@ -49,7 +49,7 @@
   dirtySince: Instant | null = null;
   /**
    * Records to which segments of this one are moved. This record is not written before they are stored, so
-   * that the moved segments are always on record.
+   * that the moved segments are in the store at all times.
    */
   successors: BitmapRecord[] = [];
   /** The record was written under this term, with all segments that it had at that time. */
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -36,7 +36,7 @@
     return this.dependents.has(id);
   }
 
-  /** Number of dependencies whose state still has to be read from the store. */
+  /** Number of dependencies of which it is not known yet whether they were cancelled. */
   get unresolvedCount(): number {
     return this.lookup.unresolvedCount;
   }
--- a/src/core/jobs/dependency-check.ts
+++ b/src/core/jobs/dependency-check.ts
@@ -1,6 +1,6 @@
 // Checks on submission that the dependencies of a job were accepted and can end. The leader and fallback
-// admission both use this check. Only the store can show that a job was never accepted: a job that this
-// controller has not in memory may just have been accepted by another controller, or may have ended long ago.
+// admission both use this check. Only the store can show that a job was never accepted: a job that is not
+// in this controller's memory may just have been accepted by another controller, or may have ended long ago.
 import type { JobId } from '../../types/index.ts';
 import type { JobKind, JobSpec, UserResponse } from '../base/model.ts';
 import { retryLater } from '../base/responses.ts';
--- a/src/core/jobs/final-state-lookup.ts
+++ b/src/core/jobs/final-state-lookup.ts
@@ -46,7 +46,10 @@
 export class FinalStateLookup {
   private readonly queue: PendingRead[] = [];
   private readsInFlight = 0;
-  /** Jobs for which it is not known yet whether they are open, done or cancelled. */
+  /**
+   * Jobs of which it is not known yet whether they were cancelled. A job without a stored final state was
+   * not, and leaves the set, although its read is repeated until its state is known.
+   */
   private readonly unresolved = new Set<JobId>();
   private readonly budget: TokenBucket;
   private readonly io: ControllerIo;
@@ -61,12 +64,12 @@
     this.budget = new TokenBucket(readsPerS, readsPerS);
   }
 
-  /** Number of jobs for which it is not known yet whether they are open, done or cancelled. */
+  /** Number of jobs of which it is not known yet whether they were cancelled. */
   get unresolvedCount(): number {
     return this.unresolved.size;
   }
 
-  /** Whether it is not known yet if the job is open, done or cancelled. */
+  /** Whether it is not known yet if the job was cancelled. */
   isUnresolved(id: JobId): boolean {
     return this.unresolved.has(id);
   }
@@ -130,7 +133,7 @@
       this.jobs.cacheFinalState(id, status, endedAtOrZero);
       return this.consumer.onFinalState(id, status, endedAtOrZero);
     }
-    // No final state is stored, so the job has not been cancelled: only this leader could have cancelled it.
+    // If no final state is stored, the job was not cancelled: only this leader could have cancelled it.
     const isMissing = reply.kind === 'missing';
     if (isMissing) this.unresolved.delete(id);
     const delayMs = isMissing ? MISSING_RETRY_DELAY_MS : RETRY_DELAY_MS;
--- a/src/core/jobs/job-ordering.ts
+++ b/src/core/jobs/job-ordering.ts
@@ -8,7 +8,7 @@
 const DEFAULT_MAX_WAIT_S = 300;
 /**
  * Slack of a job that has missed all its objectives, before its age is subtracted. It exceeds the slack of
- * any job that can still meet an objective.
+ * jobs that can still meet an objective, unless their latest start is many days away (1e6 s are 11.6 days).
  */
 const MISSED_SLACK_S = 1e6;
 
@@ -49,7 +49,7 @@
 
   /**
    * Expected remaining run time in seconds of a task that has run for `elapsedS`. A task beyond its expected
-   * run time is expected to run for as long again as it has exceeded it.
+   * run time is expected to run for as long again as it has exceeded it, plus `MIN_REMAINING_S`.
    */
   remainingS(job: Job, elapsedS: number): number {
     const untilExpectedEndS = this.expectedRunS(job) - elapsedS;
@@ -145,8 +145,8 @@
 
 /**
  * Slack of a job, given the seconds until the latest start for each objective that it can still meet,
- * earliest first. If there are none, the slack exceeds that of all jobs that can meet one, and decreases
- * with age.
+ * earliest first. If there are none, the slack is `MISSED_SLACK_S` less the job's age, which ranks the job
+ * after those that can still meet an objective, and the oldest such job first.
  */
 export const slackOf = (untilLatestStartsS: readonly number[], jobAgeS: number): number =>
   untilLatestStartsS[0] ?? MISSED_SLACK_S - jobAgeS;
--- a/src/core/jobs/job-table.ts
+++ b/src/core/jobs/job-table.ts
@@ -61,13 +61,13 @@
     this.openJobs.set(spec.id, job);
   }
 
-  /** Whether the record of any open job has further values; `restoreDependencyPart` takes them. */
+  /** Whether any open job has dependency parts, which `restoreDependencyPart` adds to it. */
   get hasDependencyParts(): boolean {
     for (const job of this.openJobs.values()) if (job.dependencyParts > 0) return true;
     return false;
   }
 
-  /** Adds the dependencies from a further value of a job's record to the restored job. */
+  /** Adds the dependencies in a dependency part to the restored job. */
   restoreDependencyPart(item: StoreItem): void {
     const id = item.key.slice(DEPENDENCY_PART_PREFIX.length, item.key.lastIndexOf('/')) as JobId;
     this.openJobs.get(id)?.spec.dependsOn?.push(...dependenciesInPart(item));
@@ -94,8 +94,8 @@
   }
 
   /** Caches a final state that is known to be stored. */
-  cacheFinalState(id: JobId, status: FinalStatus, at?: WallTime): void {
-    this.finalStates.set(id, status, at);
+  cacheFinalState(id: JobId, status: FinalStatus, endedAt?: WallTime): void {
+    this.finalStates.set(id, status, endedAt);
   }
 
   /** Reads a final state from the store, caches it, and responds with it or with `not-found`. */
--- a/src/core/jobs/job.ts
+++ b/src/core/jobs/job.ts
@@ -47,7 +47,7 @@
   acceptedAt: WallTime;
   /** When this controller first saw the job. */
   seenAt: Instant;
-  /** Whether its tasks may be on machines that have not sent a heartbeat to this leader yet. */
+  /** Whether tasks of the job may be on machines that have not sent a heartbeat to this leader yet. */
   mayHaveUnlocatedTasks: boolean;
   /** The set that the job is in as long as it has waiting tasks; see `JobTable.waitingJobs`. */
   waitingJobs?: Set<Job> | null;
@@ -63,15 +63,15 @@
   /** Number of tasks that run on their machines. */
   runningTasks = 0;
 
-  /** Its cancellation, or that of a direct or indirect dependency, is stored. */
+  /** The job's cancellation, or that of a direct or indirect dependency, is stored. */
   cancelled = false;
-  /** Its user has requested a cancellation, which is not known to be stored yet. */
+  /** The user has requested the job's cancellation, which is not known to be stored yet. */
   cancelRequested = false;
   /** A write to the job's record is in progress, or a read of its revision after a conflict. */
   isWritingRecord = false;
   /** The write that cancels or ends the job, until its outcome is known; see `mayHaveEnded`. */
   terminalWrite: Pick<FencedWrite, 'progress'> | null = null;
-  /** Its final state is stored. */
+  /** The job's final state is stored. */
   isOver = false;
   /** Callbacks to run once when the current write to the job's record has ended, whatever its result. */
   afterWriteCallbacks: (() => void)[] = [];
@@ -89,7 +89,7 @@
    * heartbeat to this leader yet.
    */
   mayHaveUnlocatedTasks: boolean;
-  /** Number of its tasks on machines and in machines' queues, by zone. */
+  /** Number of the job's tasks on machines and in machines' queues, by zone. */
   readonly tasksByZone = new Map<ZoneName, number>();
 
   /** Number of task failures since the last success. */
@@ -339,7 +339,7 @@
   }
 
   /**
-   * Whether its cancellation or its final state may be stored although this leader has had no reply to the
+   * Whether the job's cancellation or final state may be stored although this leader has had no reply to the
    * write. Another controller may have read it and responded to the job's user, who must not get an older
    * status from this leader.
    */
--- a/src/core/machines/machine-commands.ts
+++ b/src/core/machines/machine-commands.ts
@@ -1,5 +1,5 @@
-// Determines the commands in heartbeat responses: forget exited tasks whose results are stored, stop tasks
-// that must not run, and start queued tasks.
+// Determines the commands in heartbeat responses: forget exited tasks (completed ones once their results are
+// stored), stop tasks that must not run, and start queued tasks.
 import { taskId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { Command, Settings } from '../base/model.ts';
--- a/src/core/machines/machine.ts
+++ b/src/core/machines/machine.ts
@@ -46,7 +46,11 @@
    * changed since. The same list then needs no reconciliation.
    */
   isTaskListSettled = false;
-  /** Whether a heartbeat sent by the agent after it saw this term's fencing token has been processed. */
+  /**
+   * Whether a heartbeat sent by the agent after it saw this term's fencing token has been processed. Also set
+   * without one if no task can be on the machine any more: its lease has expired and it is cordoned as
+   * silent, or the cloud lists it as failed.
+   */
   isReconciled = false;
   /** Whether the machine has sent a heartbeat, or the cloud lists it as running. */
   isUp = false;
@@ -55,7 +59,7 @@
    * because the next leader would not know that it has to reconcile the machine.
    */
   registryRecord: RegistryRecordHandle | null = null;
-  /** Whether the machine is yet to be stored in a registry record. */
+  /** Whether a registry record that will list the machine is planned or being written. */
   isRegistering = false;
   /** Whether the machine is being released to the cloud. */
   isReleasing = false;
@@ -72,7 +76,10 @@
   orphans: OrphanTask[] = [];
   /** Tasks that wait to be started on the machine, in the order in which they will be started. */
   readonly queue: QueuedTask[] = [];
-  /** Exited tasks for which a `forget` command is sent once their results are stored, by `assignmentKey`. */
+  /**
+   * Exited tasks that the machine lists, by `assignmentKey`. A `forget` command is sent for each; for a
+   * completed task only once its result is stored.
+   */
   readonly exitedTasks = new Map<string, ExitedTask>();
   lastHeartbeat: Instant;
   /** From then on, no task runs on the machine, unless a heartbeat of it is answered before. */
@@ -84,7 +91,7 @@
   idleSince: Instant;
   /** Images in the machine's cache with their sizes in GB, least recently used first. */
   readonly images = new Map<string, number>();
-  /** The image that was used last; `images` needs no update for further tasks with this image. */
+  /** The image that was used last. Most heartbeats list no other, and `images` then needs no update. */
   lastImage: string | null = null;
   /** Number of failed tasks since the last completed one. */
   consecutiveFailures = 0;
--- a/src/core/machines/task-reconciler.ts
+++ b/src/core/machines/task-reconciler.ts
@@ -21,7 +21,10 @@
 
 /** A listed task with its reconciliation result; if the same object is listed again, no lookup is needed. */
 export interface ListedTask extends TaskStatus {
-  /** The reconciler that set the fields below; they are valid only in its term. */
+  /**
+   * The reconciler that set the fields below. They are valid only in its term, because the reconciler of
+   * another term has other assignments.
+   */
   reconciledBy?: TaskReconciler;
   assignment?: TaskAssignment;
   exitedTask?: ExitedTask;
@@ -144,7 +147,10 @@
     this.listener.onTaskStarted(assignment);
   }
 
-  /** Records that the job's image is in the machine's cache, and evicts the least recently used images. */
+  /**
+   * Records that the job's image is in the machine's cache, and removes the least recently used images until
+   * the others fit into the cache.
+   */
   private recordImage(machine: Machine, job: Job): void {
     const { image, imageGb } = job.spec;
     if (machine.lastImage === image) return;
--- a/src/core/membership/leader-election.ts
+++ b/src/core/membership/leader-election.ts
@@ -50,7 +50,7 @@
   onConfigurationChanged(revision: Revision): void;
 }
 
-/** What {@link LeaderElection} depends on. */
+/** Dependencies of {@link LeaderElection}. */
 export interface LeaderElectionDependencies {
   io: ControllerIo;
   /** This node. */
@@ -66,7 +66,7 @@
 export class LeaderElection {
   /** The term in which this controller leads; null while it does not. */
   term: Revision | null = null;
-  /** The leader as last read from the store or reported by a peer; null if there is none. */
+  /** The leader as last read from the store or reported by a peer; null if there is none or none is known. */
   leader: LeaderRecord | null = null;
   private isCandidate = false;
   private vacantSince: Instant | null = null;
@@ -191,8 +191,9 @@
   private onLeaderFound(leader: LeaderRecord): void {
     this.vacantSince = null;
     if (leader.node !== this.self) this.observeLeader(leader.node, leader.revision);
-    // A leader key that names this node at another revision was put by an earlier process of this node, or by
-    // a delayed request of that process. It is deleted when its lease expires.
+    // A leader key that names this node at another revision was put by an earlier process of this node, by a
+    // delayed request of that process, or by a claim of this process that got no reply so far. If the claim
+    // succeeds, `beginTerm` resets the flag. The key is deleted when its lease ends.
     else if (leader.revision !== this.term) this.wasLeaderBeforeRestart = true;
   }
 
--- a/src/core/membership/peer-registry.ts
+++ b/src/core/membership/peer-registry.ts
@@ -10,7 +10,7 @@
   node: NodeId;
   /** Null if the node has not reported one, or if its version has no configuration documents. */
   revision: Revision | null;
-  /** Whether this node is connected to it. */
+  /** Whether the node that reports this is connected to `node`. */
   linked: boolean;
 }
 
@@ -73,7 +73,10 @@
     return [...this.connectedPeers].filter((node) => this.dependencySupport.get(node) !== true);
   }
 
-  /** Null if no hello was received from the node since this node started. */
+  /**
+   * Whether the node supports configuration documents; null if no hello was received from it since this node
+   * started.
+   */
   supportsConfigDocuments(node: NodeId): boolean | null {
     return this.documentSupport.get(node) ?? null;
   }
