--- a/src/core/admission/team-throttle.ts
+++ b/src/core/admission/team-throttle.ts
@@ -73,7 +73,8 @@
 
   /**
    * Whether to reject the team's submissions while the write budget is short: true for the only active team,
-   * and for a team that exceeds its even share by more than MAX_OVERUSE_FACTOR.
+   * and for a team with more than `MIN_THROTTLED_COUNT` recent submissions that submits more than
+   * `MAX_OVERUSE_FACTOR` times its even share.
    */
   isThrottled(team: TeamName): boolean {
     if (this.activeTeamCount <= 1) return true;
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -106,8 +106,8 @@
 
   /**
    * Runs one scaling step. `recovered`: failover is complete (every machine on record has sent a heartbeat or
-   * has been released), and this leader may send commands to machines. `holdsLease`: no other leader can
-   * exist.
+   * is certain to run no tasks), and this leader may send commands to machines. `holdsLease`: no other leader
+   * can exist.
    */
   tick(recovered: boolean, holdsLease: boolean): void {
     if (this.types.size === 0) return;
--- a/src/core/autoscaling/capacity-supply.ts
+++ b/src/core/autoscaling/capacity-supply.ts
@@ -101,7 +101,7 @@
   }
 }
 
-/** A search that found no capacity. */
+/** A search that found no capacity, or used all that it found without placing all of the tasks. */
 interface FailedSearch {
   /** Key of the set of pools that were searched. */
   scope: string;
--- a/src/core/autoscaling/cloud-inventory.ts
+++ b/src/core/autoscaling/cloud-inventory.ts
@@ -77,7 +77,7 @@
 
   /**
    * Adds a machine whose request got no response or was made in an earlier term. It is used for tasks, or
-   * released later as idle.
+   * released later as idle; a failed machine is only added to be released.
    */
   private adopt(listed: ListedMachine, recovered: boolean): void {
     if (!recovered || this.machines.tombstones.has(listed.id) || this.isRequestInFlight()) return;
--- a/src/core/autoscaling/demand-planner.ts
+++ b/src/core/autoscaling/demand-planner.ts
@@ -12,7 +12,7 @@
 import { readyTimeS, type SpareCapacity } from './spare-capacity.ts';
 import type { SupplyForecast } from './supply-forecast.ts';
 
-/** No capacity is provided for a job that has failed on this many machines in a row. */
+/** No capacity is provided for a job that failed on this many machines since one of its tasks succeeded. */
 const MAX_FAILED_MACHINES = 3;
 
 /** Dependencies of {@link DemandPlanner}. */
--- a/src/core/autoscaling/offer-backoff.ts
+++ b/src/core/autoscaling/offer-backoff.ts
@@ -1,5 +1,5 @@
 // Backs off from offers of which the cloud had fewer machines than requested. The back-off doubles with each
-// consecutive refusal: requests that the cloud cannot fulfil would use up its call budget.
+// consecutive refusal up to a maximum: requests that the cloud cannot fulfil would use up its call budget.
 import { addMs, type Instant, type Millis } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import { type MachineOffer, offerKey } from './machine-offer.ts';
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -14,11 +14,12 @@
 const CALL_INTERVAL_MS: Millis = 2000;
 /** Delay after a call that failed. */
 const RETRY_DELAY_MS: Millis = 1000;
-/** A machine is not released as idle before this time since it was requested. */
+/** A machine is not released as idle before this time since this leader added it to the machine table. */
 const MIN_AGE_MS: Millis = 60_000;
 /**
- * An idle machine is kept for a time in proportion to its boot time: this costs at most twice as much as the
- * best choice with knowledge of future demand.
+ * An idle machine is kept for this many milliseconds for each second of its usual boot time. The time is in
+ * proportion to the boot time because keeping a machine for one whole boot time costs at most twice as much
+ * as the best choice with knowledge of future demand.
  */
 const IDLE_MS_PER_BOOT_S = 400;
 /**
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -46,7 +46,7 @@
     this.term = dependencies.term;
   }
 
-  /** Whether the response to any request is outstanding. */
+  /** Whether a call to the cloud that requests machines is in flight. */
   get isRequestInFlight(): boolean {
     return this.requests.some((request) => request.isInFlight);
   }
--- a/src/core/autoscaling/spare-capacity.ts
+++ b/src/core/autoscaling/spare-capacity.ts
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Expected number of the class's tasks to arrive within a time, at the recent rate; infinite if it is
-   * unknown.
+   * Expected number of the class's tasks to arrive within a time, at the recent rate; infinite if the rate is
+   * not known.
    */
   expectedArrivals(className: string, withinMs: Millis): number {
     const classArrivals = this.classes.get(className);
--- a/src/core/configuration/change-transaction.ts
+++ b/src/core/configuration/change-transaction.ts
@@ -100,10 +100,10 @@
       `the change affects ${changes.length} documents; one change may affect at most ${maxChanges}`,
     );
   const added = changes.filter((change) => change.before === null).length;
-  const documentCount = snapshot.documents.length + added;
-  if (documentCount > MAX_DOCUMENTS)
+  const existing = snapshot.documents.length;
+  if (existing + added > MAX_DOCUMENTS)
     throw new ChangeTooLargeError(
-      `the change would result in ${documentCount} documents; at most ${MAX_DOCUMENTS} are allowed`,
+      `the change adds ${added} documents to the existing ${existing}; at most ${MAX_DOCUMENTS} are allowed`,
     );
   const maxBytes = limits.maxValueKb * 1024;
   const sizes = [entry, ...changes.map((change) => change.after)].map(jsonBytes);
--- a/src/core/configuration/configuration.ts
+++ b/src/core/configuration/configuration.ts
@@ -1,6 +1,6 @@
 // The configuration that one controller applies. The controller learns of a newer revision from its watch on
-// the shard and from the messages of other nodes, and then reads the documents from the store. As long as
-// there are no configuration documents, it sends no requests to the store.
+// the shard and from the messages of other nodes, and then reads the documents from the store. As long as no
+// operator has announced or written documents, this module sends no requests to the store.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type Millis, type Revision } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 import type { StoreReply } from '../base/model.ts';
@@ -32,7 +32,7 @@
 /** A node that lags behind the newest revision for longer than this accepts no submissions. */
 export const MAX_LAG_MS = 18_000;
 
-/** The controller has replaced the applied revision by a newer one. */
+/** The replacement of the applied revision by a newer one. */
 export interface AppliedChange {
   from: Revision;
   to: Revision;
--- a/src/core/heartbeats/connection-balancer.ts
+++ b/src/core/heartbeats/connection-balancer.ts
@@ -1,8 +1,9 @@
 // Balances the agents' connections across the controllers. Agents choose a node at random and move to another
 // one when it stops, so after a few restarts most agents are connected to the same node, which then lacks CPU
-// time and sockets. A node with many more agents than the mean redirects a few percent of them per second to
-// the node with the fewest. The leader should have few connections: it processes the heartbeats of all agents
-// anyway, and a heartbeat over HTTP costs it several times as much as a forwarded one.
+// time and sockets. A node whose weight is far above the mean redirects a small fraction of its agents per
+// second to the node with the lowest weight. The leader should have few connections: it processes the
+// heartbeats of all agents anyway, and a heartbeat over HTTP costs it several times as much as a forwarded
+// one.
 import { addMs, elapsedMs, type Instant, LONG_AGO, type MachineId, type NodeId } from '../../types/index.ts';
 import type { ControllerIo } from '../base/io.ts';
 
--- a/src/core/heartbeats/heartbeat-forwarder.ts
+++ b/src/core/heartbeats/heartbeat-forwarder.ts
@@ -47,7 +47,7 @@
   respond: HeartbeatResponder;
   deadline: Instant;
   leader: NodeId;
-  /** If the leader then still requires the full heartbeat, sending it again would not help. */
+  /** If true and the leader still requires the full heartbeat, sending it again would not help. */
   wasSentInFull: boolean;
 }
 
--- a/src/core/teams/quota.ts
+++ b/src/core/teams/quota.ts
@@ -67,7 +67,10 @@
     return { cpus: usage.cpus + this.uncertainUsage.cpus, gpus: usage.gpus + this.uncertainUsage.gpus };
   }
 
-  /** By how much the team's own tasks, on machines and in queues, exceed its limit; null if they do not. */
+  /**
+   * By how much the team's own tasks, on machines and in queues, exceed its limit; null if they do not. A
+   * team that the configuration does not contain may use nothing.
+   */
   overQuota(name: TeamName): TeamUsage | null {
     const team = this.teams.get(name);
     const usage = this.usageByTeam.get(name) ?? NO_USAGE;
@@ -76,7 +79,10 @@
     return cpus > EPSILON || gpus > EPSILON ? { cpus, gpus } : null;
   }
 
-  /** The reason why the job alone exceeds its team's limit; null if it does not. */
+  /**
+   * The reason why the job may not run under its team's limit even if it is the team's only job, or that the
+   * configuration does not contain the team; null if the job may run.
+   */
   violation(spec: JobSpec): string | null {
     const team = this.teams.get(spec.team);
     return team === undefined ? `team ${spec.team} is not known here` : quotaViolation(spec, team);
