--- a/packages/client/src/client-options.ts
+++ b/packages/client/src/client-options.ts
@@ -15,7 +15,7 @@
   outbox?: string;
   /** Maximum number of connections to each node; default 8. */
   connections?: number;
-  /** Number of submissions not accepted yet from which on `submit` waits before it sends; default 1000. */
+  /** `submit` waits before it sends while this many submissions are not accepted yet; default 1000. */
   pending?: number;
   /**
    * Called before a new job is recorded and sent, for example to upload the commands of its tasks. If it
--- a/packages/client/src/session.ts
+++ b/packages/client/src/session.ts
@@ -33,7 +33,10 @@
   private readonly dispatcher: RequestDispatcher;
   /** Jobs by the time at which `advance` must be called for them. */
   private readonly schedule = new Schedule<TrackedJob>();
-  /** Jobs whose newest journal entry is not on disk yet, in the order of the entries' numbers. */
+  /**
+   * Jobs with journal entries that are not on disk yet, one element for each entry, in the order in which the
+   * entries were appended.
+   */
   private readonly awaitingPersistence: TrackedJob[] = [];
   private lastSeq = 0;
   private persistedUpTo = 0;
--- a/packages/local-cluster/src/controller-process.ts
+++ b/packages/local-cluster/src/controller-process.ts
@@ -25,7 +25,7 @@
 /**
  * Starts a controller with the settings file `NAME.json` in `dir`; its output is appended to `NAME.log`
  * there. `program`: command line of the daemon before the `serve` argument. `guard` kills the controller when
- * it is closed or this process exits.
+ * the guard is closed or this process exits.
  */
 export function spawnController(
   name: string,
--- a/packages/local-cluster/src/errors.ts
+++ b/packages/local-cluster/src/errors.ts
@@ -7,7 +7,8 @@
 }
 
 /**
- * A fault cannot be injected because the controller or zone that it names does not exist or is not running.
+ * A fault cannot be injected: the zone that it names does not exist, or the controller that it names, or any
+ * controller if it names none, is not running.
  */
 export class FaultTargetError extends SwiftfordError {
   readonly code = 'FAULT_TARGET_MISSING';
--- a/packages/local-cluster/src/fake-cloud.ts
+++ b/packages/local-cluster/src/fake-cloud.ts
@@ -38,7 +38,7 @@
 
 /** A simulated cloud. Its writable public fields configure it and inject faults. */
 export class FakeCloud {
-  /** During an outage; every request is refused. */
+  /** Whether the cloud is in an outage: every request is refused. */
   down = false;
   /** Maximum number of machines rented at a time, unless limits by type, zone and spot are set. */
   capacity = 20;
--- a/packages/local-cluster/src/fake-store.ts
+++ b/packages/local-cluster/src/fake-store.ts
@@ -43,7 +43,7 @@
   readonly entries = new Map<string, StoredEntry>();
   /** Revision of the newest change. */
   revision = 0;
-  /** During an outage; every request is refused. */
+  /** Whether the store is in an outage: every request is refused. */
   down = false;
   /** Nodes whose requests are refused while the store serves the others. */
   readonly refusedNodes = new Set<string>();
@@ -117,7 +117,7 @@
   /** Executes a request of a node; `respond` is called once, or never if a fault loses the reply. */
   serve(node: string, request: StoreRequest, respond: Respond): void {
     if (this.down || this.refusedNodes.has(node)) return respond(REFUSED);
-    if (this.isUnreadable(request)) return respond(BUSY);
+    if (this.isReadRefused(request)) return respond(BUSY);
     if (request.kind === 'compare-and-swap' && this.scheduleIfDelayed(node, request)) return;
     this.expireLeases();
     if (this.isEverySecondRequest(request)) return respond(BUSY);
@@ -131,7 +131,7 @@
 
   // ---- faults
 
-  private isUnreadable(request: StoreRequest): boolean {
+  private isReadRefused(request: StoreRequest): boolean {
     if (request.kind === 'list') return request.prefix === this.refusedListPrefix;
     return (
       request.kind === 'get' &&
--- a/packages/local-cluster/src/fake-worker.ts
+++ b/packages/local-cluster/src/fake-worker.ts
@@ -342,18 +342,18 @@
 
   /**
    * Handles commands that a controller sends other than in a heartbeat response. They are executed only if
-   * token and epoch are current.
+   * the fencing token is not older than the newest one received and the epoch is the current one.
    */
   handleCommands(
-    token: number,
-    session: number,
+    fencingToken: number,
+    agentEpoch: number,
     commands: Command[],
     respond: (reply: WorkerReply) => void,
   ): void {
     if (this.isTerminated || !this.up || this.isHanging) return;
-    const executed = token >= this.fencingToken && session === this.agentEpoch;
+    const executed = fencingToken >= this.fencingToken && agentEpoch === this.agentEpoch;
     if (executed) {
-      this.adoptFencingToken(token);
+      this.adoptFencingToken(fencingToken);
       this.executeAll(commands);
     }
     this.armTimer();
--- a/packages/local-cluster/src/fault-injector.ts
+++ b/packages/local-cluster/src/fault-injector.ts
@@ -21,8 +21,8 @@
   constructor(private readonly targets: FaultTargets) {}
 
   /**
-   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the
-   * controller or zone that it names does not exist or is not running.
+   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the zone
+   * that it names does not exist or no matching controller is running.
    */
   inject(fault: Fault): string {
     const { services, clock } = this.targets;
--- a/packages/local-cluster/src/local-cluster.ts
+++ b/packages/local-cluster/src/local-cluster.ts
@@ -204,8 +204,8 @@
   }
 
   /**
-   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the
-   * controller or zone that it names does not exist or is not running.
+   * Injects a fault, and returns a sentence that describes the effect. Throws FaultTargetError if the zone
+   * that it names does not exist or no matching controller is running.
    */
   fault(fault: Fault): string {
     const effect = this.faults.inject(fault);
--- a/packages/local-cluster/src/local-machines.ts
+++ b/packages/local-cluster/src/local-machines.ts
@@ -125,17 +125,17 @@
   }
 
   private serveCommands(worker: FakeWorker, body: unknown, respond: Respond): void {
-    const { fencingToken: token, agentEpoch: session, commands } = decodeCommands(body);
-    if (session === null) return respond(errorResponse(400, 'the session is missing'));
+    const { fencingToken, agentEpoch, commands } = decodeCommands(body);
+    if (agentEpoch === null) return respond(errorResponse(400, 'the session is missing'));
     const partition = this.partitionOf(worker);
     if (partition !== null) {
       if (partition.delaysMessages)
         this.after(partition.until - this.now, () =>
-          worker.handleCommands(token, session, commands, () => {}),
+          worker.handleCommands(fencingToken, agentEpoch, commands, () => {}),
         );
       return;
     }
-    worker.handleCommands(token, session, commands, (reply) => {
+    worker.handleCommands(fencingToken, agentEpoch, commands, (reply) => {
       if (reply.kind === 'heartbeat')
         respond({ status: reply.executed ? 200 : 409, body: encodeHeartbeat(reply.heartbeat) });
     });
--- a/packages/local-cluster/src/outside-services.ts
+++ b/packages/local-cluster/src/outside-services.ts
@@ -81,8 +81,8 @@
   readonly serveStore: RequestHandler = (method, path, body, respond) => {
     const call = decodeStoreRequest(method, path, body);
     if (call === null) return respond(errorResponse(404, 'no such path'));
-    const { request: op } = call;
-    const changes = op.kind === 'compare-and-swap' ? op.puts.length + op.deletes.length : 0;
+    const { request } = call;
+    const changes = request.kind === 'compare-and-swap' ? request.puts.length + request.deletes.length : 0;
     this.counts.stateRequests++;
     if (!this.store.down && this.isOverStoreLimit(changes)) {
       this.counts.stateRefused++;
@@ -90,8 +90,8 @@
     }
     this.counts.stateChanges += changes;
     const remainingDelayMs = this.storeLateUntil - this.environment.now;
-    if (remainingDelayMs > 0 && op.kind !== 'watch')
-      return this.environment.after(remainingDelayMs, () => this.store.serve('', op, () => {}));
+    if (remainingDelayMs > 0 && request.kind !== 'watch')
+      return this.environment.after(remainingDelayMs, () => this.store.serve('', request, () => {}));
     this.executeStoreCall(call, respond);
   };
 
@@ -101,11 +101,11 @@
     return changes > 0 && !this.storeWriteLimit.take(now, changes);
   }
 
-  private executeStoreCall({ request: op, pageSize: page }: StoreCall, respond: Respond): void {
+  private executeStoreCall({ request, pageSize }: StoreCall, respond: Respond): void {
     const isReplyLost = this.environment.now < this.storeSilentUntil && this.random.below(2) === 0;
-    this.store.serve('', op, (reply) => {
+    this.store.serve('', request, (reply) => {
       if (isReplyLost) return;
-      const response = encodeStoreReply(op, reply, page, this.store.revision);
+      const response = encodeStoreReply(request, reply, pageSize, this.store.revision);
       this.respondAfter(this.options.state.latency_ms, () => respond(response));
     });
     this.store.executedRequests.length = 0;
--- a/src/cli/config-cli.ts
+++ b/src/cli/config-cli.ts
@@ -17,7 +17,7 @@
   withSettings(command)
     .option(
       '--id <id>',
-      'id of the change; repeating a command with the same id does not make the change twice',
+      'id of the change; repeating a command with the same id, as after a lost response, does not make the change twice',
     )
     .option(
       '--wait',
--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -176,7 +176,7 @@
       if (reply.kind !== 'refused' && reply.kind !== 'no-answer') return reply;
     }
     throw new StoreUnavailableError(
-      `the state service at ${this.settings.storeAddr} did not respond to or refused ${MAX_ATTEMPTS} requests`,
+      `the state service at ${this.settings.storeAddr} refused or did not answer a request ${MAX_ATTEMPTS} times in a row`,
     );
   }
 
--- a/src/core/base/io.ts
+++ b/src/core/base/io.ts
@@ -81,8 +81,8 @@
   private lastRequestId: number;
   private readonly openRequests = new Map<number, (reply: never) => void>();
   /**
-   * Callbacks of store requests that were dropped from the queue before they were sent; called at the
-   * beginning of the next step.
+   * Callbacks of store requests that the budget dropped before they were sent; called at the beginning of the
+   * next step.
    */
   private droppedStoreCallbacks: ((reply: StoreReply) => void)[] = [];
   private readonly storeHealth: DependencyHealth;
@@ -103,7 +103,7 @@
     this.cloudHealth = new DependencyHealth('cloud', addrs.cloud, log);
   }
 
-  /** Whether the store has served no request of this controller for some seconds. */
+  /** Whether requests to the store have been failing for some seconds, without any success. */
   get isStoreUnavailable(): boolean {
     return this.storeHealth.isUnavailable(this.now);
   }
@@ -140,8 +140,8 @@
   }
 
   /**
-   * Sends a request to the store as soon as the budget allows. A request that is dropped from the queue
-   * before that gets the reply `refused`.
+   * Sends a request to the store as soon as the budget allows. A request that the budget drops before that
+   * gets the reply `refused` in the next step.
    */
   sendStoreRequest(
     request: StoreRequest,
--- a/src/protocol/service-side.ts
+++ b/src/protocol/service-side.ts
@@ -46,7 +46,7 @@
 }
 
 /**
- * Decodes a request; `decode` decodes its operation and returns null if the path is unknown.
+ * Decodes a request; `decode` decodes the target and returns null if the path is unknown.
  * The requested page size is capped at `maxPageSize`.
  */
 export function decodeRequest<T>(
@@ -55,9 +55,9 @@
   decode: (target: RequestTarget) => T | null,
 ): DecodedRequest<T> | null {
   const target = parseTarget(path);
-  const page = Math.min(maxPageSize, readQueryNumber(target.query, 'page') || maxPageSize);
-  const op = decode(target);
-  return op === null ? null : { request: op, pageSize: page };
+  const pageSize = Math.min(maxPageSize, readQueryNumber(target.query, 'page') || maxPageSize);
+  const request = decode(target);
+  return request === null ? null : { request, pageSize };
 }
 
 /** A list of objects; empty if the field is missing. */
--- a/src/protocol/worker-agent.ts
+++ b/src/protocol/worker-agent.ts
@@ -80,6 +80,6 @@
     return { kind: 'redirect', node: typeof foreman === 'string' ? (foreman as NodeId) : null };
   }
   if (status !== 200) return null;
-  const { fencingToken: token, commands } = decodeCommands(json);
-  return { kind: 'commands', fencingToken: token, commands };
+  const { fencingToken, commands } = decodeCommands(json);
+  return { kind: 'commands', fencingToken, commands };
 }
