--- a/test/configuration.test.ts
+++ b/test/configuration.test.ts
@@ -59,14 +59,14 @@
   limits: Map<Revision, number>,
 ): { starts: string[] } {
   const starts: string[] = [];
-  const placed = world.onTaskPlaced.bind(world);
+  const onTaskPlaced = world.onTaskPlaced.bind(world);
   world.onTaskPlaced = (machine, task) => {
     const inForce = operator.inForce?.revision ?? 0;
     const limit = [...limits].filter(([revision]) => revision <= inForce).at(-1)?.[1] ?? 6;
     const spec = world.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
     if (spec.team === 'small' && cpusUsedBy(world, 'small') + spec.cpus > limit)
       starts.push(`${world.now} ${task} above the limit of ${limit} CPUs`);
-    placed(machine, task);
+    onTaskPlaced(machine, task);
   };
   return { starts };
 }
--- a/test/failover-cancellation.test.ts
+++ b/test/failover-cancellation.test.ts
@@ -86,7 +86,7 @@
           }
         }
         assert.equal(startedEarly, 0);
-        assert.ok(confirmation.over && hasEnded());
+        assert.ok(confirmation.isAnswered && hasEnded());
         assert.ok(world.machinesRunning('run-2').length > 0, 'the next job of the team has started');
         world.run(5);
         assert.equal(
@@ -106,7 +106,7 @@
       assert.equal(world.submit(job('run-3', { tasks: 2 }), leader)?.kind, 'accepted');
       assert.ok(world.until(() => world.machinesRunning('run-3').length > 0));
       for (const jobId of [id, 'run-2', 'run-3']) checks.pollStatus(jobId as JobId);
-      const confirmations: { over: boolean }[] = [];
+      const confirmations: { isAnswered: boolean }[] = [];
       const crashAt = world.now + 2000;
       world.at(crashAt, () => world.crash(leader));
       world.at(crashAt + offsetS * 1000, () => {
@@ -120,7 +120,7 @@
       });
       world.at(crashAt + 9000, () => world.start(leader));
       world.run(25);
-      assert.ok(confirmations.every((confirmation) => confirmation.over));
+      assert.ok(confirmations.every((confirmation) => confirmation.isAnswered));
       for (const node of world.nodes.keys())
         for (const jobId of [id, 'run-2', 'run-3'])
           assert.deepEqual(world.status(jobId, node), { kind: 'ended', id: jobId, status: 'cancelled' });
--- a/test/failover-placement.test.ts
+++ b/test/failover-placement.test.ts
@@ -18,11 +18,12 @@
       world.cloud.bootS = 1.5;
       world.runS = 60;
       let unregistered = 0;
-      const { onTaskStart: placing } = checks.rules;
+      const { onTaskStart } = checks.rules;
       checks.rules.onTaskStart = (now, task, machine) => {
-        const pages = [...world.state.entries].filter(([key]) => key.startsWith('m/'));
-        if (!pages.some(([, page]) => JSON.stringify(page.value).includes(`"${machine.id}"`))) unregistered++;
-        placing.call(checks.rules, now, task, machine);
+        const registryRecords = [...world.state.entries].filter(([key]) => key.startsWith('m/'));
+        if (!registryRecords.some(([, record]) => JSON.stringify(record.value).includes(`"${machine.id}"`)))
+          unregistered++;
+        onTaskStart.call(checks.rules, now, task, machine);
       };
       const isRegistryWrite = (op: StoreRequest) =>
         op.kind === 'compare-and-swap' && op.puts.some((put) => put.key.startsWith('m/'));
@@ -35,12 +36,12 @@
       let roundsWithNewMachines = 0;
       for (let i = 0; i < 4; i++) {
         checks.requestUntilAnswered({ op: 'submit', spec: job(`run-${i}`, { tasks: 12 }) });
-        const machinesMade = world.cloud.machinesCreated;
+        const machinesBefore = world.cloud.machinesCreated;
         assert.ok(
           world.until(() => [...world.workers.values()].some((worker) => worker.up && worker.seq > 0), 60),
         );
         world.run(0.3 * i);
-        if (world.cloud.machinesCreated > machinesMade) roundsWithNewMachines++;
+        if (world.cloud.machinesCreated > machinesBefore) roundsWithNewMachines++;
         const leader = world.leader;
         if (leader !== undefined) {
           world.crash(leader);
--- a/test/heartbeat-forwarding.test.ts
+++ b/test/heartbeat-forwarding.test.ts
@@ -192,7 +192,7 @@
     assert.notEqual(world.leader, oldLeader);
     assert.ok(leaderTermOf(world).failover.isComplete);
     assert.ok(forwardedWorkers.length > 0);
-    // Each agent waits for one timeout, or for two if it sent its heartbeat just after the crash.
+    // Each agent waits for one timeout of 3.8 s, or for two if it sent its heartbeat just after the crash.
     const moved = totalMoves() - movesBefore;
     assert.ok(moved <= 2 * forwardedWorkers.length, `${moved} moves of ${forwardedWorkers.length} workers`);
     assert.equal(totalStarts(), startsBefore);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -26,8 +26,8 @@
   assertClose(machine.queuedCpus, queuedCpus, `${machine.id} queued`);
   assert.equal(machine.indexPosition !== null, machine.isSchedulable, `${machine.id} in the index`);
   if (machine.indexPosition !== null) {
-    const { bucket, indexInBucket: at } = machine.indexPosition;
-    assert.equal(bucket.members[at], machine);
+    const { bucket, indexInBucket } = machine.indexPosition;
+    assert.equal(bucket.members[indexInBucket], machine);
   }
 }
 
--- a/test/local-cluster.test.ts
+++ b/test/local-cluster.test.ts
@@ -134,12 +134,12 @@
       };
       assert.equal(outputOf('first', 2), '2 of 3');
       assert.equal(outputOf('gang', 1), '2');
-      assert.equal(outputOf('last', 0), '3', 'each task ran once, and before what awaits it');
+      assert.equal(outputOf('last', 0), '3', 'each task ran once, and before the job that depends on it');
       assert.equal((cluster.storedValue(`f/${ids.get('last')}`) as { s: string }).s, 'done');
     } finally {
       await cluster.stop();
     }
-    for (const pid of pids) assert.ok(!exists(pid), `${pid} is left`);
+    for (const pid of pids) assert.ok(!exists(pid), `process ${pid} still exists`);
   });
 
   /** Starts `swiftford lab` with records on disk; returns its process and its controllers' addresses. */
--- a/test/protocol.test.ts
+++ b/test/protocol.test.ts
@@ -90,7 +90,7 @@
   it('lists each dependency once; without dependencies its specification has no such field', () => {
     for (const none of [{}, { awaits: null }, { awaits: [] }])
       assert.deepEqual(parseJob({ ...wireJob, ...none }), parseJob(wireJob));
-    assert.equal('awaits' in parseJob(wireJob), false);
+    assert.equal('dependsOn' in parseJob(wireJob), false);
     assert.deepEqual(parseJob({ ...wireJob, awaits: ['run-1', 'run-2', 'run-1'] }).dependsOn, [
       'run-1',
       'run-2',
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -254,7 +254,11 @@
     world.run(300);
     const requested = world.logs.slice(from).filter((line) => line.includes(' requesting machines '));
     const offers = requested.map((line) => line.replace(/"request":"[^"]*",/, ''));
-    assert.equal(new Set(offers).size, offers.length, 'the same was requested twice at once');
+    assert.equal(
+      new Set(offers).size,
+      offers.length,
+      'the same machines were requested twice at the same time',
+    );
     assert.ok(offers.length > 0 && offers.length < 30, `${offers.length} requests`);
   });
 });
--- a/test/support/checked-world.ts
+++ b/test/support/checked-world.ts
@@ -104,13 +104,13 @@
   /** From now on requests the job's status every second, from each node in turn. */
   pollStatus(id: JobId): void;
   /**
-   * Repeats a request every second, at each node in turn, until the response is not `retry`; `over` is true
-   * from then on.
+   * Repeats a request every second, at each node in turn, until the response is not `retry`;
+   * `isAnswered` is true from then on.
    */
-  requestUntilAnswered(request: UserRequest): { over: boolean };
+  requestUntilAnswered(request: UserRequest): { isAnswered: boolean };
 }
 
-/** Attaches a rule checker to a world; the caller has to call `look` regularly. */
+/** Attaches a rule checker to a world; the caller has to call `checkTimeLimits` regularly. */
 export function ruleCheckerFor(world: SimulatedWorld, limitAt: Limits['limitOf'] = limitOf): RuleChecker {
   const limits: Limits = {
     cancelMs: CANCEL_MS,
@@ -135,17 +135,17 @@
     const running = [...world.nodes.keys()];
     return running[nodeIndex++ % Math.max(1, running.length)] ?? world.nodeNames[0]!;
   };
-  const follow = (id: JobId): void => {
+  const pollStatus = (id: JobId): void => {
     world.sendRequest(nextNode(), { op: 'status', id });
-    world.after(POLL_INTERVAL_MS, () => follow(id));
+    world.after(POLL_INTERVAL_MS, () => pollStatus(id));
   };
-  const insist = (request: UserRequest): { over: boolean } => {
-    const state = { over: false };
+  const requestUntilAnswered = (request: UserRequest): { isAnswered: boolean } => {
+    const state = { isAnswered: false };
     const sendRequest = (): void => {
       const pending = world.sendRequest(nextNode(), request);
       world.after(POLL_INTERVAL_MS, () => {
-        if (pending.answer !== null && pending.answer.kind !== 'retry') state.over = true;
-        else if (!state.over) sendRequest();
+        if (pending.answer !== null && pending.answer.kind !== 'retry') state.isAnswered = true;
+        else if (!state.isAnswered) sendRequest();
       });
     };
     sendRequest();
@@ -154,7 +154,7 @@
   return {
     rules,
     assertNoViolations: () => assert.deepEqual([...rules.violations, ...world.violations], []),
-    pollStatus: follow,
-    requestUntilAnswered: insist,
+    pollStatus,
+    requestUntilAnswered,
   };
 }
--- a/test/support/history-jobs.ts
+++ b/test/support/history-jobs.ts
@@ -43,11 +43,11 @@
   });
 }
 
-/** When the last fault ends, in seconds from the start of the history. */
+/** When the last fault ends, in seconds from the start of the history; at least `FAULT_PERIOD_S`. */
 export const faultsEndS = (history: History): number =>
   history.troubles.reduce((end, fault) => Math.max(end, fault.atS + fault.forS), FAULT_PERIOD_S);
 
-/** Total run time of the longest chain of dependent jobs, in seconds. */
+/** Total run time of the longest chain of dependent jobs, with the delays between them, in seconds. */
 function longestChainS(jobs: readonly HistoryJob[]): number {
   let longest = 0;
   let chain = 0;
--- a/test/support/history-model.ts
+++ b/test/support/history-model.ts
@@ -118,8 +118,11 @@
 export interface Verdict {
   broken: string[];
   met: CombinationCounts;
+  /** The longest time for which a task was on a machine after the confirmed cancellation, in milliseconds. */
   latestGoneMs: number;
+  /** After the last fault: the longest time without an answer about a polled job, in milliseconds. */
   longestSilenceMs: number;
+  /** After the last fault: the longest time for which a startable task waited, in milliseconds. */
   longestNeedlessMs: number;
   /** The longest time from a confirmed cancellation to the start of a task of that job, in milliseconds. */
   latestStartMs: number;
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -84,13 +84,13 @@
   commit(transaction: StoreTransaction): StoreReply {
     const { state } = this.world;
     let reply: StoreReply = { kind: 'no-answer' };
-    const { executionDelayMs: lateMs, losesAnswer } = state;
+    const { executionDelayMs, losesAnswer } = state;
     state.executionDelayMs = null;
     state.losesAnswer = null;
     state.serve(OPERATOR, { kind: 'compare-and-swap', ...transaction }, (served) => {
       reply = served;
     });
-    state.executionDelayMs = lateMs;
+    state.executionDelayMs = executionDelayMs;
     state.losesAnswer = losesAnswer;
     return reply;
   }
--- a/test/support/rule-checker.ts
+++ b/test/support/rule-checker.ts
@@ -63,7 +63,10 @@
 export class RuleChecker {
   /** One line for each violation: time in seconds, name of the rule, and details. */
   readonly violations: string[] = [];
-  /** The longest time for which a task was still on a machine after its job's cancellation was confirmed. */
+  /**
+   * The longest time for which a task was still on a machine after its job's cancellation was confirmed, in
+   * milliseconds.
+   */
   latestGoneMs = 0;
   /** Number of tasks that were started. */
   started = 0;
--- a/test/support/simulated-settings.ts
+++ b/test/support/simulated-settings.ts
@@ -41,7 +41,7 @@
 });
 
 /** Describes a job of one task that fits every machine type of the world. */
-export const job = (id: string, over: Partial<JobSpec> = {}): JobSpec => ({
+export const job = (id: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
   id: id as JobId,
   class: 'plain',
   team: 'open' as TeamName,
@@ -62,5 +62,5 @@
   checkpointIntervalS: 0,
   checkpointDurationS: 0,
   deadlineS: null,
-  ...over,
+  ...overrides,
 });
--- a/test/support/simulated-tasks.ts
+++ b/test/support/simulated-tasks.ts
@@ -10,7 +10,7 @@
 /** The parts of a simulated world that running tasks use. */
 export interface TaskEnvironment extends SimulationClock {
   readonly jobs: ReadonlyMap<string, SubmittedJob>;
-  /** Run time of a task in seconds, unless `runOf` has another one for its job. */
+  /** Run time of a task in seconds, unless `runSByJob` has another one for its job. */
   readonly runS: number;
   readonly runSByJob: ReadonlyMap<string, number>;
   /** Simulated time at which each running array task completes. */
--- a/test/support/simulated-users.ts
+++ b/test/support/simulated-users.ts
@@ -39,7 +39,7 @@
   constructor(private readonly environment: UserEnvironment) {}
 
   /** Sends a request to a node, without retries. */
-  ask(node: string, request: UserRequest): PendingResponse {
+  sendRequest(node: string, request: UserRequest): PendingResponse {
     const { environment } = this;
     const pending: PendingResponse = { answer: null };
     const sentAt = environment.now;
@@ -66,7 +66,7 @@
   /** Repeats a request until the response is not `retry`; returns null if all attempts fail. */
   requestUntilAnswered(request: UserRequest, node: string, attempts: number): UserResponse | null {
     for (let i = 0; i < attempts; i++) {
-      const pending = this.ask(node, request);
+      const pending = this.sendRequest(node, request);
       this.environment.until(() => pending.answer !== null, RESPONSE_WAIT_S);
       if (pending.answer !== null && pending.answer.kind !== 'retry') return pending.answer;
       this.environment.run(RETRY_DELAY_S);
--- a/test/support/simulated-world.ts
+++ b/test/support/simulated-world.ts
@@ -209,7 +209,10 @@
     this.controllers.thaw(name);
   }
 
-  /** The leader and its term by the key-value store, under the key for shards with or without documents. */
+  /**
+   * The leader and its term as recorded in the key-value store, under the leader key for shards with
+   * configuration documents or the one for shards without.
+   */
   get recordedLeader(): { node: string; term: number } | null {
     for (const key of [CONFIGURED_LEADER_KEY, LEADER_KEY]) {
       const entry = this.state.entries.get(key);
@@ -252,7 +255,7 @@
 
   /** Sends a request to a node, without retries. */
   sendRequest(name: string, request: UserRequest): PendingResponse {
-    return this.users.ask(name, request);
+    return this.users.sendRequest(name, request);
   }
 
   /** Repeats a request until the response is not `retry`; returns null if all attempts fail. */
@@ -280,14 +283,14 @@
 
   /** Creates a machine that the cloud has provided. */
   createMachine(id: string, type: MachineTypeName, zone: ZoneName, spot: boolean): FakeWorker {
-    const firstNode = this.connectsRoundRobin ? this.workers.size % this.nodeNames.length : 0;
+    const firstNodeIndex = this.connectsRoundRobin ? this.workers.size % this.nodeNames.length : 0;
     const worker = new FakeWorker({
       environment: this,
       id: id as MachineId,
       type,
       zone,
       spot,
-      firstNodeIndex: firstNode,
+      firstNodeIndex,
     });
     this.workers.set(id, worker);
     return worker;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -19,7 +19,7 @@
 ) as { records: Record<string, Json>; frames: Record<string, string> };
 
 /** Always passes a message: without one, the test runner spends minutes on finding the failed source line. */
-const assertTrue = (value: boolean | undefined, message = 'this must hold') =>
+const assertTrue = (value: boolean | undefined, message = 'expected condition to be true') =>
   assert.equal(value, true, message);
 const NODES = ['node-0', 'node-1', 'node-2'];
 const LOWER_LIMITS = { requestsPerS: 200, writesPerS: 28, maxValueKb: 2, maxTransactionOps: 8 };
