--- a/src/protocol/cloud-service.ts
+++ b/src/protocol/cloud-service.ts
@@ -1,4 +1,5 @@
-// The cloud's side of its protocol: reads requests of controllers, writes replies. cloud.ts is the controller's side.
+// Server side of the cloud protocol: decodes requests of controllers, encodes replies. The client side, used
+// by controllers, is cloud.ts.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
 import { asObject, readBoolean, readCount, readString } from './json-fields.ts';
@@ -15,7 +16,7 @@
 const MAX_PAGE_SIZE = 500;
 const MAX_MACHINES_PER_REQUEST = 50;
 
-/** Reads a controller's request; null if there is no such path. Throws `InvalidMessageError`. */
+/** Decodes a controller's request; null if the path is unknown. Throws `InvalidMessageError`. */
 export function decodeCloudRequest(
   method: string,
   path: string,
@@ -56,8 +57,12 @@
   };
 }
 
-/** The cloud's response with at most `page` machines; null if it is not to respond. */
-export function encodeCloudReply(op: CloudRequest, reply: CloudReply, page: number): EncodedReply | null {
+/** Encodes the cloud's reply with at most `pageSize` machines; null: no response is sent. */
+export function encodeCloudReply(
+  request: CloudRequest,
+  reply: CloudReply,
+  pageSize: number,
+): EncodedReply | null {
   switch (reply.kind) {
     case 'types':
       return jsonReply(200, { berthkinds: reply.types.map(encodeMachineType) });
@@ -68,7 +73,7 @@
     case 'released':
       return jsonReply(200, {});
     case 'listed':
-      return encodeListing(reply.machines, op.kind === 'list' ? op.after : null, page);
+      return encodeListing(reply.machines, request.kind === 'list' ? request.after : null, pageSize);
     case 'refused':
       return refusedReply(reply.busy);
     case 'no-answer':
@@ -99,9 +104,9 @@
   heldS: machine.ageS,
 });
 
-/** The first `page` machines whose ids come after `after`; `machines` are in the order of their ids. */
-function encodeListing(machines: ListedMachine[], after: MachineId | null, page: number): EncodedReply {
+/** Encodes the first `pageSize` machines with ids greater than `after`; `machines` are sorted by id. */
+function encodeListing(machines: ListedMachine[], after: MachineId | null, pageSize: number): EncodedReply {
   const rest = machines.filter((machine) => after === null || machine.id > after);
-  const listed = rest.slice(0, page);
+  const listed = rest.slice(0, pageSize);
   return jsonReply(200, { berths: listed.map(encodeListedMachine), more: listed.length < rest.length });
 }
--- a/src/protocol/cloud.ts
+++ b/src/protocol/cloud.ts
@@ -1,4 +1,4 @@
-// The controller's side of the cloud's protocol: writes requests, reads replies.
+// Client side of the cloud protocol, used by controllers: encodes requests, decodes replies.
 import type { CloudReply, CloudRequest, ListedMachine, MachineType } from '../core/base/model.ts';
 import type { MachineId, TypeName, ZoneName } from '../types/index.ts';
 import type { HttpCall } from './http-call.ts';
@@ -6,7 +6,7 @@
 
 const LIST_PAGE_SIZE = 500;
 
-/** The HTTP request for a request to the cloud. */
+/** Encodes a request to the cloud as an HTTP request. */
 export function encodeCloudRequest(request: CloudRequest): HttpCall {
   switch (request.kind) {
     case 'types':
@@ -67,7 +67,7 @@
   return reason === 'no capacity' ? { kind: 'no-capacity' } : { kind: 'refused', busy: status === 429 };
 }
 
-/** Reads the cloud's reply to `request`; throws `InvalidMessageError`. */
+/** Decodes the cloud's reply to `request`; throws `InvalidMessageError`. */
 export function decodeCloudReply(request: CloudRequest, status: number, json: unknown): CloudReply {
   if (status !== 200) return decodeRefusal(status, json);
   switch (request.kind) {
--- a/src/protocol/http-call.ts
+++ b/src/protocol/http-call.ts
@@ -1,10 +1,10 @@
-// What the codecs have to do with HTTP, whatever the client.
+// HTTP requests and responses as the protocol codecs use them, independent of the HTTP client.
 
-/** An HTTP request without the address that it goes to. */
+/** An HTTP request without the address of the server. */
 export interface HttpCall {
   method: string;
   path: string;
-  /** JSON, or null without a body. */
+  /** JSON; null: no body. */
   body: string | null;
 }
 
@@ -15,10 +15,10 @@
   body: Buffer;
 }
 
-/** It is not known whether a request was executed, or will be. */
+/** No valid response: it is unknown whether the request was executed or still will be. */
 export type NoAnswer = { kind: 'no-answer' };
 
-/** Decodes a response; one that is missing (null) or cannot be read counts as no answer. */
+/** Decodes a response. A missing response (null) or one that cannot be decoded gives `no-answer`. */
 export function decodeReply<T>(
   reply: HttpReply | null,
   decode: (status: number, json: unknown) => T,
--- a/src/protocol/job.ts
+++ b/src/protocol/job.ts
@@ -1,4 +1,4 @@
-// Reads submitted jobs: JSON with the wire's names in, job specifications out. user.ts writes them.
+// Decodes submitted jobs from JSON to job specifications. The encoder is in user.ts.
 import type { JobKind, JobSpec, Priority } from '../core/base/model.ts';
 import type { JobId, TeamName, TypeName, ZoneName } from '../types/index.ts';
 import {
@@ -16,9 +16,9 @@
 const MAX_TASKS = 100_000;
 const JOB_ID = /^run-[A-Za-z0-9_.-]{1,120}$/;
 
-/** Kinds of jobs by their names on the wire. */
-export const KINDS: Record<string, JobKind> = { batch: 'array', gang: 'gang', daemon: 'service' };
-/** Priorities by their names on the wire. */
+/** Job kinds by their names on the wire. */
+export const JOB_KINDS: Record<string, JobKind> = { batch: 'array', gang: 'gang', daemon: 'service' };
+/** Job priorities by their names on the wire. */
 export const PRIORITIES: Record<string, Priority> = { critical: 3, urgent: 2, normal: 1, idle: 0 };
 
 /** Whether a string has the form of a job id, such as `run-000412`. */
@@ -33,7 +33,7 @@
   return value as TypeName[];
 }
 
-/** Each id once, in the order of the list. */
+/** A list of job ids without duplicates, in the order of their first occurrence. */
 function readJobIds(object: JsonObject, name: string): JobId[] {
   const value = object[name];
   if (!Array.isArray(value) || value.some((id) => typeof id !== 'string' || !isJobId(id)))
@@ -42,8 +42,8 @@
 }
 
 /**
- * Reads the body of a submission. Unknown fields are ignored.
- * Throws `InvalidMessageError`, naming the field by its name on the wire.
+ * Decodes the body of a submission. Unknown fields are ignored.
+ * Throws `InvalidMessageError`, whose text gives the wire name of the invalid field.
  */
 export function parseJob(json: unknown): JobSpec {
   const fields = asObject(json, 'the job');
@@ -54,7 +54,7 @@
     id,
     class: readString(fields, 'jobclass'),
     team: readString(fields, 'owner') as TeamName,
-    kind: readOneOf(fields, 'shape', KINDS),
+    kind: readOneOf(fields, 'shape', JOB_KINDS),
     priority: readOneOf(fields, 'urgency', PRIORITIES),
     tasks: readCount(fields, 'pieces', 1, MAX_TASKS),
     cpus: readAmount(fields, 'cores'),
--- a/src/protocol/peer-decoder.ts
+++ b/src/protocol/peer-decoder.ts
@@ -1,5 +1,5 @@
-// Reads messages from other controllers; the names of the fields are those of peer.proto. Missing fields have the
-// values that protobuf gives them.
+// Decodes messages from other controllers. Field names are those of peer.proto; missing fields get protobuf's
+// default values.
 import type {
   Command,
   ForwardedHeartbeat,
@@ -33,8 +33,8 @@
 const { Kind: ForwardedKind } = swiftford.peer.ForwardedHeartbeatResponse;
 
 /**
- * Reads the body of a frame; null if it is of a kind that this version does not know.
- * Throws an error if it is damaged, or if no version of this program would have sent it.
+ * Decodes the body of a frame; null if this version does not support the kind of message.
+ * Throws an error if the body is malformed or has invalid values.
  */
 export function decodePeerMessage(body: Uint8Array): PeerMessage | null {
   const envelope = Envelope.decode(body);
@@ -76,9 +76,9 @@
   return null;
 }
 
-/** Reads messages from a stream of bytes. */
+/** Decodes messages from a stream of bytes. */
 export class PeerDecoder extends FrameReader {
-  /** The messages that are complete with this chunk, without those of kinds that this version does not know. */
+  /** Returns the messages completed by this chunk, except for unsupported kinds. */
   feed(chunk: Buffer): PeerMessage[] {
     return this.frames(chunk)
       .map(decodePeerMessage)
@@ -155,7 +155,8 @@
 
 function decodeTask(task: swiftford.peer.ITaskStatus): TaskStatus {
   const state = TASK_STATES[task.state ?? 0];
-  if (state === undefined) throw new InvalidPeerMessageError(`a task is in the unknown state ${task.state}`);
+  if (state === undefined)
+    throw new InvalidPeerMessageError(`task ${task.task} has the unknown state code ${task.state}`);
   const reason = EXIT_REASONS[task.exitReason ?? 0] ?? null;
   return {
     task: (task.task ?? '') as TaskId,
@@ -195,7 +196,10 @@
 
 function decodeCommand(command: swiftford.peer.ICommand): Command {
   const op = COMMAND_OPS[command.op ?? 0];
-  if (op === undefined) throw new InvalidPeerMessageError(`a command is of the unknown kind ${command.op}`);
+  if (op === undefined)
+    throw new InvalidPeerMessageError(
+      `command for task ${command.task} has the unknown op code ${command.op}`,
+    );
   const task = (command.task ?? '') as TaskId;
   const attempt = Number(command.attempt ?? 0) as Attempt;
   return op === 'stop' ? { op, task, attempt, graceS: command.graceS ?? 0 } : { op, task, attempt };
--- a/src/protocol/peer-encoder.ts
+++ b/src/protocol/peer-encoder.ts
@@ -1,4 +1,4 @@
-// Writes messages to other controllers; the names of the fields are those of peer.proto.
+// Encodes messages to other controllers. Field names are those of peer.proto.
 import type {
   Command,
   ForwardedHeartbeat,
@@ -11,7 +11,7 @@
 } from '../core/base/model.ts';
 import { encodeJobSpec } from '../core/storage/job-record.ts';
 import { swiftford } from './generated/peer.js';
-import { LENGTH_BYTES } from './peer-frames.ts';
+import { LENGTH_PREFIX_BYTES } from './peer-frames.ts';
 import { COMMAND_OPS, EXIT_REASONS, TASK_STATES } from './peer-names.ts';
 import { encodeRelayedHeartbeat, encodeRelayedResponse } from './relay.ts';
 
@@ -20,12 +20,12 @@
 const { Kind: ResponseKind } = swiftford.peer.UserResponse;
 const { Kind: ForwardedKind } = swiftford.peer.ForwardedHeartbeatResponse;
 
-/** A message in its frame, ready to be sent. */
+/** Encodes a message as a frame with its length prefix. */
 export function encodePeerMessage(message: PeerMessage): Buffer {
   const body = Envelope.encode(envelopeOf(message)).finish();
-  const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
+  const frame = Buffer.allocUnsafe(LENGTH_PREFIX_BYTES + body.length);
   frame.writeUInt32BE(body.length, 0);
-  frame.set(body, LENGTH_BYTES);
+  frame.set(body, LENGTH_PREFIX_BYTES);
   return frame;
 }
 
--- a/src/protocol/peer-names.ts
+++ b/src/protocol/peer-names.ts
@@ -1,10 +1,11 @@
-// Numbers that stand for names in messages between controllers. A number is a place in a list: new names go to the end.
+// Numeric codes of enum values in messages between controllers. The code is the index in the list, so new
+// values must be appended.
 import type { Command, ExitReason, TaskState } from '../core/base/model.ts';
 
-/** `TaskStatus.state` in peer.proto. */
+/** Values of `TaskStatus.state` in peer.proto. */
 export const TASK_STATES: TaskState[] = ['fetching', 'waiting', 'running', 'saving', 'exited'];
 
-/** `TaskStatus.exit_reason` in peer.proto; 0 stands for none. */
+/** Values of `TaskStatus.exit_reason` in peer.proto; 0: the task has not exited. */
 export const EXIT_REASONS: (ExitReason | null)[] = [
   null,
   'done',
@@ -17,5 +18,5 @@
   'unknown',
 ];
 
-/** `Command.op` in peer.proto. */
+/** Values of `Command.op` in peer.proto. */
 export const COMMAND_OPS: Command['op'][] = ['start', 'stop', 'forget'];
--- a/src/protocol/relay.ts
+++ b/src/protocol/relay.ts
@@ -1,5 +1,5 @@
-// Workers' heartbeats and their responses as JSON, in the form in which controllers relay them to each other. The names
-// of this form are part of the peer protocol and stay as they are.
+// JSON format in which controllers relay workers' heartbeats and the responses to them. Its field names are
+// part of the peer protocol and must not change.
 import type {
   Command,
   ExitReason,
@@ -18,7 +18,7 @@
   saved: boolean;
 }
 
-/** A heartbeat in the form in which it is relayed. */
+/** A heartbeat in the JSON format for relaying. */
 export interface RelayedHeartbeat {
   machine: MachineId;
   addr: string;
@@ -32,7 +32,7 @@
   tasks: RelayedTask[];
 }
 
-/** A response to a heartbeat in the form in which it is relayed. */
+/** A response to a heartbeat in the JSON format for relaying. */
 export type RelayedResponse =
   | { kind: 'orders'; token: FencingToken; commands: Command[] }
   | { kind: 'elsewhere'; node: NodeId | null };
@@ -53,7 +53,7 @@
   checkpointed: task.saved,
 });
 
-/** The form in which a heartbeat is relayed. */
+/** Encodes a heartbeat for relaying. */
 export const encodeRelayedHeartbeat = (heartbeat: Heartbeat): RelayedHeartbeat => ({
   machine: heartbeat.machine,
   addr: heartbeat.addr,
@@ -67,7 +67,7 @@
   tasks: heartbeat.tasks.map(encodeTask),
 });
 
-/** Reads a heartbeat that another controller relayed; controllers trust each other, so it is not checked. */
+/** Decodes a heartbeat that another controller relayed, without validation: controllers trust each other. */
 export function decodeRelayedHeartbeat(json: unknown): Heartbeat {
   const relayed = json as RelayedHeartbeat;
   return {
@@ -84,13 +84,13 @@
   };
 }
 
-/** The form in which the response to a heartbeat is relayed. */
+/** Encodes the response to a heartbeat for relaying. */
 export const encodeRelayedResponse = (response: HeartbeatResponse): RelayedResponse =>
   response.kind === 'commands'
     ? { kind: 'orders', token: response.fencingToken, commands: response.commands }
     : { kind: 'elsewhere', node: response.node };
 
-/** Reads a response that another controller relayed; it is not checked either. */
+/** Decodes a response that another controller relayed, without validation. */
 export function decodeRelayedResponse(json: unknown): HeartbeatResponse {
   const relayed = json as RelayedResponse;
   return relayed.kind === 'orders'
--- a/src/protocol/service-side.ts
+++ b/src/protocol/service-side.ts
@@ -1,33 +1,33 @@
-// What the services' ends of the protocols (store-service.ts, cloud-service.ts) share.
+// Code shared by the server sides of the store and cloud protocols (store-service.ts, cloud-service.ts).
 import { asObject, InvalidMessageError, type JsonObject } from './json-fields.ts';
 
-/** A service's response over HTTP. */
+/** An encoded HTTP response of a service. */
 export interface EncodedReply {
   status: number;
   /** JSON. */
   body: string;
 }
 
-/** A request as a service reads it, with the number of items or machines that one reply may hold. */
+/** A decoded request, and the maximum number of items or machines in its reply. */
 export interface DecodedRequest<T> {
   op: T;
   page: number;
 }
 
-/** A response with a JSON body. */
+/** Encodes a response with a JSON body. */
 export const jsonReply = (status: number, body: unknown): EncodedReply => ({
   status,
   body: JSON.stringify(body),
 });
 
-/** A response that says why a request was not carried out. */
+/** Encodes a response with the reason why a request was not executed. */
 export const failureReply = (status: number, error: string): EncodedReply => jsonReply(status, { error });
 
-/** A request that was not carried out, because there were too many or because the service is in trouble. */
+/** Encodes a refusal: the request rate was above the limit (`busy`), or the service has a fault. */
 export const refusedReply = (busy: boolean): EncodedReply =>
   busy ? failureReply(429, 'too many requests') : failureReply(503, 'trouble');
 
-/** The segments of a request's path, and its query. */
+/** The target of a request: the segments of its path, and its query parameters. */
 export interface RequestTarget {
   segments: string[];
   query: URLSearchParams;
@@ -38,7 +38,7 @@
   return { segments: path.split('/').slice(1), query: new URLSearchParams(query) };
 }
 
-/** A number of the query that is not negative, 0 if it is missing. */
+/** A non-negative number from the query parameter `name`; 0 if it is missing. */
 export function readQueryNumber(query: URLSearchParams, name: string): number {
   const value = Number(query.get(name) ?? 0);
   if (!Number.isFinite(value) || value < 0) throw new InvalidMessageError(`${name} must be a number`);
@@ -46,8 +46,8 @@
 }
 
 /**
- * Reads a request: `decode` reads its operation, null if there is no such path.
- * Pages have at most `maxPageSize` items, whatever the query asks for.
+ * Decodes a request; `decode` decodes its operation and returns null if the path is unknown.
+ * The requested page size is capped at `maxPageSize`.
  */
 export function decodeRequest<T>(
   path: string,
@@ -60,7 +60,7 @@
   return op === null ? null : { op, page };
 }
 
-/** A list of objects, empty if it is missing. */
+/** A list of objects; empty if the field is missing. */
 export function readObjectList(object: JsonObject, name: string): JsonObject[] {
   const value = object[name] ?? [];
   if (!Array.isArray(value)) throw new InvalidMessageError(`${name} must be a list`);
--- a/src/protocol/settings.ts
+++ b/src/protocol/settings.ts
@@ -1,16 +1,17 @@
-// Reads the platform's settings file (JSON). What is used is checked strictly, unknown fields are ignored.
+// Parses the platform's settings file (JSON). Fields that are used are validated strictly; unknown fields are
+// ignored.
 import * as v from 'valibot';
 import type { Objective, Settings, StoreLimits } from '../core/base/model.ts';
 import { SwiftfordError } from '../types/errors.ts';
 import type { NodeId, TeamName, ZoneName } from '../types/index.ts';
 
 /**
- * A settings or input file, an option or an argument is wrong. The text names the file and the key, and is all that the
- * operator is shown.
+ * A settings or input file, an option or an argument is invalid. The operator sees only the text, so it names
+ * the file and the key.
  */
 export class InvalidSettingsError extends SwiftfordError {
   readonly code = 'INVALID_SETTINGS';
-  /** Where the error is printed with its name, operators have always seen `Error: FILE: KEY: ...`. */
+  /** Keeps the established printed form `Error: FILE: KEY: ...`, instead of the name of this class. */
   override readonly name = 'Error';
 }
 
@@ -45,7 +46,7 @@
   gang_peer_s: positive,
   cancel_s: positive,
 });
-/** Limits of the store that will hold later; it is not announced when they begin. */
+/** Limits of the store that are announced for later. The time of the change is not announced. */
 const nextStoreLimits = v.object({
   rps: v.nullish(positive),
   write_rps: v.nullish(positive),
@@ -87,15 +88,19 @@
 type SettingsFile = v.InferOutput<typeof settingsFile>;
 type StoreSettings = v.InferOutput<typeof store>;
 
-/** The least of the limits that hold now and later: everything that is written has to fit both from the start. */
+/**
+ * The lower of the limits in force and the announced ones. They may change at any time, so all values written
+ * must already fit both.
+ */
 function safeStoreLimits(limits: StoreSettings): StoreLimits {
   const { next } = limits;
-  const least = (now: number, later: number | null | undefined) => Math.min(now, later ?? now);
+  const lower = (current: number, upcoming: number | null | undefined) =>
+    Math.min(current, upcoming ?? current);
   return {
-    requestsPerS: least(limits.rps, next?.rps),
-    writesPerS: least(limits.write_rps, next?.write_rps),
-    maxValueKb: least(limits.value_kb, next?.value_kb),
-    maxTransactionOps: least(limits.txn_ops, next?.txn_ops),
+    requestsPerS: lower(limits.rps, next?.rps),
+    writesPerS: lower(limits.write_rps, next?.write_rps),
+    maxValueKb: lower(limits.value_kb, next?.value_kb),
+    maxTransactionOps: lower(limits.txn_ops, next?.txn_ops),
   };
 }
 
@@ -112,7 +117,9 @@
   }
 }
 
-/** Reads the text of a settings file; throws `InvalidSettingsError`, naming `file` and the key that is wrong. */
+/**
+ * Parses the text of a settings file; throws `InvalidSettingsError` with the name `file` and the invalid key.
+ */
 export function parseSettings(file: string, text: string): Settings {
   const checked = v.safeParse(settingsFile, parseJson(file, text));
   if (!checked.success) throw new InvalidSettingsError(describeIssue(file, checked.issues[0]));
@@ -147,28 +154,28 @@
   };
 }
 
-const peerOf = (entry: v.InferOutput<typeof peer>): Settings['peers'][number] => ({
-  node: entry.node as NodeId,
-  zone: entry.location as ZoneName,
-  addr: entry.peer_addr,
+const peerOf = (fields: v.InferOutput<typeof peer>): Settings['peers'][number] => ({
+  node: fields.node as NodeId,
+  zone: fields.location as ZoneName,
+  addr: fields.peer_addr,
 });
 
-const teamOf = (entry: v.InferOutput<typeof team>): Settings['teams'][number] => ({
-  name: entry.name as TeamName,
-  cpus: entry.cpus,
-  cpusMax: entry.cpus_max,
-  gpus: entry.gpus,
-  gpusMax: entry.gpus_max,
+const teamOf = (fields: v.InferOutput<typeof team>): Settings['teams'][number] => ({
+  name: fields.name as TeamName,
+  cpus: fields.cpus,
+  cpusMax: fields.cpus_max,
+  gpus: fields.gpus,
+  gpusMax: fields.gpus_max,
 });
 
-/** A service-level objective as files have it. */
-export type ObjectiveEntry = v.InferOutput<typeof objective>;
+/** The fields of a service-level objective in a settings or configuration file. */
+export type ObjectiveFields = v.InferOutput<typeof objective>;
 
-/** A service-level objective of a file; what the file leaves out is null. */
-export const objectiveOf = (entry: ObjectiveEntry): Objective => ({
-  kind: entry.kind,
-  class: entry.class ?? null,
-  withinS: entry.within_s ?? null,
-  share: entry.share ?? null,
-  times: entry.times ?? null,
+/** Converts a service-level objective from a file; fields that the file omits become null. */
+export const objectiveOf = (fields: ObjectiveFields): Objective => ({
+  kind: fields.kind,
+  class: fields.class ?? null,
+  withinS: fields.within_s ?? null,
+  share: fields.share ?? null,
+  times: fields.times ?? null,
 });
--- a/src/protocol/store-service.ts
+++ b/src/protocol/store-service.ts
@@ -1,4 +1,5 @@
-// The store's side of its protocol: reads requests of controllers, writes replies. store.ts is the controller's side.
+// Server side of the store protocol: decodes requests of controllers, encodes replies. The client side, used
+// by controllers, is store.ts.
 import type { StoreItem, StorePut, StoreReply, StoreRequest } from '../core/base/model.ts';
 import type { Revision, StoreLeaseId } from '../types/index.ts';
 import { asObject, readAmount, readCount, readString } from './json-fields.ts';
@@ -19,7 +20,7 @@
 const MAX_LEASE_MS = 600_000;
 const MAX_WATCH_MS = 60_000;
 
-/** Reads a controller's request; null if there is no such path. Throws `InvalidMessageError`. */
+/** Decodes a controller's request; null if the path is unknown. Throws `InvalidMessageError`. */
 export function decodeStoreRequest(
   method: string,
   path: string,
@@ -85,11 +86,11 @@
 
 const encodeItem = (item: StoreItem): unknown => ({ key: item.key, v: item.value, stamp: item.revision });
 
-/** The store's response with at most `page` items at its `revision`; null if it is not to respond. */
+/** Encodes the store's reply with at most `pageSize` items at its `revision`; null: no response is sent. */
 export function encodeStoreReply(
-  op: StoreRequest,
+  request: StoreRequest,
   reply: StoreReply,
-  page: number,
+  pageSize: number,
   revision: number,
 ): EncodedReply | null {
   switch (reply.kind) {
@@ -98,11 +99,11 @@
     case 'missing':
       return jsonReply(404, { ledger: revision });
     case 'items':
-      return encodeItems(reply, page);
+      return encodeItems(reply, pageSize);
     case 'lease-granted':
       return jsonReply(200, { tenancy: reply.lease });
     case 'ok':
-      return jsonReply(200, op.kind === 'renew-lease' ? { tenancy: op.lease } : {});
+      return jsonReply(200, request.kind === 'renew-lease' ? { tenancy: request.lease } : {});
     case 'committed':
       return jsonReply(200, { ledger: reply.revision });
     case 'conflict':
@@ -120,8 +121,8 @@
   }
 }
 
-function encodeItems(reply: Extract<StoreReply, { kind: 'items' }>, page: number): EncodedReply {
-  const items = reply.items.slice(0, page);
+function encodeItems(reply: Extract<StoreReply, { kind: 'items' }>, pageSize: number): EncodedReply {
+  const items = reply.items.slice(0, pageSize);
   return jsonReply(200, {
     items: items.map(encodeItem),
     more: reply.more || items.length < reply.items.length,
--- a/src/protocol/store.ts
+++ b/src/protocol/store.ts
@@ -1,4 +1,4 @@
-// The controller's side of the protocol of the key-value store: writes requests, reads replies.
+// Client side of the protocol of the key-value store, used by controllers: encodes requests, decodes replies.
 import type { StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
 import type { Revision, StoreLeaseId } from '../types/index.ts';
 import type { HttpCall } from './http-call.ts';
@@ -8,7 +8,7 @@
 
 type CompareAndSwap = Extract<StoreRequest, { kind: 'compare-and-swap' }>;
 
-/** The HTTP request for a request to the store. */
+/** Encodes a request to the store as an HTTP request. */
 export function encodeStoreRequest(request: StoreRequest): HttpCall {
   switch (request.kind) {
     case 'get':
@@ -98,7 +98,7 @@
   }
 }
 
-/** Reads the store's reply to `request`; throws `InvalidMessageError`. */
+/** Decodes the store's reply to `request`; throws `InvalidMessageError`. */
 export function decodeStoreReply(request: StoreRequest, status: number, json: unknown): StoreReply {
   switch (status) {
     case 200:
--- a/src/protocol/user-response.ts
+++ b/src/protocol/user-response.ts
@@ -1,24 +1,24 @@
-// Writes what the service answers its users.
+// Encodes the service's responses to its users.
 import type { JobStatus, UserResponse } from '../core/base/model.ts';
 
-/** The names of a job's states on the wire. */
-export const STATUS_NAMES: Record<JobStatus, string> = {
+/** Names of job statuses on the wire. */
+export const JOB_STATUS_NAMES: Record<JobStatus, string> = {
   queued: 'pending',
   running: 'running',
   done: 'done',
   cancelled: 'aborted',
 };
 
-/** A response as the HTTP server sends it. */
+/** A response to be sent by the HTTP server. */
 export interface HttpResponse {
   status: number;
   /** JSON. */
   body: string;
-  /** Seconds after which the caller may try again, if it should. */
+  /** Seconds after which the caller should retry; absent if it should not. */
   retryAfterS?: number;
 }
 
-/** A response that says why a request was not served. */
+/** Encodes a response with the reason why a request was not served. */
 export const errorResponse = (status: number, reason: string, retryAfterS?: number): HttpResponse => ({
   status,
   body: JSON.stringify({ error: reason }),
@@ -30,7 +30,7 @@
 function encodeStatus(response: JobStatusResponse): HttpResponse {
   const fields = {
     nameId: response.id,
-    status: STATUS_NAMES[response.status],
+    status: JOB_STATUS_NAMES[response.status],
     done: response.done,
     running: response.running,
     ...(response.dependsOn === undefined ? {} : { awaits: response.dependsOn }),
@@ -39,16 +39,16 @@
   return { status: 200, body: JSON.stringify(fields) };
 }
 
-/** The response to a user's request, with the status code that stands for its kind. */
+/** Encodes the response to a user's request, with the HTTP status code for its kind. */
 export function encodeUserResponse(response: UserResponse): HttpResponse {
   switch (response.kind) {
     case 'accepted':
-      return { status: 201, body: JSON.stringify({ nameId: response.id, status: STATUS_NAMES.queued }) };
+      return { status: 201, body: JSON.stringify({ nameId: response.id, status: JOB_STATUS_NAMES.queued }) };
     case 'known':
     case 'ended':
       return {
         status: 200,
-        body: JSON.stringify({ nameId: response.id, status: STATUS_NAMES[response.status] }),
+        body: JSON.stringify({ nameId: response.id, status: JOB_STATUS_NAMES[response.status] }),
       };
     case 'status':
       return encodeStatus(response);
--- a/src/protocol/user.ts
+++ b/src/protocol/user.ts
@@ -1,34 +1,35 @@
-// The users' interface seen from the user's side; job.ts and user-response.ts are the service's side.
+// Client side of the user protocol: encodes requests, decodes responses. The server side is in job.ts and
+// user-response.ts.
 import type { JobSpec, JobStatus } from '../core/base/model.ts';
 import type { JobId } from '../types/index.ts';
-import { KINDS, PRIORITIES } from './job.ts';
+import { JOB_KINDS, PRIORITIES } from './job.ts';
 import { asObject, InvalidMessageError, wireNameOf } from './json-fields.ts';
-import { STATUS_NAMES } from './user-response.ts';
+import { JOB_STATUS_NAMES } from './user-response.ts';
 
 /** A request of a user to the service. */
 export interface UserCall {
   method: 'GET' | 'POST';
   path: string;
-  /** JSON, or null without a body. */
+  /** JSON; null: no body. */
   body: string | null;
 }
 
-/** What the service says of a job. */
+/** A job's status and progress as the service reports them. */
 export interface JobStatusView {
   status: JobStatus;
   /** Number of tasks that are done. */
   done: number;
-  /** Number of tasks that run. */
+  /** Number of tasks that are running. */
   running: number;
 }
 
-/** The body of a submission; `parseJob` reads it. */
+/** Encodes the body of a submission; `parseJob` decodes it. */
 export function encodeJob(spec: JobSpec): string {
   return JSON.stringify({
     nameId: spec.id,
     jobclass: spec.class,
     owner: spec.team,
-    shape: wireNameOf(KINDS, spec.kind),
+    shape: wireNameOf(JOB_KINDS, spec.kind),
     urgency: wireNameOf(PRIORITIES, spec.priority),
     pieces: spec.tasks,
     cores: spec.cpus,
@@ -49,38 +50,41 @@
   });
 }
 
-/** Submits a job, encoded by `encodeJob`. */
+/** The request that submits a job, with the body encoded by `encodeJob`. */
 export const submitCall = (body: string): UserCall => ({ method: 'POST', path: '/work', body });
 
-/** Asks for the state of a job. */
+/** The request for the status of a job. */
 export const statusCall = (id: JobId): UserCall => ({ method: 'GET', path: `/work/${id}`, body: null });
 
-/** Cancels a job. */
+/** The request that cancels a job. */
 export const cancelCall = (id: JobId): UserCall => ({
   method: 'POST',
   path: `/work/${id}/abort`,
   body: null,
 });
 
-const JOB_STATUSES = Object.keys(STATUS_NAMES) as JobStatus[];
+const JOB_STATUSES = Object.keys(JOB_STATUS_NAMES) as JobStatus[];
 
-/** Reads the body of a response with status 200 or 201; throws `InvalidMessageError` on any other. */
+/** Decodes the body of a response with status 200 or 201; throws `InvalidMessageError` if it is invalid. */
 export function decodeJobStatus(body: string): JobStatusView {
-  const fields = asObject(parseBody(body), 'the answer');
-  const status = JOB_STATUSES.find((name) => STATUS_NAMES[name] === fields.status);
-  if (status === undefined) throw new InvalidMessageError('the answer names no known status');
+  const fields = asObject(parseBody(body), 'the response');
+  const status = JOB_STATUSES.find((name) => JOB_STATUS_NAMES[name] === fields.status);
+  if (status === undefined)
+    throw new InvalidMessageError(
+      `the response's status is not one of ${Object.values(JOB_STATUS_NAMES).join(', ')}`,
+    );
   return { status, done: taskCount(fields.done), running: taskCount(fields.running) };
 }
 
-/** Responses without a number of tasks stand for none. */
+/** A number of tasks; 0 if the response has none or an invalid one. */
 function taskCount(value: unknown): number {
   return typeof value === 'number' && value >= 0 ? value : 0;
 }
 
-/** The reason of a refusal, in words for the caller. */
+/** The reason that a refusal gives, as a text for the caller. */
 export function decodeReason(status: number, body: string): string {
   try {
-    const { error } = asObject(parseBody(body), 'the answer');
+    const { error } = asObject(parseBody(body), 'the response');
     if (typeof error === 'string' && error !== '') return error;
   } catch {}
   return `the service answered ${status} and gave no reason`;
@@ -90,11 +94,11 @@
   try {
     return JSON.parse(body);
   } catch (cause) {
-    throw new InvalidMessageError('the answer is not JSON', { cause });
+    throw new InvalidMessageError('the response is not JSON', { cause });
   }
 }
 
-/** Names of a job's fields on the wire, and those of the client library where they differ. */
+/** Maps the wire names of a job's fields to the names in the client library, where these differ. */
 const CLIENT_FIELD_NAMES: Record<string, string> = {
   jobclass: 'class',
   owner: 'team',
@@ -115,6 +119,6 @@
   dueS: 'deadlineS',
 };
 
-/** A message that begins with a field's name on the wire, with the client library's name in its place. */
+/** Replaces the wire name of a field at the beginning of a message by its name in the client library. */
 export const withOurFieldName = (message: string): string =>
   message.replace(/^\w+/, (wireName) => CLIENT_FIELD_NAMES[wireName] ?? wireName);
--- a/src/protocol/worker-agent.ts
+++ b/src/protocol/worker-agent.ts
@@ -1,4 +1,4 @@
-// The worker's side of its protocol: writes heartbeats, reads commands. worker.ts is the controller's side.
+// Agent side of the worker protocol: encodes heartbeats, decodes commands. The controller side is worker.ts.
 import type { Command, Heartbeat, HeartbeatResponse, TaskStatus } from '../core/base/model.ts';
 import type { Attempt, FencingToken, NodeId, TaskId } from '../types/index.ts';
 import {
@@ -11,17 +11,17 @@
   wireNameOf,
 } from './json-fields.ts';
 import { readObjectList } from './service-side.ts';
-import { REASONS, STATES } from './worker.ts';
+import { WORKER_EXIT_REASONS, WORKER_TASK_STATES } from './worker.ts';
 
 const encodeTask = (task: TaskStatus): unknown => ({
   piece: task.task,
   try: task.attempt,
-  status: wireNameOf(STATES, task.state),
-  ...(task.exitReason === null ? {} : { cause: wireNameOf(REASONS, task.exitReason) }),
+  status: wireNameOf(WORKER_TASK_STATES, task.state),
+  ...(task.exitReason === null ? {} : { cause: wireNameOf(WORKER_EXIT_REASONS, task.exitReason) }),
   ...(task.checkpointed ? { stored: true } : {}),
 });
 
-/** The body of a heartbeat. */
+/** Encodes the body of a heartbeat. */
 export function encodeHeartbeat(heartbeat: Heartbeat): string {
   return JSON.stringify({
     berth: heartbeat.machine,
@@ -51,16 +51,16 @@
   throw new InvalidMessageError('verb is unknown');
 }
 
-/** Commands as a worker reads them. */
+/** Decoded commands for a worker. */
 export interface DecodedCommands {
-  /** The fencing token under which they were given. */
+  /** The fencing token of the commands. */
   token: FencingToken;
-  /** The agent epoch that they are for, or null if they do not say. */
+  /** The agent epoch that the commands are meant for; null if the message has none. */
   session: number | null;
   commands: Command[];
 }
 
-/** Reads a controller's commands; throws `InvalidMessageError`. */
+/** Decodes a controller's commands; throws `InvalidMessageError`. */
 export function decodeCommands(json: unknown): DecodedCommands {
   const fields = asObject(json, 'the orders');
   return {
@@ -70,10 +70,13 @@
   };
 }
 
-/** Reads the response to a heartbeat; null if it has no meaning. Throws `InvalidMessageError`. */
+/**
+ * Decodes the response to a heartbeat; null if its status is neither 200 (commands) nor 421 (redirect).
+ * Throws `InvalidMessageError`.
+ */
 export function decodeHeartbeatResponse(status: number, json: unknown): HeartbeatResponse | null {
   if (status === 421) {
-    const { foreman } = asObject(json, 'the answer');
+    const { foreman } = asObject(json, 'the response');
     return { kind: 'redirect', node: typeof foreman === 'string' ? (foreman as NodeId) : null };
   }
   if (status !== 200) return null;
--- a/src/protocol/worker.ts
+++ b/src/protocol/worker.ts
@@ -1,4 +1,4 @@
-// The controller's side of the worker protocol: reads heartbeats, writes the commands in response.
+// Controller side of the worker protocol: decodes heartbeats, encodes the commands in response.
 import type {
   Command,
   ExitReason,
@@ -18,8 +18,8 @@
   readString,
 } from './json-fields.ts';
 
-/** States of a task by their names on the wire. */
-export const STATES: Record<string, TaskState> = {
+/** Task states by their names in the worker protocol. */
+export const WORKER_TASK_STATES: Record<string, TaskState> = {
   pulling: 'fetching',
   waiting: 'waiting',
   running: 'running',
@@ -27,8 +27,8 @@
   ended: 'exited',
 };
 
-/** Reasons for which a task exited, by their names on the wire. */
-export const REASONS: Record<string, ExitReason> = {
+/** Reasons why a task exited, by their names in the worker protocol. */
+export const WORKER_EXIT_REASONS: Record<string, ExitReason> = {
   done: 'done',
   halted: 'stopped',
   peers: 'peers',
@@ -41,20 +41,20 @@
 
 function parseTask(json: unknown): TaskStatus {
   const fields = asObject(json, 'a piece');
-  const state = STATES[readString(fields, 'status')];
+  const state = WORKER_TASK_STATES[readString(fields, 'status')];
   if (state === undefined) throw new InvalidMessageError('status is unknown');
   const reason = readOptional(fields, 'cause', readString);
   return {
     task: readString(fields, 'piece') as TaskId,
     attempt: readCount(fields, 'try') as Attempt,
     state,
-    // A reason that this version does not know counts as a failure of the task.
-    exitReason: state === 'exited' ? (REASONS[reason ?? 'error'] ?? 'error') : null,
+    // An unknown exit reason is treated as `error`, a failure of the task.
+    exitReason: state === 'exited' ? (WORKER_EXIT_REASONS[reason ?? 'error'] ?? 'error') : null,
     checkpointed: fields.stored === true,
   };
 }
 
-/** Reads a worker's heartbeat; throws `InvalidMessageError`. */
+/** Decodes a worker's heartbeat; throws `InvalidMessageError`. */
 export function parseHeartbeat(json: unknown): Heartbeat {
   const fields = asObject(json, 'the report');
   const tasks = fields.pieces ?? [];
@@ -80,7 +80,7 @@
   return { verb: 'reap', piece: task, try: attempt };
 }
 
-/** Commands under a fencing token; with `agentEpoch` they are only for the agent that has this epoch. */
+/** Encodes commands with a fencing token. With `agentEpoch`, only the agent in this epoch executes them. */
 export function encodeCommands(fencingToken: FencingToken, commands: Command[], agentEpoch?: number): string {
   return JSON.stringify({
     baton: fencingToken,
@@ -89,7 +89,7 @@
   });
 }
 
-/** The HTTP response to a heartbeat: commands, or the controller to send heartbeats to. */
+/** Encodes the response to a heartbeat: commands, or a redirect to the controller that takes heartbeats. */
 export function encodeHeartbeatResponse(response: HeartbeatResponse): { status: number; body: string } {
   if (response.kind === 'commands')
     return { status: 200, body: encodeCommands(response.fencingToken, response.commands) };
