--- a/src/runtime/controller-process.ts
+++ b/src/runtime/controller-process.ts
@@ -1,4 +1,4 @@
-// Runs one controller: drives the core with sockets and timers.
+// Runs one controller process: feeds the core with input from sockets and timers and executes its effects.
 import type { Input } from '../core/base/io.ts';
 import type { Settings } from '../core/base/model.ts';
 import { Controller } from '../core/controller.ts';
@@ -22,15 +22,18 @@
 const REQUEST_TIMEOUT_MS = 10_000;
 const IDLE_TIMEOUT_MS = 60_000;
 
-/** Sockets are left for other controllers, the store, the cloud and workers that are probed. */
-const SERVED_SOCKETS_PART = 0.85;
+/**
+ * Connections accepted from users and workers use this fraction of the process's sockets, less the reserved
+ * ones: the rest is for connections to other controllers, the store, the cloud and probed workers.
+ */
+const SERVED_SOCKETS_FRACTION = 0.85;
 const RESERVED_SOCKETS = 40;
 const MIN_CONNECTIONS = 16;
 
-/** How a controller runs, beside what the settings file says. */
+/** Options of a controller that are not in the settings file. */
 export interface RunOptions {
   scheduler: SchedulerOptions;
-  /** Of the core's random choices. */
+  /** Seed of the core's random choices. */
   seed: number;
   log: Log;
 }
@@ -76,7 +79,7 @@
         message: (node, message) => this.step({ kind: 'peer', node, message }),
       },
       queue: this.queue,
-      onError: (error) => this.log('error', 'peer address cannot be used', { error: error.message }),
+      onError: (error) => this.log('error', 'cannot listen on the peer address', { error: error.message }),
     });
   }
 
@@ -89,7 +92,7 @@
       processStatus: () => this.processStatus(),
       log: this.log,
     });
-    const maxConnections = Math.floor(sockets * SERVED_SOCKETS_PART) - RESERVED_SOCKETS;
+    const maxConnections = Math.floor(sockets * SERVED_SOCKETS_FRACTION) - RESERVED_SOCKETS;
     const { server } = serveHttp({
       ...splitAddress(addr),
       limits: {
@@ -104,7 +107,7 @@
       classify: classifyRequest,
     });
     server.on('error', (error) => {
-      this.log('error', 'listening address cannot be used', { addr, error: error.message });
+      this.log('error', 'cannot listen on the HTTP address', { addr, error: error.message });
       process.exit(1);
     });
   }
@@ -125,12 +128,12 @@
     return {
       requestsWaiting: this.queue.waiting,
       requestsDropped: this.queue.dropped,
-      rssMb: inMb(process.memoryUsage.rss()),
-      heapMb: inMb(heapUsed),
+      rssMb: toMegabytes(process.memoryUsage.rss()),
+      heapMb: toMegabytes(heapUsed),
       loopDelayMs: this.loopDelay.status(),
     };
   }
 }
 
-/** To one decimal place. */
-const inMb = (bytes: number): number => Math.round(bytes / 1e5) / 10;
+/** Converts bytes to megabytes, rounded to one decimal place. */
+const toMegabytes = (bytes: number): number => Math.round(bytes / 1e5) / 10;
--- a/src/runtime/effect-executor.ts
+++ b/src/runtime/effect-executor.ts
@@ -1,4 +1,5 @@
-// Carries out the effects of the core: requests to the store, the cloud and workers, responses, messages, log lines.
+// Executes the effects that the core returns: requests to the store, the cloud and workers, responses to HTTP
+// requests, messages to other controllers, and log lines.
 import type { Effect, Input } from '../core/base/io.ts';
 import type { CloudReply, StoreReply, StoreRequest, WorkerReply } from '../core/base/model.ts';
 import { HttpClient } from '../http/client.ts';
@@ -13,7 +14,7 @@
 
 type EffectOf<K extends Effect['kind']> = Extract<Effect, { kind: K }>;
 
-/** What an `EffectExecutor` depends on. */
+/** Dependencies of an `EffectExecutor`. */
 export interface EffectExecutorDependencies {
   storeAddr: string;
   cloudAddr: string;
@@ -26,13 +27,15 @@
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
 const STORE_CONNECTIONS = 4;
-/** Renewals of leases that hang must delay neither other requests nor the next renewal. */
+/**
+ * Leases have connections of their own: a hanging renewal must not delay other requests or the next renewal.
+ */
 const LEASE_CONNECTIONS = 5;
-/** Watches block, so they have connections of their own. */
+/** Watches are long polls that occupy a connection, so they have connections of their own. */
 const WATCH_CONNECTIONS = 3;
 const CLOUD_CONNECTIONS = 3;
 
-/** Carries out effects; replies come back as inputs of the core. */
+/** Executes effects; replies to requests are fed to the core as inputs. */
 export class EffectExecutor {
   private readonly store: HttpClient;
   private readonly leases: HttpClient;
@@ -47,7 +50,6 @@
     this.cloud = new HttpClient(cloudAddr, CLOUD_CONNECTIONS, MAX_REPLY_BYTES);
   }
 
-  /** Carries out one effect. */
   execute(effect: Effect): void {
     const { responses, peers, log } = this.dependencies;
     switch (effect.kind) {
@@ -99,7 +101,7 @@
     });
   }
 
-  /** Raises a machine's fencing token without giving it commands; its heartbeat comes back with the response. */
+  /** Raises a machine's fencing token without sending commands; the response contains its heartbeat. */
   private probe({ tag, addr, fencingToken, agentEpoch, timeoutMs }: EffectOf<'probe'>): void {
     const client = new HttpClient(addr, 1, MAX_REPLY_BYTES);
     const body = encodeCommands(fencingToken, [], agentEpoch);
@@ -111,7 +113,9 @@
   }
 }
 
-/** A worker refuses commands under an old fencing token with 409, and sends its heartbeat with that, too. */
+/**
+ * A worker refuses commands under an old fencing token with 409; that response contains its heartbeat, too.
+ */
 function decodeProbeReply(status: number, json: unknown): WorkerReply {
   if (status !== 200 && status !== 409) return { kind: 'no-answer' };
   return { kind: 'heartbeat', heartbeat: parseHeartbeat(json), executed: status === 200 };
--- a/src/runtime/heap-governor.ts
+++ b/src/runtime/heap-governor.ts
@@ -1,30 +1,34 @@
-// Keeps the process within the memory that the settings file grants it (`limits.ram_mb`). V8's heap limit can only be set
-// before the process starts, when the file has not been read yet; how far the heap may grow before garbage is collected
-// can be set at any time. So `run` sets a heap limit that no node reaches, and this module sets the growth: much while
-// memory is free, which costs the least processor time, and little when it is short.
+// Keeps the process within the memory limit of the settings file (`limits.ram_mb`). V8's heap limit can only
+// be set on the command line, before that file is read; the growth of the heap between two garbage
+// collections can be set at any time. `run` therefore sets a heap limit that no node reaches, and this module
+// sets the growth: large while memory is free, which takes the least processor time, and small when memory is
+// short.
 import v8 from 'node:v8';
 
-/** Memory of the process. */
+/** Memory use of the process. */
 export interface MemoryUse {
   /** Resident memory. */
   rssMb: number;
-  /** The part of it that is the heap. */
+  /** Total size of the heap, which is part of the resident memory. */
   heapMb: number;
-  /** What the process may use. */
+  /** Memory limit of the process. */
   limitMb: number;
 }
 
-/** Bounds of the growth in percent of the live heap. Below the least, collecting takes more processor than any node has. */
+/**
+ * Bounds of the growth in percent of the live heap. Below the minimum, garbage collection takes more
+ * processor time than any node has.
+ */
 const MIN_GROWTH_PERCENT = 15;
 const MAX_GROWTH_PERCENT = 60;
 const GROWTH_STEP_PERCENT = 5;
-/** The part of the limit that garbage may fill. */
-const USABLE_PART = 0.8;
+/** Fraction of the memory limit that the process may fill, garbage included. */
+const USABLE_FRACTION = 0.8;
 const MEASURE_INTERVAL_MS = 1000;
 
-/** How far the heap may grow before garbage is collected, in percent of what is alive in it. */
+/** The growth of the heap before the next garbage collection, in percent of the live heap. */
 export function growthPercent({ rssMb, heapMb, limitMb }: MemoryUse): number {
-  const freeMb = limitMb * USABLE_PART - rssMb;
+  const freeMb = limitMb * USABLE_FRACTION - rssMb;
   const percent = MIN_GROWTH_PERCENT + (100 * freeMb) / Math.max(1, heapMb);
   const bounded = Math.min(MAX_GROWTH_PERCENT, Math.max(MIN_GROWTH_PERCENT, percent));
   return Math.round(bounded / GROWTH_STEP_PERCENT) * GROWTH_STEP_PERCENT;
@@ -32,29 +36,29 @@
 
 type MeasureMemory = () => Omit<MemoryUse, 'limitMb'>;
 
-/** Measures the process's memory once a second and sets the growth of its heap. */
+/** Measures the memory use of the process once a second and sets the growth of its heap. */
 export class HeapGovernor {
   private growth = 0;
   private nextMeasureMs = 0;
-  private usedPart = 0;
+  private usedFraction = 0;
 
-  /** `limitMb`: null without a limit; nothing is measured then. */
+  /** `limitMb`: null for no limit; memory is not measured then. */
   constructor(
     private readonly limitMb: number | null,
     private readonly measure: MeasureMemory = measureProcess,
     private readonly setGrowth: (percent: number) => void = setHeapGrowth,
   ) {}
 
-  /** The part of the limit that is in use, 0 without a limit; `nowMs` is on the steady clock. */
+  /** The fraction of the limit that is in use, 0 without a limit; `nowMs` is on the monotonic clock. */
   used(nowMs: number): number {
-    if (this.limitMb === null || nowMs < this.nextMeasureMs) return this.usedPart;
+    if (this.limitMb === null || nowMs < this.nextMeasureMs) return this.usedFraction;
     this.nextMeasureMs = nowMs + MEASURE_INTERVAL_MS;
     const use = { ...this.measure(), limitMb: this.limitMb };
     const growth = growthPercent(use);
     if (growth !== this.growth) this.setGrowth(growth);
     this.growth = growth;
-    this.usedPart = use.rssMb / this.limitMb;
-    return this.usedPart;
+    this.usedFraction = use.rssMb / this.limitMb;
+    return this.usedFraction;
   }
 }
 
--- a/src/runtime/incoming-peer-link.ts
+++ b/src/runtime/incoming-peer-link.ts
@@ -1,29 +1,30 @@
-// A connection that another controller has made to this node.
+// A connection that another controller has opened to this node.
 import type { Socket } from 'node:net';
 import type { WorkQueue } from '../http/work-queue.ts';
 import { decodePeerMessage, FrameReader, isForwardedHeartbeat } from '../protocol/peer.ts';
 import type { NodeId } from '../types/index.ts';
 import type { PeerLinksListener } from './outgoing-peer-link.ts';
 
-/** Milliseconds after which the node that forwarded a heartbeat has given it up. */
+/** Time after which the node that forwarded a heartbeat has stopped waiting for the response. */
 const HEARTBEAT_TIMEOUT_MS = 3400;
 
 /**
- * Knows the newest connection of each node. A node may be back within a fraction of a second, while messages of its
- * predecessor are still on their way: none of those is read after the new one has sent its first.
+ * Tracks the newest connection of each node. A controller may restart within a fraction of a second, while
+ * messages of the previous process are still in transit. Once the new process has sent its first message, the
+ * connection of the previous one is closed, so that none of its messages is processed any more.
  */
 export class NewestLinks<L> {
   private lastNumber = 0;
   private readonly byNode = new Map<NodeId, { link: L; number: number }>();
 
-  /** Numbers connections in the order in which they were made. */
+  /** The number of a new connection; connections are numbered in the order in which they were accepted. */
   nextNumber(): number {
     return ++this.lastNumber;
   }
 
   /**
-   * The connection with this number turned out to be the node's. Returns the connection that is to be closed, which
-   * may be this one, or null.
+   * Registers a connection as one of the node, which its hello message has named. Returns the older of the
+   * node's two connections, which may be this one, for the caller to close; null if there is only one.
    */
   onHello(node: NodeId, link: L, number: number): L | null {
     const newest = this.byNode.get(node);
@@ -33,17 +34,17 @@
   }
 }
 
-/** What an incoming connection depends on. */
+/** Dependencies of an incoming connection. */
 export interface IncomingPeerLinkDependencies {
   socket: Socket;
-  /** The controllers that the settings name. */
+  /** The other controllers of the settings file. */
   peers: ReadonlySet<NodeId>;
   listener: PeerLinksListener;
   queue: WorkQueue;
   newest: NewestLinks<Socket>;
 }
 
-/** Reads the messages of one connection; its first message says which node has made it. */
+/** Reads the messages of one connection; the first one, a hello, names the node that opened it. */
 export class IncomingPeerLink {
   private readonly frames = new FrameReader();
   private readonly number: number;
@@ -53,11 +54,11 @@
     const { socket, newest } = dependencies;
     this.number = newest.nextNumber();
     socket.on('error', () => socket.destroy());
-    socket.on('data', (data) => this.guarded(() => this.receive(data)));
+    socket.on('data', (data) => this.closeOnError(() => this.receive(data)));
   }
 
-  /** Closes the connection if what it brought cannot be read. */
-  private guarded(work: () => void): void {
+  /** Closes the connection if received bytes cannot be decoded. */
+  private closeOnError(work: () => void): void {
     try {
       work();
     } catch {
@@ -68,22 +69,22 @@
   private receive(data: Buffer): void {
     for (const frame of this.frames.frames(data)) {
       if (isForwardedHeartbeat(frame)) this.enqueue(frame);
-      else this.read(frame);
+      else this.handleFrame(frame);
     }
   }
 
-  /** Forwarded heartbeats queue with direct ones: after a failover those of a whole fleet come at once. */
+  /** Forwarded heartbeats are queued with direct ones: after a failover, a whole fleet sends at once. */
   private enqueue(frame: Buffer): void {
     this.dependencies.queue.add({
       since: performance.now(),
       urgency: 0,
       uselessAfterMs: HEARTBEAT_TIMEOUT_MS,
-      run: () => this.guarded(() => this.read(frame)),
+      run: () => this.closeOnError(() => this.handleFrame(frame)),
       drop: () => {},
     });
   }
 
-  private read(frame: Buffer): void {
+  private handleFrame(frame: Buffer): void {
     const { socket, peers, listener, newest } = this.dependencies;
     const message = decodePeerMessage(frame);
     if (message === null || socket.destroyed) return;
--- a/src/runtime/loop-delay.ts
+++ b/src/runtime/loop-delay.ts
@@ -1,14 +1,14 @@
 // Measures how late the event loop runs its timers.
 import { build as buildHistogram } from 'hdr-histogram-js';
 
-/** Delays in milliseconds. */
+/** Percentiles and maximum of the delays, in milliseconds. */
 export interface LoopDelayStatus {
   p50: number;
   p99: number;
   max: number;
 }
 
-/** Keeps the delays of a timer that is to fire at a fixed interval. */
+/** A histogram of the delays of a timer that should fire at a fixed interval. */
 export class LoopDelay {
   private readonly histogram = buildHistogram({ bitBucketSize: 16, numberOfSignificantValueDigits: 1 });
   private dueMs: number;
@@ -21,13 +21,13 @@
     this.dueMs = nowMs + intervalMs;
   }
 
-  /** The timer has fired. */
+  /** Records the delay of the timer, which has just fired. */
   record(nowMs: number): void {
     this.histogram.recordValue(Math.max(0, Math.round(nowMs - this.dueMs)));
     this.dueMs = nowMs + this.intervalMs;
   }
 
-  /** The delays since the start. */
+  /** The delays since the process started. */
   status(): LoopDelayStatus {
     return {
       p50: this.histogram.getValueAtPercentile(50),
--- a/src/runtime/outgoing-peer-link.ts
+++ b/src/runtime/outgoing-peer-link.ts
@@ -1,4 +1,4 @@
-// The connection that this node makes to another controller; it is made again whenever it is lost.
+// The connection that this node opens to another controller, and reopens whenever it is lost.
 import { connect, type Socket } from 'node:net';
 import type { PeerMessage } from '../core/base/model.ts';
 import type { Address } from '../http/address.ts';
@@ -7,14 +7,16 @@
 
 const RECONNECT_DELAY_MS = 500;
 const CONNECT_TIMEOUT_MS = 1500;
-/** A connection with so much unsent is given up: behind a network partition it would swallow messages. */
+/** A connection with more unsent bytes is closed: in a network partition it would only buffer messages. */
 const MAX_UNSENT_BYTES = 2 * 1024 * 1024;
-/** Forwarded heartbeats are sent in batches: each write and each read costs more than the frame in it. */
+/**
+ * Forwarded heartbeats are sent in batches: a write or a read costs more processor time than the frame in it.
+ */
 const BATCH_DELAY_MS = 10;
 
-/** What happens on the connections to other controllers. */
+/** Receives the events of the connections to and from other controllers. */
 export interface PeerLinksListener {
-  /** Messages can be sent to the node from now on. */
+  /** The connection to the node was established: messages can be sent to it. */
   up(node: NodeId): void;
   /** The connection to the node was lost. */
   down(node: NodeId): void;
@@ -26,8 +28,8 @@
 export class OutgoingPeerLink {
   private socket: Socket | null = null;
   private connected = false;
-  /** Frames since the last write: one write for all of them. */
-  private pending: Buffer[] = [];
+  /** Frames since the last write; the next flush sends them all in one write. */
+  private pendingFrames: Buffer[] = [];
   private flushScheduled = false;
 
   constructor(
@@ -38,11 +40,12 @@
     this.connect();
   }
 
-  /** Sends a message, or drops it while there is no connection. */
+  /** Sends a message; drops it while there is no connection. */
   send(message: PeerMessage): void {
     if (!this.connected || this.socket === null) return;
-    const isFirst = this.pending.push(encodePeerMessage(message)) === 1;
-    // Forwarded heartbeats and their responses wait for a batch; what a user waits for takes them along at once.
+    const isFirst = this.pendingFrames.push(encodePeerMessage(message)) === 1;
+    // Forwarded heartbeats and their responses are held back for a batch. Other messages, for which users may
+    // be waiting, are sent in this turn of the event loop, together with the frames held back.
     if (isBatched(message)) {
       if (isFirst) setTimeout(() => this.flush(), BATCH_DELAY_MS);
     } else if (!this.flushScheduled) {
@@ -71,8 +74,8 @@
   }
 
   private flush(): void {
-    const frames = this.pending;
-    this.pending = [];
+    const frames = this.pendingFrames;
+    this.pendingFrames = [];
     this.flushScheduled = false;
     if (frames.length === 0) return;
     if (!this.connected || this.socket === null) return;
--- a/src/runtime/peer-links.ts
+++ b/src/runtime/peer-links.ts
@@ -1,5 +1,5 @@
-// Connections to the other controllers. Each node connects to every other one, sends on the connections that it has made
-// and receives on those that others have made to it.
+// Connections between this controller and the others. Each node connects to every other one, sends on the
+// connections that it has opened and receives on those that the others have opened to it.
 import { createServer, type Socket } from 'node:net';
 import type { PeerMessage, Settings } from '../core/base/model.ts';
 import { splitAddress } from '../http/address.ts';
@@ -11,13 +11,13 @@
 export { NewestLinks } from './incoming-peer-link.ts';
 export type { PeerLinksListener } from './outgoing-peer-link.ts';
 
-/** What the connections to other controllers depend on. */
+/** Dependencies of the connections to other controllers. */
 export interface PeerLinksDependencies {
   settings: Settings;
   listener: PeerLinksListener;
-  /** Where forwarded heartbeats wait for processor time. */
+  /** The queue in which forwarded heartbeats wait for processor time. */
   queue: WorkQueue;
-  /** The address for other controllers cannot be listened at. */
+  /** Called when this node cannot listen on its address for other controllers. */
   onError: (error: Error) => void;
 }
 
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Sends a message, or drops it while there is no connection to the node. */
+  /** Sends a message; drops it while there is no connection to the node. */
   send(node: NodeId, message: PeerMessage): void {
     this.outgoing.get(node)?.send(message);
   }
--- a/src/runtime/pending-responses.ts
+++ b/src/runtime/pending-responses.ts
@@ -1,19 +1,19 @@
-// The HTTP requests that the core has not answered yet.
+// HTTP requests to which the core has not responded yet.
 import type { Respond, ServerResponse } from '../http/server.ts';
 
-/** Maps the core's request ids to the HTTP requests that they stand for. */
+/** Maps the request ids of the core to the functions that respond to the HTTP requests. */
 export class PendingResponses {
   private readonly pending = new Map<number, Respond>();
   private nextId = 1;
 
-  /** The id of a new request. */
+  /** Adds a request; returns its id. */
   add(respond: Respond): number {
     const id = this.nextId++;
     this.pending.set(id, respond);
     return id;
   }
 
-  /** Answers a request; does nothing if it was answered before. */
+  /** Responds to a request; does nothing if there was a response before. */
   respond(id: number, response: ServerResponse): void {
     const respond = this.pending.get(id);
     this.pending.delete(id);
--- a/src/runtime/request-class.ts
+++ b/src/runtime/request-class.ts
@@ -1,19 +1,25 @@
-// Tells how urgent a request is from its first bytes, before it is parsed.
+// Classifies HTTP requests by urgency from their first bytes, before they are parsed.
 import type { RequestClass } from '../http/server.ts';
 
-/** So many bytes of a request are looked at. */
+/** Number of bytes of a request that are examined. */
 const PREFIX_BYTES = 64;
 
-/** Times are those for which senders wait for a response, less a little for its way to them. */
+/**
+ * `uselessAfterMs` is the time for which the sender waits for a response, less the latency of the response.
+ */
 const HEARTBEAT: RequestClass = { urgency: 0, uselessAfterMs: 3800 };
-/** Sent seldom; a node that answers late is taken for one that is gone. */
+/**
+ * Health checks are rare, and a late response makes the sender treat the node as down: they are not queued.
+ */
 const HEALTH_CHECK: RequestClass = { urgency: 'now', uselessAfterMs: 1000 };
 const SUBMISSION: RequestClass = { urgency: 1, uselessAfterMs: 4800 };
 const STATUS_QUERY: RequestClass = { urgency: 2, uselessAfterMs: 1900 };
-/** Cancellations among them. */
+/** All other requests, including cancellations. */
 const OTHER: RequestClass = { urgency: 0, uselessAfterMs: 4800 };
 
-/** Health checks, heartbeats and cancellations go first, then submissions, then queries of a job's status. */
+/**
+ * Health checks, heartbeats and cancellations have priority over submissions, and those over status queries.
+ */
 export function classifyRequest(bytes: Buffer): RequestClass {
   const prefix = bytes.toString('latin1', 0, PREFIX_BYTES);
   if (prefix.startsWith('POST /checkin')) return HEARTBEAT;
--- a/src/runtime/request-router.ts
+++ b/src/runtime/request-router.ts
@@ -11,37 +11,39 @@
 import type { Log } from './log.ts';
 import type { PendingResponses } from './pending-responses.ts';
 
-/** What the router asks of the core. */
+/** The interface of the core that the router uses. */
 export interface RoutedController {
-  /** Whether users' requests can be served. */
+  /** Whether the service can process users' requests. */
   readonly ready: boolean;
-  /** The response to a request that is to be shed under load, before its body is read; null to go on. */
+  /**
+   * The response that sheds a request under overload, before its body is parsed; null to process the request.
+   */
   rejection(op: UserRequest['op']): UserResponse | null;
-  /** What the core knows, for operators. */
+  /** The status of the core, for operators. */
   describe(): object;
 }
 
-/** What a `RequestRouter` depends on. */
+/** Dependencies of a `RequestRouter`. */
 export interface RequestRouterDependencies {
   controller: RoutedController;
   responses: PendingResponses;
   /** Feeds an input to the core. */
   step: (input: Input) => void;
-  /** Figures of the process, for operators. */
+  /** Measurements of the process, for operators. */
   processStatus: () => object;
   log: Log;
 }
 
 type JobRequest = Exclude<UserRequest, { op: 'submit' }>;
 
-/** Seconds after which a caller may come again. */
+/** Seconds after which a client may retry. */
 const RETRY_AFTER_S = 1;
 
-/** Answers the requests of the HTTP server. */
+/** Handles the requests of the HTTP server. */
 export class RequestRouter {
   constructor(private readonly dependencies: RequestRouterDependencies) {}
 
-  /** Answers a request, at once or when the core does. */
+  /** Responds to a request, immediately or when the core does. */
   handle(request: HttpMessage, respond: Respond): void {
     try {
       this.route(request, respond);
@@ -59,33 +61,33 @@
     const path = request.target.split('?', 1)[0]!;
     switch (path) {
       case '/checkin':
-        if (allows(request, 'POST', respond)) this.onHeartbeat(request, respond);
+        if (requireMethod(request, 'POST', respond)) this.onHeartbeat(request, respond);
         return;
       case '/ready':
-        if (allows(request, 'GET', respond)) this.onReady(respond);
+        if (requireMethod(request, 'GET', respond)) this.onReady(respond);
         return;
       case '/status':
-        if (allows(request, 'GET', respond)) this.onStatus(respond);
+        if (requireMethod(request, 'GET', respond)) this.onStatus(respond);
         return;
       case '/work':
-        if (allows(request, 'POST', respond)) this.onSubmit(request, respond);
+        if (requireMethod(request, 'POST', respond)) this.onSubmit(request, respond);
         return;
       default:
         this.routeJob(request, path.split('/'), respond);
     }
   }
 
-  /** `/work/ID` and `/work/ID/abort`; `segments` begin with an empty one. */
+  /** Routes `/work/ID` and `/work/ID/abort`; the first of `segments` is empty. */
   private routeJob(request: HttpMessage, segments: string[], respond: Respond): void {
     const [, collection, job, action] = segments;
     const id = job as JobId;
     if (collection !== 'work' || segments.length > 4) {
       respond(errorResponse(404, 'no such path'));
     } else if (segments.length === 3) {
-      if (allows(request, 'GET', respond)) this.onJobRequest({ op: 'status', id }, respond);
+      if (requireMethod(request, 'GET', respond)) this.onJobRequest({ op: 'status', id }, respond);
     } else if (action !== 'abort') {
       respond(errorResponse(404, 'no such path'));
-    } else if (allows(request, 'POST', respond)) {
+    } else if (requireMethod(request, 'POST', respond)) {
       this.onJobRequest({ op: 'cancel', id }, respond);
     }
   }
@@ -95,7 +97,7 @@
     else respond(errorResponse(503, 'no controller owns the jobs yet', RETRY_AFTER_S));
   }
 
-  /** For operators: what the core knows, and figures of the process. */
+  /** Responds with the status of the core and measurements of the process, for operators. */
   private onStatus(respond: Respond): void {
     const { controller, processStatus } = this.dependencies;
     respond({ status: 200, body: JSON.stringify({ ...controller.describe(), process: processStatus() }) });
@@ -108,9 +110,9 @@
   }
 
   private onSubmit(request: HttpMessage, respond: Respond): void {
-    if (this.isShed('submit', respond)) return;
+    if (this.rejectsUnderLoad('submit', respond)) return;
     const spec = parseJob(parseBody(request.body));
-    this.ask({ op: 'submit', spec }, respond);
+    this.forwardToCore({ op: 'submit', spec }, respond);
   }
 
   private onJobRequest(request: JobRequest, respond: Respond): void {
@@ -118,24 +120,24 @@
       respond(errorResponse(404, 'no such job'));
       return;
     }
-    if (!this.isShed(request.op, respond)) this.ask(request, respond);
+    if (!this.rejectsUnderLoad(request.op, respond)) this.forwardToCore(request, respond);
   }
 
-  private ask(request: UserRequest, respond: Respond): void {
+  private forwardToCore(request: UserRequest, respond: Respond): void {
     const { responses, step } = this.dependencies;
     step({ kind: 'user', requestId: responses.add(respond), request });
   }
 
-  /** Whether the request was refused because of the load. */
-  private isShed(op: UserRequest['op'], respond: Respond): boolean {
+  /** Responds with a rejection and returns true if the request is to be shed because of overload. */
+  private rejectsUnderLoad(op: UserRequest['op'], respond: Respond): boolean {
     const rejection = this.dependencies.controller.rejection(op);
     if (rejection !== null) respond(encodeUserResponse(rejection));
     return rejection !== null;
   }
 }
 
-/** Whether the request has this method; refuses it otherwise. */
-function allows(request: HttpMessage, method: string, respond: Respond): boolean {
+/** Returns true if the request has this method; otherwise responds with 405 and returns false. */
+function requireMethod(request: HttpMessage, method: string, respond: Respond): boolean {
   if (request.method === method) return true;
   respond(errorResponse(405, `use ${method}`));
   return false;
