--- a/src/cli/client-commands.ts
+++ b/src/cli/client-commands.ts
@@ -2,7 +2,7 @@
 import { readFileSync } from 'node:fs';
 import type { Client, JobState, Outcome, SubmitOptions } from '../../packages/client/src/index.ts';
 import { checkJobId } from './arguments.ts';
-import { type ClientFlags, command, commandUpload, parseSeconds, withClient } from './client-session.ts';
+import { type ClientFlags, commandUpload, parseSeconds, withClient, withExitCode } from './client-session.ts';
 import { parseHcl, readText } from './files.ts';
 import { fromHcl, fromJson, type JobFile } from './job-file.ts';
 import { EXIT, exitCodeOf, printJob } from './job-outcome.ts';
@@ -21,7 +21,7 @@
 
 type Deadlines = Pick<SubmitOptions, 'acceptWithinS' | 'withinS'>;
 
-/** Only the deadlines that are given. */
+/** The deadlines that the flags set. */
 function deadlinesOf(flags: ClientFlags): Deadlines {
   const acceptWithinS = parseSeconds('accept-within', flags.acceptWithin);
   const withinS = parseSeconds('within', flags.within);
@@ -31,8 +31,11 @@
   };
 }
 
-/** Submits the jobs of a file; waits for their ends if asked to, or if they depend on each other. */
-export const submit = command(async (file: string, flags: ClientFlags): Promise<void> => {
+/**
+ * Submits the jobs of a file; waits until they have ended if `--wait` is given or if they depend on each
+ * other.
+ */
+export const submit = withExitCode(async (file: string, flags: ClientFlags): Promise<void> => {
   const jobFile = await readJobFile(file);
   const options = deadlinesOf(flags);
   const prepare = commandUpload(flags, jobFile);
@@ -75,18 +78,18 @@
   await Promise.all(
     jobs.map(async ({ name, key, request }) => {
       const { id, outcome } = await client.submit(request, { ...options, key });
-      const end = outcome ?? (wait ? await client.wait(id, { signal }) : null);
-      progress.add(name, id, end);
+      const finalOutcome = outcome ?? (wait ? await client.wait(id, { signal }) : null);
+      progress.add(name, id, finalOutcome);
     }),
   );
 }
 
-/** Submits the jobs of a file and waits for their ends. */
+/** Submits the jobs of a file and waits until they have ended. */
 export const run = (file: string, flags: ClientFlags): Promise<void> =>
   submit(file, { ...flags, wait: true });
 
 /** Prints the states of a job until it ends. */
-export const watch = command(async (id: string, flags: ClientFlags): Promise<void> => {
+export const watch = withExitCode(async (id: string, flags: ClientFlags): Promise<void> => {
   checkJobId(id);
   const withinS = parseSeconds('within', flags.within);
   const json = flags.json === true;
@@ -108,13 +111,13 @@
 });
 
 /** Cancels a job and prints how it ended. */
-export const cancel = command(async (id: string, flags: ClientFlags): Promise<void> => {
+export const cancel = withExitCode(async (id: string, flags: ClientFlags): Promise<void> => {
   checkJobId(id);
   const withinS = parseSeconds('within', flags.within) ?? DEFAULT_CANCEL_S;
   await withClient(flags, async (client, signal) => {
     const outcome = await client.cancel(id, { signal, withinS });
     printJob({ name: null, id, outcome }, flags.json === true);
-    // Here a job that is cancelled is what was asked for.
+    // For this command a cancelled job is a success.
     return outcome.kind === 'cancelled' ? EXIT.done : exitCodeOf(outcome);
   });
 });
--- a/src/cli/client-session.ts
+++ b/src/cli/client-session.ts
@@ -1,12 +1,17 @@
-// Runs commands with the client library: its nodes, its end on Ctrl-C, errors and exit codes.
+// Runs the commands that use the client library: resolves nodes, handles Ctrl-C, turns errors into exit
+// codes.
 import { BadRequest, Client, type ClientOptions } from '../../packages/client/src/index.ts';
 import { InvalidSettingsError } from '../protocol/settings.ts';
 import type { JobFile } from './job-file.ts';
 import { EXIT } from './job-outcome.ts';
-import { askLocalCluster, type LocalClusterAddrFlags, localClusterAddrOf } from './local-cluster-client.ts';
+import {
+  type LocalClusterAddrFlags,
+  localClusterAddrOf,
+  requestLocalCluster,
+} from './local-cluster-client.ts';
 import { printError } from './output.ts';
 
-/** Options of the client's commands. */
+/** Options of the commands that use the client library. */
 export interface ClientFlags extends LocalClusterAddrFlags {
   node?: string[];
   outbox?: string;
@@ -26,22 +31,27 @@
 export function parseSeconds(option: string, value: string | undefined): number | undefined {
   if (value === undefined) return undefined;
   const seconds = Number(value);
-  if (!(seconds > 0)) throw new InvalidSettingsError(`--${option}: a number of seconds above 0`);
+  if (!(seconds > 0))
+    throw new InvalidSettingsError(`--${option}: expected a number of seconds above 0, got ${value}`);
   return seconds;
 }
 
-/** The nodes that are named, or those of the local cluster. */
-async function nodesOf(flags: ClientFlags): Promise<string[]> {
+/** The nodes given by `--node`, or those of the local cluster. */
+async function resolveNodes(flags: ClientFlags): Promise<string[]> {
   if (flags.node !== undefined) return flags.node;
   const addr = localClusterAddrOf(flags);
-  if (addr === undefined) throw new InvalidSettingsError('name the nodes with --node, or use --lab');
-  const { controllers } = (await askLocalCluster(addr, 'GET', '/lab')) as {
+  if (addr === undefined)
+    throw new InvalidSettingsError('name the nodes with --node, or use --local-cluster');
+  const { controllers } = (await requestLocalCluster(addr, 'GET', '/lab')) as {
     controllers: { addr: string }[];
   };
   return controllers.map((controller) => controller.addr);
 }
 
-/** Tells the local cluster, before a job is submitted, what its tasks are to run; null without a local cluster. */
+/**
+ * Returns a function that uploads the command of a job to the local cluster before the job is submitted; null
+ * without a local cluster.
+ */
 export function commandUpload(flags: ClientFlags, { jobs, key, pipeline }: JobFile): Prepare | null {
   const addr = localClusterAddrOf(flags);
   if (addr === undefined) {
@@ -52,7 +62,7 @@
   }
   const commands = new Map(jobs.map((job) => [pipeline ? `${key}/${job.name}` : job.key, job.command]));
   return async (id, request, jobKey) => {
-    await askLocalCluster(addr, 'PUT', `/jobs/${id}`, {
+    await requestLocalCluster(addr, 'PUT', `/jobs/${id}`, {
       kind: request.kind ?? 'array',
       tasks: request.tasks ?? 1,
       image: request.image,
@@ -63,7 +73,7 @@
   };
 }
 
-/** Runs an action with a client, which is closed in any case; Ctrl-C ends the waiting and leaves the jobs as they are. */
+/** Runs an action with a client and closes the client; Ctrl-C ends the action, submitted jobs continue. */
 export async function withClient(
   flags: ClientFlags,
   action: ClientAction,
@@ -71,20 +81,18 @@
 ): Promise<void> {
   const abort = new AbortController();
   const onInterrupt = (): void =>
-    abort.abort(new DOMException('stopped; jobs that were sent go on', 'AbortError'));
+    abort.abort(new DOMException('interrupted; submitted jobs continue', 'AbortError'));
   process.once('SIGINT', onInterrupt);
   let client: Client | null = null;
   try {
     client = await Client.open({
-      nodes: await nodesOf(flags),
+      nodes: await resolveNodes(flags),
       ...(flags.outbox === undefined ? {} : { outbox: flags.outbox }),
       ...(prepare === null ? {} : { prepare }),
     });
     if (client.torn !== null) {
       const { offset } = client.torn;
-      process.stderr.write(
-        `swiftford: ${flags.outbox}: an unfinished record at byte ${offset} was cut off\n`,
-      );
+      process.stderr.write(`swiftford: ${flags.outbox}: removed an incomplete record at byte ${offset}\n`);
     }
     process.exitCode = await action(client, abort.signal);
   } finally {
@@ -94,10 +102,11 @@
 }
 
 /**
- * A command whose errors all end in one line and an exit code. They are caught here, as the classes of errors of this
- * bundle are not those of main.js.
+ * Wraps a command so that any error is printed in one line and sets the exit code. Errors are caught here and
+ * not in main.js, because each bundle has its own copies of the error classes, so that `instanceof` fails
+ * between bundles.
  */
-export function command<A extends unknown[]>(
+export function withExitCode<A extends unknown[]>(
   run: (...args: A) => Promise<void>,
 ): (...args: A) => Promise<void> {
   return async (...args) => {
@@ -105,8 +114,8 @@
       await run(...args);
     } catch (error) {
       printError(error);
-      const isUsage = error instanceof BadRequest || error instanceof InvalidSettingsError;
-      process.exitCode = isUsage ? EXIT.usage : EXIT.trouble;
+      const isUsageError = error instanceof BadRequest || error instanceof InvalidSettingsError;
+      process.exitCode = isUsageError ? EXIT.usage : EXIT.failed;
     }
   };
 }
--- a/src/cli/command-errors.ts
+++ b/src/cli/command-errors.ts
@@ -1,8 +1,8 @@
-// What becomes of the errors of a command.
+// Prints the errors of commands and sets the exit code.
 import { InvalidSettingsError } from '../protocol/settings.ts';
 import { printError } from './output.ts';
 
-/** Prints an error in one line; the process is to exit with 1. */
+/** Prints an error in one line and sets the exit code to 1. */
 export function fail(error: unknown): void {
   printError(error);
   process.exitCode = 1;
@@ -10,7 +10,7 @@
 
 type Action<A extends unknown[]> = (...args: A) => void | Promise<void>;
 
-/** An action whose `InvalidSettingsError` ends in one line; any other error is thrown. */
+/** Wraps an action: an `InvalidSettingsError` is printed in one line, any other error is rethrown. */
 export function reportingInvalidSettings<A extends unknown[]>(
   action: Action<A>,
 ): (...args: A) => Promise<void> {
@@ -24,7 +24,7 @@
   };
 }
 
-/** An action whose errors all end in one line. */
+/** Wraps an action: any error is printed in one line. */
 export function reportingErrors<A extends unknown[]>(action: Action<A>): (...args: A) => Promise<void> {
   return async (...args) => {
     try {
--- a/src/cli/config-change.ts
+++ b/src/cli/config-change.ts
@@ -10,7 +10,7 @@
 import { fetchNodeStatus, versionObstacle } from './node-versions.ts';
 import { print } from './output.ts';
 
-/** Exit codes: done; made but not in force in time, or in conflict; a wrong file or option. */
+/** Exit codes: success; change in conflict, failed or not in force in time; invalid file or option. */
 export const EXIT = { done: 0, failed: 1, usage: 2 } as const;
 
 const DEFAULT_WAIT_S = 60;
@@ -23,10 +23,10 @@
   within?: string;
 }
 
-/** Plans the changes to be made against a snapshot. */
+/** Plans the changes to a snapshot of the configuration. */
 export type Planner = (snapshot: ConfigSnapshot) => DocumentChange[] | Promise<DocumentChange[]>;
 
-/** Makes a change, unless one with its id was made before; returns the exit code. */
+/** Makes a change, unless one with the same id was made before; returns the exit code. */
 export async function makeChange(
   client: ConfigClient,
   settings: Settings,
@@ -35,10 +35,11 @@
 ): Promise<number> {
   const id = flags.id ?? randomUUID();
   const withinS = Number(flags.within ?? DEFAULT_WAIT_S);
-  if (!(withinS > 0)) throw new InvalidSettingsError('--within: a number of seconds above 0 is expected');
+  if (!(withinS > 0))
+    throw new InvalidSettingsError(`--within: expected a number of seconds above 0, got ${flags.within}`);
   const finish = (revision: Revision) => (flags.wait ? waitInForce(client, revision, withinS) : EXIT.done);
 
-  const earlier = flags.id === undefined ? null : await client.made(id);
+  const earlier = flags.id === undefined ? null : await client.findChange(id);
   if (earlier !== null) {
     print(`change ${earlier.number} (${id}) was made before, at revision ${earlier.revision}`);
     return finish(earlier.revision);
@@ -59,14 +60,14 @@
 async function waitInForce(client: ConfigClient, revision: Revision, withinS: number): Promise<number> {
   const tookMs = await client.waitInForce(revision, withinS * MS_PER_S);
   if (tookMs === null) {
-    print(`not in force after ${withinS} s: see config status`);
+    print(`the change is not in force after ${withinS} s: see config status`);
     return EXIT.failed;
   }
   print(`in force everywhere after ${(tookMs / MS_PER_S).toFixed(1)} s`);
   return EXIT.done;
 }
 
-/** Throws `ConfigConflictError`, naming a controller that does not support documents. */
+/** Throws `ConfigConflictError` if a controller does not support documents or its version is unknown. */
 async function checkVersions(settings: Settings): Promise<void> {
   const obstacle = versionObstacle(await fetchNodeStatus(settings.listen), settings);
   if (obstacle !== null) throw new ConfigConflictError(obstacle);
--- a/src/cli/config-client.ts
+++ b/src/cli/config-client.ts
@@ -1,5 +1,5 @@
-// Reads and changes the configuration for an operator's command, by the protocol of the store. A change has an id:
-// repeated after a lost response, it is found to have been made.
+// Reads and changes the configuration for operators' commands, directly in the store. Each change has an id:
+// if the response to it is lost, a retry with the same id finds that the change was made.
 import type { JobSpec, Settings, StoreItem, StoreReply, StoreRequest } from '../core/base/model.ts';
 import {
   changesBackTo,
@@ -30,18 +30,18 @@
 const REQUEST_TIMEOUT_MS = 3000;
 const MAX_REPLY_BYTES = 64 << 20;
 const CONNECTIONS = 2;
-const MAX_TRIES = 8;
+const MAX_ATTEMPTS = 8;
 const RETRY_DELAY_MS = 500;
 const POLL_INTERVAL_MS = 200;
-/** How long the leader is given to move its record before the first documents are written. */
-const MOVE_TIMEOUT_MS = 20_000;
+/** Time within which the leader must move its record before the first documents are written. */
+const LEADER_RECORD_MOVE_TIMEOUT_MS = 20_000;
 
 /** Sends a request to the store. */
-export type AskStore = (request: StoreRequest) => Promise<StoreReply>;
+export type CallStore = (request: StoreRequest) => Promise<StoreReply>;
 
 /** Sends requests to the store over HTTP. */
 export const askOverHttp =
-  (client: HttpClient): AskStore =>
+  (client: HttpClient): CallStore =>
   (request) =>
     new Promise((resolve) => {
       const call = { ...encodeStoreRequest(request), timeoutMs: REQUEST_TIMEOUT_MS };
@@ -50,16 +50,19 @@
       );
     });
 
-/** An HTTP client of the store that the settings name. */
+/** An HTTP client for the store of the settings file. */
 export const storeClient = (settings: Settings): HttpClient =>
   new HttpClient(settings.storeAddr, CONNECTIONS, MAX_REPLY_BYTES);
 
-/** The store does not respond, or responds with something unexpected. */
+/** Thrown if the store does not respond, or its response is unexpected. */
 export class StoreUnavailableError extends SwiftfordError {
   readonly code = 'STORE_UNAVAILABLE';
 }
 
-/** Somebody else has changed the configuration since it was read, or a controller does not support documents. */
+/**
+ * Thrown if the configuration was changed since it was read, or if a controller does not support
+ * configuration documents.
+ */
 export class ConfigConflictError extends SwiftfordError {
   readonly code = 'CONFIG_CONFLICT';
 }
@@ -69,7 +72,7 @@
   revision: Revision;
   /** Changes are numbered from 1. */
   number: number;
-  /** It had been made before, under the same id. */
+  /** True if an earlier attempt or command with the same id had made the change. */
   repeated: boolean;
 }
 
@@ -78,13 +81,15 @@
 /** Reads and changes the configuration documents. */
 export class ConfigClient {
   constructor(
-    private readonly ask: AskStore,
+    private readonly callStore: CallStore,
     private readonly settings: Settings,
     private readonly sleep: (ms: number) => Promise<void> = sleepFor,
     private readonly now: () => number = Date.now,
   ) {}
 
-  /** The documents at one revision; throws `UnreadableDocumentError` for those of another version. */
+  /**
+   * All documents at one revision; throws `UnreadableDocumentError` for documents of an unsupported version.
+   */
   async snapshot(): Promise<ConfigSnapshot> {
     return readSnapshot(await this.list(CONFIG_PREFIX));
   }
@@ -95,7 +100,7 @@
     return items.map(readHistory).filter((entry) => entry !== null);
   }
 
-  /** Which revision is in force, as the leader has recorded it. */
+  /** The leader's record of the revision that is in force. */
   async inForce(): Promise<InForceRecord | null> {
     const reply = await this.read({ kind: 'get', key: CONFIG_IN_FORCE_KEY });
     return reply.kind === 'item' ? (reply.item.value as InForceRecord) : null;
@@ -107,18 +112,20 @@
     return items.map((item) => decodeJobRecord(item).spec);
   }
 
-  /** The changes that lead from a snapshot to the wanted documents. */
-  plan(snapshot: ConfigSnapshot, wanted: readonly ConfigDocument[]): DocumentChange[] {
-    return changesTo(snapshot, wanted);
+  /** The changes from a snapshot to the given documents. */
+  plan(snapshot: ConfigSnapshot, documents: readonly ConfigDocument[]): DocumentChange[] {
+    return changesTo(snapshot, documents);
   }
 
-  /** The changes that lead back to the state after change `number`; null if the history does not reach back so far. */
-  async planBackTo(snapshot: ConfigSnapshot, number: number): Promise<DocumentChange[] | null> {
+  /**
+   * The changes back to the state after change `number`; null if the history no longer holds what they need.
+   */
+  async planRollback(snapshot: ConfigSnapshot, number: number): Promise<DocumentChange[] | null> {
     return changesBackTo(snapshot, await this.history(), number);
   }
 
-  /** The change with this id, if it was made. */
-  async made(id: string): Promise<Applied | null> {
+  /** The change with this id, or null if it was not made. */
+  async findChange(id: string): Promise<Applied | null> {
     const { head, revision } = await this.snapshot();
     if (head !== null && head.number > 0 && head.id === id)
       return { revision, number: head.number, repeated: true };
@@ -129,25 +136,28 @@
   }
 
   /**
-   * Makes the changes in one transaction, if the configuration is still as it was read. Throws `ConfigConflictError` if
-   * it is not, `ChangeTooLargeError`, and `StoreUnavailableError` when it is not known whether the change was made:
-   * repeat it under the same id then.
+   * Makes the changes in one transaction, provided that the configuration has not changed since the snapshot.
+   * Throws `ConfigConflictError` if it has, `ChangeTooLargeError` for more documents than a transaction may
+   * hold, and `StoreUnavailableError` if it is unknown whether the change was made: the caller should repeat
+   * it with the same id.
    */
   async apply(snapshot: ConfigSnapshot, changes: readonly DocumentChange[], id: string): Promise<Applied> {
-    const movedAt = await this.prepare(id);
+    const movedAt = await this.moveLeaderRecord(id);
     const isFirst = snapshot.head === null;
     const base = isFirst ? await this.snapshot() : snapshot;
     if (isFirst && base.head !== null && base.head.number > 0 && base.head.id !== id)
-      throw this.conflict(base);
+      throw this.conflictError(base);
     const transaction = transactionOf(base, changes, id, this.now(), movedAt, this.settings.store);
     return this.commit(transaction, (base.head?.number ?? 0) + 1, id);
   }
 
-  /** Waits until the revision is in force: the milliseconds that it took, or null if it takes longer than `withinMs`. */
+  /**
+   * Waits until the revision is in force; returns the time taken in milliseconds, or null after `withinMs`.
+   */
   async waitInForce(revision: Revision, withinMs: number): Promise<number | null> {
     const startMs = this.now();
     while (this.now() - startMs < withinMs) {
-      const reply = await this.ask({ kind: 'get', key: CONFIG_IN_FORCE_KEY });
+      const reply = await this.callStore({ kind: 'get', key: CONFIG_IN_FORCE_KEY });
       if (reply.kind === 'item' && (reply.item.value as InForceRecord).revision >= revision)
         return this.now() - startMs;
       await this.sleep(POLL_INTERVAL_MS);
@@ -155,14 +165,19 @@
     return null;
   }
 
-  /** Retries while the store refuses or does not respond; throws `StoreUnavailableError` in the end. */
+  /**
+   * Sends a request, and retries while the store refuses it or does not respond. Throws
+   * `StoreUnavailableError` after the last attempt.
+   */
   private async read(request: StoreRequest): Promise<StoreReply> {
-    for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (attempt > 0) await this.sleep(RETRY_DELAY_MS);
-      const reply = await this.ask(request);
+      const reply = await this.callStore(request);
       if (reply.kind !== 'refused' && reply.kind !== 'no-answer') return reply;
     }
-    throw new StoreUnavailableError(`the state service at ${this.settings.storeAddr} does not answer`);
+    throw new StoreUnavailableError(
+      `the state service at ${this.settings.storeAddr} did not respond to or refused ${MAX_ATTEMPTS} requests`,
+    );
   }
 
   private async list(prefix: string): Promise<StoreItem[]> {
@@ -170,54 +185,64 @@
     for (let after: string | null = null; ; ) {
       const reply = await this.read({ kind: 'list', prefix, after });
       if (reply.kind !== 'items')
-        throw new StoreUnavailableError(`the state service lists nothing under ${prefix}`);
+        throw new StoreUnavailableError(
+          `the state service responded to a list of ${prefix} with ${reply.kind} instead of items`,
+        );
       items.push(...reply.items);
       if (!reply.more) return items;
       after = reply.items.at(-1)!.key;
     }
   }
 
-  /** The revision of the record that says that the leader record has moved; null while it has not. */
-  private async movedAt(): Promise<Revision | null> {
+  /**
+   * The revision of the marker that the leader record has moved to another key; null while it has not moved.
+   */
+  private async leaderRecordMovedAt(): Promise<Revision | null> {
     const reply = await this.read({ kind: 'get', key: LEADER_KEY });
     if (reply.kind !== 'item') return null;
     const { moved } = reply.item.value as { moved?: string };
     return moved === undefined ? null : reply.item.revision;
   }
 
-  /** Before the first documents the leader record moves to a key that versions without documents do not know. */
-  private async prepare(id: string): Promise<Revision> {
-    const movedBefore = await this.movedAt();
+  /**
+   * Waits until the leader record has moved to a key that versions without document support do not use, and
+   * requests the move if needed. It must precede the first documents, so that such versions cannot be
+   * elected. Returns the revision of the move.
+   */
+  private async moveLeaderRecord(id: string): Promise<Revision> {
+    const movedBefore = await this.leaderRecordMovedAt();
     if (movedBefore !== null) return movedBefore;
     await this.read({ kind: 'compare-and-swap', ...preparation(id, this.now()) });
-    const deadlineMs = this.now() + MOVE_TIMEOUT_MS;
+    const deadlineMs = this.now() + LEADER_RECORD_MOVE_TIMEOUT_MS;
     while (this.now() < deadlineMs) {
       await this.sleep(POLL_INTERVAL_MS);
-      const movedAt = await this.movedAt();
+      const movedAt = await this.leaderRecordMovedAt();
       if (movedAt !== null) return movedAt;
     }
-    throw new StoreUnavailableError('no controller has made the share ready for documents; is one running?');
+    throw new StoreUnavailableError(
+      'no controller has prepared the shard for configuration documents; check that one is running',
+    );
   }
 
   private async commit(transaction: StoreTransaction, number: number, id: string): Promise<Applied> {
-    for (let attempt = 0; attempt < MAX_TRIES; attempt++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       if (attempt > 0) await this.sleep(RETRY_DELAY_MS);
-      const reply = await this.ask({ kind: 'compare-and-swap', ...transaction });
+      const reply = await this.callStore({ kind: 'compare-and-swap', ...transaction });
       if (reply.kind === 'committed') return { revision: reply.revision, number, repeated: false };
       if (reply.kind === 'rejected')
-        throw new StoreUnavailableError(`the state service does not take it: ${reply.reason}`);
+        throw new StoreUnavailableError(`the state service rejected the change: ${reply.reason}`);
       if (reply.kind !== 'conflict') continue;
-      // An earlier attempt without a response may have succeeded.
-      const made = await this.made(id);
+      // The conflict may be with an earlier attempt of this change whose response was lost.
+      const made = await this.findChange(id);
       if (made !== null) return made;
-      throw this.conflict(await this.snapshot());
+      throw this.conflictError(await this.snapshot());
     }
     throw new StoreUnavailableError(
-      `the state service does not answer; whether the change was made is not known: repeat it with --id ${id}`,
+      `the state service does not respond, so it is unknown whether the change was made: repeat it with --id ${id}`,
     );
   }
 
-  private conflict({ head }: ConfigSnapshot): ConfigConflictError {
+  private conflictError({ head }: ConfigSnapshot): ConfigConflictError {
     const change = head === null ? 'its records' : `change ${head.number} (${head.id})`;
     return new ConfigConflictError(
       `the configuration has changed since it was read, by ${change}: plan again`,
--- a/src/cli/config-command.ts
+++ b/src/cli/config-command.ts
@@ -1,4 +1,4 @@
-// `swiftford config`: operators see and change the configuration documents.
+// `swiftford config`: commands with which operators read and change the configuration documents.
 import type { Settings } from '../core/base/model.ts';
 import { ChangeTooLargeError } from '../core/configuration/change.ts';
 import { type ConfigDocument, overlay, UnreadableDocumentError } from '../core/configuration/documents.ts';
@@ -23,10 +23,10 @@
   json?: boolean;
 }
 
-/** Options of the `config` commands that change it. */
+/** Options of the `config` commands that change the configuration. */
 export interface ApplyFlags extends ConfigFlags, ChangeFlags {}
 
-/** Runs a command with a client and sets the exit code; expected errors end in one line. */
+/** Runs a command with a client and sets the exit code; expected errors are printed in one line. */
 async function withClient(
   flags: ConfigFlags,
   run: (client: ConfigClient, settings: Settings) => Promise<number>,
@@ -44,7 +44,7 @@
   }
 }
 
-/** Throws the error again if it is not one of those that are expected. */
+/** The exit code for an expected error; rethrows any other error. */
 function exitCodeOf(error: unknown): number {
   if (error instanceof InvalidSettingsError || error instanceof ChangeTooLargeError) return EXIT.usage;
   const isExpected =
@@ -62,19 +62,19 @@
 /** Prints what a file would change. */
 export const plan = (file: string, flags: ConfigFlags): Promise<void> =>
   withClient(flags, async (client, settings) => {
-    const wanted = await readDocuments(file);
+    const documents = await readDocuments(file);
     const snapshot = await client.snapshot();
-    const changes = client.plan(snapshot, wanted);
+    const changes = client.plan(snapshot, documents);
     if (changes.length === 0) print('nothing would change');
     else await printPlan(client, { settings, snapshot, changes });
     return EXIT.done;
   });
 
-/** Makes a file's content the configuration. */
+/** Applies the configuration of a file. */
 export const apply = (file: string, flags: ApplyFlags): Promise<void> =>
   withClient(flags, async (client, settings) => {
-    const wanted = await readDocuments(file);
-    return makeChange(client, settings, flags, (snapshot) => client.plan(snapshot, wanted));
+    const documents = await readDocuments(file);
+    return makeChange(client, settings, flags, (snapshot) => client.plan(snapshot, documents));
   });
 
 /** Restores the configuration as it was after an earlier change. */
@@ -82,23 +82,23 @@
   withClient(flags, async (client, settings) => {
     const target = Number(number);
     if (!Number.isInteger(target) || target < 0)
-      throw new InvalidSettingsError(`${number}: the number of a change is expected`);
+      throw new InvalidSettingsError(`${number}: expected the number of a change, or 0`);
     return makeChange(client, settings, flags, async (snapshot) => {
       if (target > (snapshot.head?.number ?? 0))
-        throw new InvalidSettingsError(`${target}: there is no such change yet`);
-      const changes = await client.planBackTo(snapshot, target);
+        throw new InvalidSettingsError(`${target}: there is no change with this number yet`);
+      const changes = await client.planRollback(snapshot, target);
       if (changes === null)
-        throw new InvalidSettingsError(`${target}: the history does not reach back so far`);
+        throw new InvalidSettingsError(`${target}: the history no longer reaches back to this change`);
       return changes;
     });
   });
 
-/** Prints the configuration, and where each team's quota comes from. */
+/** Prints the configuration and the origin of each team's quota. */
 export const show = (flags: ConfigFlags): Promise<void> =>
   withClient(flags, async (client, settings) => {
     const snapshot = await client.snapshot();
     const { teams, objectives, dispatch } = overlay(settings, snapshot.documents);
-    const documented = new Set(
+    const teamsInDocuments = new Set(
       snapshot.documents.flatMap((document) => (document.kind === 'team' ? [document.name] : [])),
     );
     const view = {
@@ -106,7 +106,7 @@
       revision: snapshot.revision,
       teams: [...teams.values()].map((team) => ({
         ...team,
-        from: documented.has(team.name) ? 'document' : 'settings file',
+        from: teamsInDocuments.has(team.name) ? 'document' : 'settings file',
       })),
       objectives,
       dispatch,
@@ -124,7 +124,7 @@
     return EXIT.done;
   });
 
-/** Prints the newest change, and whether it is in force. */
+/** Prints the newest change and whether it is in force. */
 export const status = (flags: ConfigFlags): Promise<void> =>
   withClient(flags, async (client) => {
     const { head, revision } = await client.snapshot();
@@ -142,7 +142,7 @@
     print(`change ${head.number} (${head.id}) at revision ${revision}, made ${madeAt}`);
     print(inForceRevision >= revision ? 'in force everywhere' : `in force: revision ${inForceRevision}`);
     for (const [node, applied] of Object.entries(inForce?.lagging ?? {})) {
-      print(`  ${node} was at revision ${applied} when that was said`);
+      print(`  ${node} was at revision ${applied} when the leader recorded this`);
     }
     return EXIT.done;
   });
--- a/src/cli/config-file.ts
+++ b/src/cli/config-file.ts
@@ -1,15 +1,18 @@
-// Reads the operators' configuration file (HCL) into configuration documents: quotas of teams, service-level objectives
-// and scheduler settings. What a file does not name stays as it is.
+// Reads the operators' configuration file (HCL) into configuration documents: quotas of teams, service-level
+// objectives and scheduler settings. A document for which the file has no block stays unchanged.
 import * as v from 'valibot';
 import type { ConfigDocument, DispatchDocument, TeamDocument } from '../core/configuration/documents.ts';
 import { InvalidSettingsError, objectiveOf } from '../protocol/settings.ts';
 import type { TeamName } from '../types/index.ts';
 import { describeHclIssue } from './hcl-issues.ts';
-import { KEYS, optionSchema } from './options.ts';
+import { OPTION_KEYS, optionSchema } from './options.ts';
 
-/** Longer names would not fit a key of the store. */
+/** Longer names would exceed the length of a key in the store. */
 const MAX_NAME_LENGTH = 120;
-/** A machine learns of an eviction with the response to its next heartbeat; its tasks save a checkpoint after that. */
+/**
+ * A worker receives an eviction with the response to its next heartbeat, and its tasks save a checkpoint
+ * after that: shorter times are refused.
+ */
 const MIN_STOP_S = 20;
 const MAX_STOP_S = 86_400;
 
@@ -31,7 +34,7 @@
   times: v.optional(amount),
 });
 const dispatchBlock = v.strictObject(
-  Object.fromEntries(KEYS.map((key) => [key.hcl, v.optional(optionSchema(key))])),
+  Object.fromEntries(OPTION_KEYS.map((key) => [key.hclName, v.optional(optionSchema(key))])),
 );
 const teamName = v.pipe(
   v.string(),
@@ -47,7 +50,7 @@
 
 type TeamBlock = v.InferOutput<typeof teamBlock>;
 
-/** The documents that a parsed file asks for; throws `InvalidSettingsError` naming file and key. */
+/** Converts a parsed file to documents; throws `InvalidSettingsError`, naming file and key. */
 export function readConfigFile(file: string, parsed: unknown): ConfigDocument[] {
   const checked = v.safeParse(configFile, parsed);
   if (!checked.success) throw new InvalidSettingsError(describeHclIssue(file, checked.issues[0]));
@@ -94,8 +97,8 @@
 
 function dispatchDocument(block: Record<string, number | undefined>): DispatchDocument {
   const document: Record<string, number> = {};
-  for (const key of KEYS) {
-    const value = block[key.hcl];
+  for (const key of OPTION_KEYS) {
+    const value = block[key.hclName];
     if (value !== undefined) document[key.name] = value;
   }
   return document;
--- a/src/cli/config-plan.ts
+++ b/src/cli/config-plan.ts
@@ -1,4 +1,4 @@
-// Prints what a change of the configuration would do.
+// Prints the effect of a planned change of the configuration.
 import type { Settings, Team } from '../core/base/model.ts';
 import type { DocumentChange } from '../core/configuration/change.ts';
 import {
@@ -12,13 +12,13 @@
 import type { ConfigClient } from './config-client.ts';
 import { print } from './output.ts';
 
-/** More jobs than these are only counted. */
+/** Maximum number of jobs that are listed; further ones are only counted. */
 const MAX_LISTED_JOBS = 10;
 
 /** A planned change of the configuration. */
 export interface ConfigPlan {
   settings: Settings;
-  /** What the change was planned against. */
+  /** The configuration before the change. */
   snapshot: ConfigSnapshot;
   changes: readonly DocumentChange[];
 }
@@ -37,10 +37,10 @@
   for (const { id, reason } of blocked.slice(0, MAX_LISTED_JOBS)) {
     print(`  ${id} would have to wait: ${reason}`);
   }
-  if (blocked.length > MAX_LISTED_JOBS) print(`  and ${blocked.length - MAX_LISTED_JOBS} jobs more`);
+  if (blocked.length > MAX_LISTED_JOBS) print(`  and ${blocked.length - MAX_LISTED_JOBS} more jobs`);
 }
 
-/** Prints each document before and after. */
+/** Prints each changed document before and after the change. */
 export function printChanges(changes: readonly DocumentChange[], settings: Settings): void {
   for (const { key, before, after } of changes) {
     const isNewTeam = before === null && after?.kind === 'team';
@@ -57,7 +57,7 @@
   return JSON.stringify(fields);
 }
 
-/** A team's quota in the settings file; null if it is not there. */
+/** A team's quota in the settings file; null if the file has no such team. */
 function describeSettingsTeam(settings: Settings, name: string): string | null {
   const team = settings.teams.find((candidate) => candidate.name === name);
   if (team === undefined) return null;
@@ -65,7 +65,7 @@
   return `${JSON.stringify(quota)} (settings file)`;
 }
 
-/** Jobs that can run now and could not under the changed quotas. */
+/** Jobs that the current quotas allow to run and the changed ones do not. */
 async function newlyBlockedJobs(
   client: ConfigClient,
   { settings, snapshot, changes }: ConfigPlan,
@@ -78,7 +78,7 @@
   for (const spec of await client.openJobs()) {
     if (!changedTeams.has(spec.team)) continue;
     const violation = (team: Team | undefined): string | null =>
-      team === undefined ? 'its team is not known' : quotaViolation(spec, team);
+      team === undefined ? 'its team is unknown' : quotaViolation(spec, team);
     const reason = violation(teamsAfter.get(spec.team));
     if (reason !== null && violation(teamsBefore.get(spec.team)) === null) {
       blocked.push({ id: spec.id, reason });
--- a/src/cli/files.ts
+++ b/src/cli/files.ts
@@ -1,8 +1,8 @@
-// Reads the files that commands are given.
+// Reads the files that are arguments of commands.
 import { readFileSync } from 'node:fs';
 import { InvalidSettingsError } from '../protocol/settings.ts';
 
-/** The text of a file; throws `InvalidSettingsError`, naming the file. */
+/** Reads a text file; throws `InvalidSettingsError`, naming the file. */
 export function readText(file: string): string {
   try {
     return readFileSync(file, 'utf8');
@@ -14,10 +14,10 @@
 
 /** Parses HCL; throws `InvalidSettingsError`, naming the file. */
 export async function parseHcl(file: string, text: string): Promise<unknown> {
-  // The parser is several megabytes: loaded only when there is a file for it.
+  // The parser is several megabytes, so it is loaded only when there is a file to parse.
   const { parse } = await import('./hcl-parser.js');
   const [parsed, error] = parse(text);
-  // The parser's error object tells neither line nor reason.
+  // The parser's error object contains neither the line nor the reason.
   if (error !== null && error !== undefined)
     throw new InvalidSettingsError(`${file}: cannot be parsed as HCL`, { cause: error });
   return parsed;
--- a/src/cli/hcl-parser.d.ts
+++ b/src/cli/hcl-parser.d.ts
@@ -1,4 +1,4 @@
 // Types of hcl-parser.js, which bundles the HCL parser.
 
-/** The parsed form of a text in HCL, and the error if it cannot be parsed. */
+/** Parses HCL; returns the parsed form, and an error if the text is invalid. */
 export function parse(text: string): [unknown, unknown];
--- a/src/cli/hcl-parser.js
+++ b/src/cli/hcl-parser.js
@@ -1,5 +1,5 @@
-// A bundle of its own: the parser is several megabytes and seldom needed.
+// A separate bundle, because the parser is several megabytes and rarely needed.
 import hcl from 'hcl2-parser';
 
-/** The parsed form of a text in HCL, and the error if it cannot be parsed. */
+/** Parses HCL; returns the parsed form, and an error if the text is invalid. */
 export const parse = hcl.parseToObject;
--- a/src/cli/job-file.ts
+++ b/src/cli/job-file.ts
@@ -3,27 +3,33 @@
 import type { JobRequest } from '../../packages/client/src/index.ts';
 import { InvalidSettingsError } from '../protocol/settings.ts';
 
-/** A job of a file. */
+/** A job in a job file. */
 export interface FileJob {
-  /** Its name in the file, or its place there. */
+  /** The name that the file gives it, or else its position in the file, such as `line 3`. */
   name: string;
-  /** An idempotency key: the same whenever the same job of the same file is read, another one once it was edited. */
+  /**
+   * Idempotency key, derived from the content of the job: equal whenever the unchanged job is read again,
+   * different once the job was edited.
+   */
   key: string;
   request: JobRequest;
   /** The program and the arguments that its tasks run in a local cluster. */
   command: string[] | null;
 }
 
-/** The jobs of a file. */
+/** A job file. */
 export interface JobFile {
   jobs: FileJob[];
-  /** An idempotency key of all jobs together: the prefix of the keys of a pipeline. */
+  /**
+   * Idempotency key of the file, derived from the keys of all jobs; the prefix of the keys of a pipeline's
+   * jobs.
+   */
   key: string;
-  /** Whether a job depends on another one of the file, by its name. */
+  /** Whether a job of the file waits for another one of the file, given by its name. */
   pipeline: boolean;
 }
 
-/** A job as the file has it, unchecked. */
+/** A job in the file before validation. */
 interface RawJob {
   name: string;
   fields: unknown;
@@ -41,14 +47,16 @@
   const { job: jobs, ...rest } = (parsed ?? {}) as Fields;
   const other = Object.keys(rest)[0];
   if (other !== undefined)
-    throw new InvalidSettingsError(`${file}: ${other}: only job "name" { ... } blocks`);
+    throw new InvalidSettingsError(
+      `${file}: ${other}: unknown name, expected only job "name" { ... } blocks`,
+    );
   const blocksByName = Object.entries((jobs ?? {}) as Record<string, unknown[]>);
   const rawJobs = blocksByName.flatMap(([name, blocks]) => blocks.map((fields) => ({ name, fields })));
   return jobFile(file, rawJobs);
 }
 
 function jobFile(file: string, rawJobs: RawJob[]): JobFile {
-  if (rawJobs.length === 0) throw new InvalidSettingsError(`${file}: there is no job in it`);
+  if (rawJobs.length === 0) throw new InvalidSettingsError(`${file}: the file contains no job`);
   const copies = new Map<string, number>();
   const jobs = rawJobs.map((raw) => {
     const { hash, ...job } = readJob(file, raw);
@@ -67,7 +75,7 @@
 
 function readJob(file: string, { name, fields }: RawJob): Omit<FileJob, 'key'> & { hash: string } {
   if (typeof fields !== 'object' || fields === null || Array.isArray(fields))
-    throw new InvalidSettingsError(`${file}: ${name}: a job is an object`);
+    throw new InvalidSettingsError(`${file}: ${name}: expected an object with the fields of a job`);
   const { name: _, command: rawCommand, ...request } = fields as Fields;
   const command = readCommand(file, name, rawCommand);
   const hash = hashOf([name, request, command]);
@@ -84,20 +92,20 @@
     Array.isArray(value) && value.length > 0 && value.every((argument) => typeof argument === 'string');
   if (isArguments) return value;
   throw new InvalidSettingsError(
-    `${file}: ${name}: command is a line for the shell, or a list of program and arguments`,
+    `${file}: ${name}: command: expected a shell command line, or a list of a program and its arguments`,
   );
 }
 
 function rawJobsOfJson(file: string, text: string): RawJob[] {
   const trimmed = text.trim();
-  const whole = tryJson(trimmed);
-  if (whole !== undefined) {
-    const jobs = Array.isArray(whole) ? whole : [whole];
+  const parsedText = parseJsonOrUndefined(trimmed);
+  if (parsedText !== undefined) {
+    const jobs = Array.isArray(parsedText) ? parsedText : [parsedText];
     return jobs.map((fields, index) => rawJob(fields, `job ${index + 1}`));
   }
   const lines = trimmed.split('\n').filter((line) => line.trim() !== '');
   return lines.map((line, index) => {
-    const fields = tryJson(line);
+    const fields = parseJsonOrUndefined(line);
     if (fields === undefined) throw new InvalidSettingsError(`${file}: line ${index + 1} is not JSON`);
     return rawJob(fields, `line ${index + 1}`);
   });
@@ -108,8 +116,7 @@
   return { name: typeof name === 'string' ? name : defaultName, fields };
 }
 
-/** Undefined if the text is not JSON. */
-function tryJson(text: string): unknown {
+function parseJsonOrUndefined(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/src/cli/job-outcome.ts
+++ b/src/cli/job-outcome.ts
@@ -1,20 +1,20 @@
-// Outcomes of jobs as commands print them, and the exit codes that stand for them.
+// Prints outcomes of jobs and maps them to exit codes.
 import type { Outcome } from '../../packages/client/src/index.ts';
 import { print } from './output.ts';
 
-/** Exit codes, documented in docs/client.md; of several jobs the highest counts. */
-export const EXIT = { done: 0, trouble: 1, usage: 2, cancelled: 3, refused: 4, gaveUp: 5 } as const;
+/** Exit codes, documented in docs/client.md; for several jobs the highest of their codes is used. */
+export const EXIT = { done: 0, failed: 1, usage: 2, cancelled: 3, refused: 4, gaveUp: 5 } as const;
 
-/** A job as it is printed. */
+/** A job to be printed. */
 export interface PrintedJob {
-  /** Its name in its file, or null if it was given by its id. */
+  /** The name of the job in its file; null if the command was given its id. */
   name: string | null;
   id: string;
-  /** Null if the job was accepted and its end is not waited for. */
+  /** Null if the job was accepted and the command does not wait until it has ended. */
   outcome: Outcome | null;
 }
 
-/** The exit code for a job; null stands for an accepted one. */
+/** The exit code for an outcome; null means that the job was accepted. */
 export function exitCodeOf(outcome: Outcome | null): number {
   switch (outcome?.kind) {
     case undefined:
--- a/src/cli/local-cluster-client.ts
+++ b/src/cli/local-cluster-client.ts
@@ -1,4 +1,4 @@
-// Sends requests to a running local cluster.
+// Client of the control API of a running local cluster.
 import { HttpClient } from '../http/client.ts';
 import { SwiftfordError } from '../types/errors.ts';
 import { checkAddress } from './arguments.ts';
@@ -8,7 +8,7 @@
 const REQUEST_TIMEOUT_MS = 5000;
 const MAX_REPLY_BYTES = 64 << 20;
 
-/** The address that an option gave, or true for the default one. */
+/** The value of an address option: an address, or true for the default address. */
 export type LocalClusterAddr = string | true;
 
 /** Options that name a local cluster; `--lab` is the older name of `--local-cluster`. */
@@ -17,27 +17,30 @@
   lab?: LocalClusterAddr;
 }
 
-/** A local cluster is not there, or refuses a request. */
+/** Thrown if no local cluster responds at the address, or it refuses the request. */
 export class LocalClusterError extends SwiftfordError {
   readonly code = 'LOCAL_CLUSTER';
 }
 
-/** The address that the options name, if they do. */
+/** The address that the options set; undefined if they set none. */
 export const localClusterAddrOf = (flags: LocalClusterAddrFlags): LocalClusterAddr | undefined =>
   flags.localCluster ?? flags.lab;
 
-/** Sends a request; returns the JSON of the response. Throws `LocalClusterError`, or `InvalidSettingsError`. */
-export function askLocalCluster(
+/**
+ * Sends a request; returns the JSON of the response. Throws `LocalClusterError`, or `InvalidSettingsError`
+ * for an invalid address.
+ */
+export function requestLocalCluster(
   addr: LocalClusterAddr,
   method: string,
   path: string,
   body: unknown = null,
 ): Promise<unknown> {
-  const checked = checkAddress(
+  const validAddr = checkAddress(
     addr === true ? LOCAL_CLUSTER_ADDR : addr,
-    `a lab's address looks like ${LOCAL_CLUSTER_ADDR}`,
+    `the address of a local cluster looks like ${LOCAL_CLUSTER_ADDR}`,
   );
-  const client = new HttpClient(checked, 1, MAX_REPLY_BYTES);
+  const client = new HttpClient(validAddr, 1, MAX_REPLY_BYTES);
   const call = {
     method,
     path,
@@ -48,12 +51,15 @@
     client.call(call, (response) => {
       client.close();
       if (response === null) {
-        reject(new LocalClusterError(`there is no lab at ${checked}; start one with swiftford lab`));
+        reject(new LocalClusterError(`there is no lab at ${validAddr}; start one with swiftford lab`));
         return;
       }
       const json = JSON.parse(response.body.toString('utf8')) as { error?: string };
       if (response.status === 200) resolve(json);
-      else reject(new LocalClusterError(json.error ?? `the lab answered ${response.status}`));
+      else
+        reject(
+          new LocalClusterError(json.error ?? `the local cluster responded with status ${response.status}`),
+        );
     });
   });
 }
--- a/src/cli/local-cluster-command.ts
+++ b/src/cli/local-cluster-command.ts
@@ -1,4 +1,4 @@
-// `swiftford local-cluster` (`lab`), `fault` and `logs`: a cluster on this machine.
+// `swiftford local-cluster` (`lab`), `fault` and `logs`: commands for a cluster on this machine.
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -6,7 +6,11 @@
 import { defaults, Lab, type LabOptions, readLabOptions } from '../../packages/local-cluster/src/index.ts';
 import { InvalidSettingsError } from '../protocol/settings.ts';
 import { parseHcl, readText } from './files.ts';
-import { askLocalCluster, type LocalClusterAddrFlags, localClusterAddrOf } from './local-cluster-client.ts';
+import {
+  type LocalClusterAddrFlags,
+  localClusterAddrOf,
+  requestLocalCluster,
+} from './local-cluster-client.ts';
 import { print } from './output.ts';
 
 /** Options of `swiftford local-cluster`. */
@@ -36,8 +40,10 @@
 const DEFAULT_FAULT_S = 10;
 const DEFAULT_FAULT_COUNT = 1;
 
-/** The command line of a controller with the flags of production; main.js is in the folder of this file. */
-export const daemon = (): string[] => [
+/**
+ * The command line of a controller, with production's V8 flags; main.js is in the directory of this bundle.
+ */
+export const controllerCommandLine = (): string[] => [
   process.execPath,
   '--max-old-space-size=4096',
   '--initial-old-space-size=24',
@@ -45,37 +51,39 @@
   fileURLToPath(new URL('./main.js', import.meta.url)),
 ];
 
-async function optionsOf(flags: LocalClusterFlags): Promise<LabOptions> {
+async function resolveOptions(flags: LocalClusterFlags): Promise<LabOptions> {
   const { options: file } = flags;
   const options =
     file === undefined ? defaults() : readLabOptions(file, await parseHcl(file, readText(file)));
   if (flags.port === undefined) return options;
   const port = Number(flags.port);
   if (!Number.isInteger(port) || port < 0 || port > MAX_PORT)
-    throw new InvalidSettingsError('--port: 0 to 65535');
+    throw new InvalidSettingsError(
+      `--port: expected a whole number from 0 to ${MAX_PORT}, got ${flags.port}`,
+    );
   return { ...options, lab: { ...options.lab, port } };
 }
 
-/** Runs a cluster until it is interrupted, and ends all processes that it started. */
+/** Runs a cluster until a signal arrives, then ends all processes that it started. */
 export async function localCluster(flags: LocalClusterFlags): Promise<void> {
-  const options = await optionsOf(flags);
+  const options = await resolveOptions(flags);
   const dir = flags.dir ?? mkdtempSync(join(tmpdir(), 'swiftford-lab-'));
   const log = (line: string): void => print(`${new Date().toISOString().slice(11, 19)}  ${line}`);
   const data = flags.data === undefined ? {} : { data: flags.data };
-  const cluster = await Lab.start(options, { program: daemon(), dir, log, ...data });
-  let ending = false;
-  const end = async (): Promise<void> => {
-    if (ending) return;
-    ending = true;
+  const cluster = await Lab.start(options, { program: controllerCommandLine(), dir, log, ...data });
+  let isStopping = false;
+  const stop = async (): Promise<void> => {
+    if (isStopping) return;
+    isStopping = true;
     await cluster.stop();
     if (flags.dir === undefined) rmSync(dir, { recursive: true, force: true });
     process.exit(0);
   };
-  for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) process.on(signal, end);
+  for (const signal of ['SIGINT', 'SIGTERM', 'SIGHUP'] as const) process.on(signal, stop);
   try {
     await cluster.ready();
   } catch (error) {
-    if (ending) return;
+    if (isStopping) return;
     await cluster.stop();
     throw error;
   }
@@ -84,11 +92,11 @@
 
 function printCluster(cluster: Lab, dir: string): void {
   const { addr, controllers } = cluster;
-  print(`lab at ${addr}; commands of jobs run as you, isolated from nothing`);
+  print(`local cluster at ${addr}; commands of jobs run under your user account, without isolation`);
   for (const controller of controllers) print(`  ${controller.name}  ${controller.addr}`);
   print(`  settings, logs and output of tasks: ${dir}`);
   const argument = addr.endsWith(DEFAULT_PORT_SUFFIX) ? '' : ` ${addr}`;
-  print(`try: swiftford run FILE --lab${argument}   Ctrl-C ends it`);
+  print(`try: swiftford run FILE --lab${argument}   Ctrl-C stops the cluster`);
 }
 
 /** Injects a fault into a local cluster. */
@@ -96,7 +104,7 @@
   const seconds = Number(flags.seconds ?? DEFAULT_FAULT_S);
   const count = Number(flags.count ?? DEFAULT_FAULT_COUNT);
   if (!(seconds > 0) || !(count > 0))
-    throw new InvalidSettingsError('--seconds and --count are numbers above 0');
+    throw new InvalidSettingsError('--seconds and --count: expected numbers above 0');
   const body = {
     kind,
     seconds,
@@ -105,14 +113,14 @@
     ...(flags.name === undefined ? {} : { name: flags.name }),
   };
   const addr = localClusterAddrOf(flags) ?? true;
-  const { done } = (await askLocalCluster(addr, 'POST', '/faults', body)) as { done: string };
+  const { done } = (await requestLocalCluster(addr, 'POST', '/faults', body)) as { done: string };
   print(done);
 }
 
 /** Prints the output of a task of a local cluster. */
 export async function logs(id: string, flags: LogsFlags): Promise<void> {
   const path = `/logs/${id}/${flags.task}${flags.stderr ? '?stderr' : ''}`;
-  const { text } = (await askLocalCluster(localClusterAddrOf(flags) ?? true, 'GET', path)) as {
+  const { text } = (await requestLocalCluster(localClusterAddrOf(flags) ?? true, 'GET', path)) as {
     text: string;
   };
   process.stdout.write(text);
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// The program `swiftford`: a thin command line over the library.
+// Entry point of the program `swiftford`: registers its commands.
 import { Command } from 'commander';
 import { registerClientCommands } from './client-cli.ts';
 import { registerConfigCommands } from './config-cli.ts';
--- a/src/cli/submission-progress.ts
+++ b/src/cli/submission-progress.ts
@@ -1,9 +1,12 @@
-// Shows how a submission of several jobs goes on: a line for each job, or a bar on a terminal.
+// Shows the progress of a submission of several jobs: a progress bar on a terminal, otherwise a line for each
+// job.
 import { SingleBar } from 'cli-progress';
 import type { Outcome } from '../../packages/client/src/index.ts';
 import { exitCodeOf, type PrintedJob, printJob } from './job-outcome.ts';
 
-/** Shows the jobs as they end; on a terminal those that were not done are listed once the bar is full. */
+/**
+ * Shows jobs as they end. With a progress bar, the jobs whose outcome is not `done` are listed at the end.
+ */
 export class SubmissionProgress {
   private readonly bar: SingleBar | null;
   private readonly notDone: PrintedJob[] = [];
@@ -14,12 +17,14 @@
     total: number,
     private readonly json: boolean,
   ) {
-    const withBar = !json && process.stderr.isTTY;
-    this.bar = withBar ? new SingleBar({ format: '{bar} {value}/{total} jobs', hideCursor: true }) : null;
+    const showsBar = !json && process.stderr.isTTY;
+    this.bar = showsBar ? new SingleBar({ format: '{bar} {value}/{total} jobs', hideCursor: true }) : null;
     this.bar?.start(total, 0);
   }
 
-  /** A job has ended, or was accepted if its end is not waited for (null). */
+  /**
+   * Reports a job that has ended, or (`outcome` null) was accepted if the command does not wait for its end.
+   */
   add(name: string, id: string, outcome: Outcome | null): void {
     const job = { name, id, outcome };
     if (outcome !== null && outcome.kind !== 'done') this.notDone.push(job);
@@ -28,12 +33,12 @@
     else this.bar.increment();
   }
 
-  /** Ends the bar, on success or not. */
+  /** Stops the progress bar. */
   stop(): void {
     this.bar?.stop();
   }
 
-  /** Lists what the bar has not shown. */
+  /** Lists the jobs whose outcome is not `done`, which the progress bar does not show. */
   printNotDone(): void {
     if (this.bar === null) return;
     for (const job of this.notDone) printJob(job, false);
