--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,36 +1,36 @@
-// The users' bench: where it is in their kit, and what is read of the reports that it writes (`fleetbench run
-// --report`).
+// The users' benchmark program, `fleetbench`: its path in the users' kit, and the fields that scripts read
+// from the reports written by `fleetbench run --report`.
 
-/** The bench's program, from the kit's folder. */
+/** Path of the bench's executable, relative to the kit's folder. */
 export const BENCH = 'more/hunt/bin/fleetbench';
 
-/** How many jobs there were, and of how many a task was started. */
+/** Number of jobs, and number of those of which at least one task was started. */
 export interface StartedJobs {
   jobs: number;
   started: number;
 }
 
-/** What the bench counted of a class of jobs. */
+/** The bench's counts for a class of jobs. */
 export interface ClassReport {
   accepted: number;
   cancelled: number;
   started: number;
   done: number;
   tasks: number;
-  /** Of services, the part of their replicas' time in which they were up. */
+  /** For services: fraction of the requested replica time during which replicas were up. */
   up?: number;
-  /** Seconds to the first start, of jobs that had one. */
+  /** Seconds from acceptance to the first start, over the jobs that were started. */
   wait_s?: { max: number | null } | null;
 }
 
-/** What the bench counted of a controller's process. */
+/** The bench's counts for a controller process. */
 export interface NodeReport {
   memory_peak_mb: number;
   connections_peak: number;
   restarts: { why: string }[];
 }
 
-/** An aim of the site, and how far it was met. */
+/** An objective of the site, and the degree to which it was met. */
 export interface TargetReport {
   kind: string;
   class?: string | null;
@@ -39,21 +39,21 @@
   value: number | null;
 }
 
-/** The report of one day. */
+/** The bench's report of one day, that is, one scenario of load and faults. */
 export interface BenchReport {
   classes: Record<string, ClassReport>;
   teams: Record<string, StartedJobs>;
   /**
-   * Of each class its largest jobs, by the bench's own cut; benches before that of the -hunt sites do not
-   * say.
+   * The largest jobs of each class, as selected by the bench; absent in reports of bench versions older than
+   * the -hunt sites.
    */
   largest?: Record<string, StartedJobs>;
   targets: TargetReport[];
   rules_broken: { total: number };
   node_stats: NodeReport[];
   /**
-   * Seconds of processor time: of the bench's world and of the processes, each in their own code and in the
-   * kernel.
+   * Processor time in seconds, of the bench's simulated world and of the controller processes, each as user
+   * time and system time.
    */
   spent: { world: [number, number]; processes: [number, number] };
   fleet: { tasks_killed_by_lease: number; tasks_lost: number; price: number };
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -1,4 +1,4 @@
-// Bundles the program: one file starts faster and holds less memory than a tree of modules.
+// Bundles the program: a single file starts faster and uses less memory than a tree of modules.
 import { build } from 'esbuild';
 
 const common = { bundle: true, platform: 'node', target: 'node20', format: 'esm', legalComments: 'none' };
@@ -12,10 +12,10 @@
   minifyWhitespace: true,
   entryPoints: ['src/cli/main.ts'],
   outfile: 'target/main.js',
-  // Loaded only when an HCL file is given: the parser is several megabytes.
+  // Loaded only if an HCL file is given, because the parser is several megabytes large.
   external: ['./hcl-parser.js'],
 });
-// What operators and users run beside the controllers, which do not load it.
+// Commands for operators and users; the controller process does not load them.
 for (const name of ['client-commands', 'config-command', 'local-cluster-command'])
   await build({
     ...common,
@@ -24,7 +24,7 @@
     minifyWhitespace: true,
     entryPoints: [`src/cli/${name}.ts`],
     outfile: `target/${name}.js`,
-    // A native module stays where it was installed.
+    // classic-level is a native module, which is loaded from node_modules and cannot be bundled.
     external: ['./hcl-parser.js', 'classic-level'],
   });
 await build({ ...common, banner, entryPoints: ['src/cli/hcl-parser.js'], outfile: 'target/hcl-parser.js' });
--- a/scripts/least-served.ts
+++ b/scripts/least-served.ts
@@ -1,27 +1,32 @@
-// Who was served least on a day: classes by the bench's report, teams by the service's own account in its
-// log. Pure, so that it is tested without the bench.
+// Finds the class and the team that were served least on a day: classes from the bench's report, teams from
+// the summary that the service logs. Free of I/O, so that it can be tested without the bench.
 import type { BenchReport, ClassReport, StartedJobs } from './bench.ts';
 
-/** Who was served least, and how far. */
-export interface LeastServed {
+/** Fractions of its demand that a class or a team was served. */
+export interface ServedFractions {
   name: string;
   /**
-   * Jobs done, of those accepted and not cancelled, and jobs of which a task ever started: what was started
-   * and is not done came too late in the day, or took too long. Services are never done: of them the
-   * replicas' time up counts.
+   * Fraction of the accepted and not cancelled jobs that are done. Services never end; a class of services
+   * has here the lower of its fraction of started services and its fraction of the requested replica time
+   * during which replicas were up.
    */
   jobs: number;
+  /**
+   * Fraction of the jobs of which a task was started; jobs that were started and are not done arrived too
+   * late in the day or took too long. Null if unknown.
+   */
   started: number | null;
+  /** Fraction of the tasks that are done; null if unknown. */
   tasks: number | null;
 }
 
-/** A job's first start, in seconds after it was accepted. */
+/** Longest time from the acceptance of a class's job to its first start: name of the class, and seconds. */
 export interface FirstStart {
   name: string;
   s: number;
 }
 
-/** A line of the service's account in its log, for a team and a class; a team's line when summed up. */
+/** Counts from the summary that the service logs, for a team and a class or summed up over a team. */
 interface ServedCounts {
   services: number;
   replicas: number;
@@ -33,7 +38,7 @@
 }
 type ServedLine = ServedCounts & { team: string };
 
-const ACCOUNT = /\{.*"msg":"work served by team and class, least first".*\}/;
+const SERVED_LOG_LINE = /\{.*"msg":"work served by team and class, least first".*\}/;
 const NOTHING_SERVED: ServedCounts = {
   services: 0,
   replicas: 0,
@@ -43,20 +48,20 @@
   tasks: 0,
   tasksDone: 0,
 };
-const COUNTS = Object.keys(NOTHING_SERVED) as (keyof ServedCounts)[];
+const COUNT_NAMES = Object.keys(NOTHING_SERVED) as (keyof ServedCounts)[];
 
-/** A part of a whole; all of it where there is nothing. */
-const partOf = (done: number, all: number): number => (all <= 0 ? 1 : done / all);
+/** `count` as a fraction of `total`; 1 if the total is 0. */
+const fractionOf = (count: number, total: number): number => (total <= 0 ? 1 : count / total);
 
-/** Of several the one that is served least: the first, if some are equal; null if there is none. */
-export function leastServed(all: LeastServed[]): LeastServed | null {
-  return all.reduce<LeastServed | null>(
+/** The group with the lowest fraction of jobs served; the first one of equals, null if there are none. */
+export function leastServed(groups: ServedFractions[]): ServedFractions | null {
+  return groups.reduce<ServedFractions | null>(
     (least, next) => (least === null || next.jobs < least.jobs ? next : least),
     null,
   );
 }
 
-/** Of several first starts the one that took longest: the first, if some are equal; null if there is none. */
+/** The longest of several first starts; the first one of equals, null if there are none. */
 export function longestStart(starts: FirstStart[]): FirstStart | null {
   return starts.reduce<FirstStart | null>(
     (longest, next) => (longest === null || next.s > longest.s ? next : longest),
@@ -64,68 +69,69 @@
   );
 }
 
-/** The first starts of a day that took longest, one for each class that tells. */
+/** The longest first start of each class for which the report has one. */
 export const longestStartsByClass = ({ classes }: BenchReport): FirstStart[] =>
   Object.entries(classes).flatMap(([name, { wait_s }]) => {
     const s = wait_s?.max ?? null;
     return s === null ? [] : [{ name, s }];
   });
 
-function classServed(name: string, counts: ClassReport): LeastServed {
-  const started = partOf(counts.started, counts.accepted);
+function classServed(name: string, counts: ClassReport): ServedFractions {
+  const started = fractionOf(counts.started, counts.accepted);
   const isService = counts.up !== undefined && counts.up !== null;
   const jobs = isService
     ? Math.min(started, counts.up!)
-    : partOf(counts.done, counts.accepted - counts.cancelled);
+    : fractionOf(counts.done, counts.accepted - counts.cancelled);
   return { name, jobs, started, tasks: null };
 }
 
-/** The class that was served least, by the report. */
-export const leastServedClass = ({ classes }: BenchReport): LeastServed | null =>
+/** The class that was served least, according to the report. */
+export const leastServedClass = ({ classes }: BenchReport): ServedFractions | null =>
   leastServed(Object.entries(classes).map(([name, counts]) => classServed(name, counts)));
 
 /**
- * By the report, which knows of starts only; what is done is told by the service itself (`leastServedTeam`).
+ * The group with the lowest fraction of started jobs. The report has only the number of started jobs by
+ * group; completed jobs are taken from the service's log (`leastServedTeam`).
  */
-export const leastStarted = (all: Record<string, StartedJobs>): LeastServed | null =>
+export const leastStarted = (groups: Record<string, StartedJobs>): ServedFractions | null =>
   leastServed(
-    Object.entries(all).map(([name, counts]) => {
-      const started = partOf(counts.started, counts.jobs);
+    Object.entries(groups).map(([name, counts]) => {
+      const started = fractionOf(counts.started, counts.jobs);
       return { name, jobs: started, started, tasks: null };
     }),
   );
 
-/** The lines of the last account in the log; null if there is none. */
-function lastAccount(log: string): ServedLine[] | null {
+/** The lines of the last served-work summary in the log; null if there is none. */
+function lastServedReport(log: string): ServedLine[] | null {
   let last: ServedLine[] | null = null;
   for (const line of log.split('\n')) {
-    const match = ACCOUNT.exec(line);
+    const match = SERVED_LOG_LINE.exec(line);
     if (match !== null) last = (JSON.parse(match[0]) as { served: ServedLine[] }).served;
   }
   return last;
 }
 
-function teamServed(name: string, counts: ServedCounts): LeastServed {
+function teamServed(name: string, counts: ServedCounts): ServedFractions {
   const servicesUp = counts.replicas === 0 ? 0 : (counts.services * counts.replicasUp) / counts.replicas;
-  const jobs = partOf(counts.done + servicesUp, counts.jobs + counts.services);
-  return { name, jobs, started: null, tasks: partOf(counts.tasksDone, counts.tasks) };
+  const jobs = fractionOf(counts.done + servicesUp, counts.jobs + counts.services);
+  return { name, jobs, started: null, tasks: fractionOf(counts.tasksDone, counts.tasks) };
 }
 
-/** The team that was served least, by the last account in the log; null if there is none. */
-export function leastServedTeam(log: string): LeastServed | null {
-  const lines = lastAccount(log);
+/** The team that was served least, according to the last summary in the log; null if there is none. */
+export function leastServedTeam(log: string): ServedFractions | null {
+  const lines = lastServedReport(log);
   if (lines === null) return null;
   const teams = new Map<string, ServedCounts>();
   for (const line of lines) {
     const counts = teams.get(line.team) ?? { ...NOTHING_SERVED };
-    for (const count of COUNTS) counts[count] += line[count] ?? 0;
+    for (const count of COUNT_NAMES) counts[count] += line[count] ?? 0;
     teams.set(line.team, counts);
   }
   return leastServed([...teams].map(([name, counts]) => teamServed(name, counts)));
 }
 
-/** Who was served least, for people. */
-export function formatLeastServed(least: LeastServed | null): string {
+/** Formats the least served group as text. */
+export function formatLeastServed(least: ServedFractions | null): string {
   if (least === null) return 'unknown';
   const started = least.started === null ? '' : ` (started ${least.started.toFixed(2)})`;
   return `${least.name} ${least.jobs.toFixed(2)}${started}`;
--- a/scripts/proto.mjs
+++ b/scripts/proto.mjs
@@ -1,9 +1,10 @@
-// Generates the peer codec from its .proto; run after editing it, the result is committed.
+// npm run proto: generates the peer codec from src/protocol/peer.proto. Run it after editing that file; the
+// generated code is committed.
 import { execFileSync } from 'node:child_process';
 import { mkdirSync } from 'node:fs';
 
 mkdirSync('src/protocol/generated', { recursive: true });
-const out = 'src/protocol/generated/peer';
+const outputBase = 'src/protocol/generated/peer';
 const run = (tool, args) => execFileSync(`node_modules/.bin/${tool}`, args, { stdio: 'inherit' });
 run('pbjs', [
   '-t',
@@ -16,7 +17,7 @@
   '--no-service',
   '--force-number',
   '-o',
-  `${out}.js`,
+  `${outputBase}.js`,
   'src/protocol/peer.proto',
 ]);
-run('pbts', ['-o', `${out}.d.ts`, `${out}.js`]);
+run('pbts', ['-o', `${outputBase}.d.ts`, `${outputBase}.js`]);
--- a/scripts/refused-leader.ts
+++ b/scripts/refused-leader.ts
@@ -1,13 +1,18 @@
-// Whether a scenario brought about what it is for, by the service's log (LOG_LEVEL=debug): cancellations
-// confirmed by one controller while tasks of those jobs ran on machines that another still answered, after
-// its lease had ended; and the latest that such a machine's lease may have lasted after the confirmation.
-// Pure, so that it is tested without the bench.
+// Reads from the service's log (LOG_LEVEL=debug) whether a scenario produced the intended overlap: one
+// controller confirmed a cancellation while another, whose leader lease had ended, still answered heartbeats
+// of machines that ran tasks of the job. Also computes how long after the confirmation the lease of such a
+// machine may have lasted. Free of I/O, so that it can be tested without the bench.
 
-/** Cancellations that coincided with a leader that the key-value store refused. */
+/**
+ * Cancellations that were confirmed while a leader refused by the key-value store still answered machines.
+ */
 export interface RefusedLeader {
-  /** Cancelled jobs, times the machines on which they met the other leader. */
+  /** Number of distinct pairs of a cancelled job and a machine that the former leader still answered. */
   met: number;
-  /** Seconds from the confirmation to the end of the last worker lease that was renewed; null if none met. */
+  /**
+   * Seconds from the confirmation to the end of the last worker lease so renewed; null if there were no such
+   * pairs.
+   */
   latestGoneS: number | null;
 }
 
@@ -16,28 +21,28 @@
   node: string;
 }
 
-/** What is read of a log line: its time in seconds, its node, and its fields. */
+/** A parsed log line: its time in seconds, its node, and the fields that are used. */
 interface LogLine {
   atS: number;
   node: string;
   fields: { msg?: string; job?: string; machine?: string; jobs?: string[] };
 }
 
-const LINE = /^\s*([\d.]+) (\S+) (\{.*\})\s*$/;
+const LOG_LINE = /^\s*([\d.]+) (\S+) (\{.*\})\s*$/;
 const CANCELLED = '"msg":"job cancelled"';
-/** The text, and that of versions before 0.10. */
+/** The message, and its form in versions before 0.10. */
 const ANSWERED_AFTER_LEASE = [
   '"msg":"answered after the leader lease expired"',
   '"msg":"answered beyond the hold"',
 ];
 
 function parseLine(line: string): LogLine | null {
-  const match = LINE.exec(line);
+  const match = LOG_LINE.exec(line);
   if (match === null) return null;
   return { atS: Number(match[1]), node: match[2]!, fields: JSON.parse(match[3]!) };
 }
 
-/** What a log tells, line by line. */
+/** Collects the result from a log, line by line. */
 class RefusedLeaderLog {
   private readonly cancelled = new Map<string, Cancellation>();
   private readonly met = new Set<string>();
@@ -73,7 +78,7 @@
   }
 }
 
-/** Reads the log of a scenario; `leaseS`: of the site's workers. */
+/** Reads the log of a scenario; `leaseS`: lease of the site's workers in seconds. */
 export function readRefusedLeader(log: string, leaseS: number): RefusedLeader {
   const reader = new RefusedLeaderLog(leaseS);
   for (const text of log.split('\n')) reader.read(text);
--- a/scripts/regression-levels.ts
+++ b/scripts/regression-levels.ts
@@ -1,26 +1,26 @@
-// Compares what the bench played with the levels that the repository keeps. Pure, so that it is tested
-// without the bench.
-import { LEAST_SERVED } from './scenario-result.ts';
+// Compares the results of the bench with the levels stored in the repository. Free of I/O, so that it can be
+// tested without the bench.
+import { MIN_SERVED_FRACTION } from './scenario-result.ts';
 
 /**
- * A class or a team: its name, its part of the day's jobs, and the part of its own jobs of which a task was
- * started.
+ * A class or a team: its name, its fraction of the day's jobs, and the fraction of its own jobs of which a
+ * task was started.
  */
-export type ServedPart = [name: string, ofDay: number, started: number];
+export type StartedGroup = [name: string, fractionOfDay: number, fractionStarted: number];
 
-/** One day, as it stands in the bench's journal. */
+/** One day in a journal entry of the bench. */
 export interface PlayedDay {
   name: string;
   seed: number;
   score: number | null;
-  /** Rules that were broken, with how often. */
+  /** Numbers of violations, by rule. */
   rules: Record<string, number>;
-  /** Why the day failed as a whole; null if it was played to its end. */
+  /** Reason why the day was aborted; null if it ran to its end. */
   fault: string | null;
-  served?: ServedPart[];
+  served?: StartedGroup[];
 }
 
-/** The days of one site, as they stand in the bench's journal. */
+/** The days of one site in a journal entry of the bench. */
 export interface PlayedSite {
   site: string;
   score: number | null;
@@ -29,8 +29,8 @@
 }
 
 /**
- * A named day on a fixed seed, with no processor time charged, and the score that it had; null if it was not
- * played.
+ * A named day with a fixed seed, run without charging processor time, and its level: the score that it had,
+ * or null if it has not been run.
  */
 export interface FixedDay {
   day: string;
@@ -39,11 +39,11 @@
 }
 
 /**
- * What a site is held to. Quick and full scores move with the machine's processor time; fixed days mostly
- * repeat.
+ * The expected scores of a site. Quick and full scores vary with the processor time that the machine takes;
+ * fixed days are mostly reproducible.
  */
 export interface Level {
-  /** Site file, from the kit's folder. */
+  /** Path of the site file, relative to the kit's folder. */
   file: string;
   quick: number | null;
   full: number | null;
@@ -53,21 +53,23 @@
 /** Levels by site. */
 export type Levels = Record<string, Level>;
 
-/** A figure may move by this much from play to play of the same sources. */
-export const NOISE = 0.03;
+/** Scores may differ by this much between runs of the same sources. */
+export const SCORE_NOISE = 0.03;
 
-/** What is wrong with the days of a site. */
+/** A problem found in the days of a site. */
 export type Finding =
   | { kind: 'broken'; site: string; text: string }
-  /** Lower by more than noise: played again on fixed seeds before it is called a fall. */
+  /**
+   * The score is lower by more than noise; fixed days are run to confirm this before it counts as a failure.
+   */
   | { kind: 'lower'; site: string; score: number; level: number };
 
-/** What is wrong with one play of a site's days. */
+/** The problems found in one run of a site's days. */
 export function findingsOf(played: PlayedSite, level: number | null): Finding[] {
   const { site, score } = played;
   const texts = [...siteFailures(played), ...played.days.flatMap(dayFailures)];
   const findings: Finding[] = texts.map((text) => ({ kind: 'broken', site, text }));
-  if (score !== null && level !== null && score < level - NOISE)
+  if (score !== null && level !== null && score < level - SCORE_NOISE)
     findings.push({ kind: 'lower', site, score, level });
   return findings;
 }
@@ -84,18 +86,18 @@
   const broken = Object.entries(rules).filter(([, times]) => times > 0);
   if (broken.length > 0) failures.push(broken.map(([rule, times]) => `${rule} ${times}`).join(', '));
   for (const [who, , started] of served ?? [])
-    if (started < LEAST_SERVED) failures.push(`${who} served ${started.toFixed(2)}`);
+    if (started < MIN_SERVED_FRACTION) failures.push(`${who} served ${started.toFixed(2)}`);
   if (fault !== null) failures.push(`failed: ${fault}`);
   else if (score === null || score <= 0) failures.push('the day is worth nothing');
   return failures.map((failure) => `${name} (seed ${seed}): ${failure}`);
 }
 
-/** The mean fall on the fixed days that have a level; null when none of them has one. */
+/** The mean drop of the score on the fixed days that have a level; null if none of them has one. */
 export function fixedFall(level: Level, played: readonly PlayedDay[]): number | null {
-  const falls: number[] = [];
+  const drops: number[] = [];
   for (const { day, seed, score } of level.fixed) {
     const result = played.find((candidate) => candidate.name === day && candidate.seed === seed);
-    if (score !== null && result !== undefined) falls.push(score - (result.score ?? 0));
+    if (score !== null && result !== undefined) drops.push(score - (result.score ?? 0));
   }
-  return falls.length === 0 ? null : falls.reduce((sum, fall) => sum + fall, 0) / falls.length;
+  return drops.length === 0 ? null : drops.reduce((sum, drop) => sum + drop, 0) / drops.length;
 }
--- a/scripts/scaled-sites.ts
+++ b/scripts/scaled-sites.ts
@@ -1,13 +1,13 @@
-// npm run scaled-sites: a copy of a deployment of the users' kit with other numbers of machines, zones,
-// controllers, or other shares of the teams, to be played by their bench: what they play is never quite the
-// site as it is on file.
+// npm run scaled-sites: writes a copy of a site of the users' kit with other numbers of machines, zones or
+// controllers, or other shares of the teams, to be run by their bench. Users run variants of the sites in the
+// kit, so results at the original sites alone are not representative.
 import { basename, dirname, resolve } from 'node:path';
 import { Command } from 'commander';
 import { InvalidInputError } from './errors.ts';
 import { type SiteChange, writeChangedSite } from './site-changes.ts';
 
-/** Options with one number, which are changes by the same name. */
-const NUMBERS = [
+/** Options with a numeric value that map to the field of `SiteChange` with the same name. */
+const NUMERIC_CHANGES = [
   'capacity',
   'images',
   'load',
@@ -22,23 +22,23 @@
   'arrays',
 ] as const;
 
-interface Options extends Pick<SiteChange, (typeof NUMBERS)[number]> {
+interface Options extends Pick<SiteChange, (typeof NUMERIC_CHANGES)[number]> {
   zone?: string;
   team?: string;
   mix?: string[];
 }
 
-/** Reads NAME=FACTOR. */
+/** Parses NAME=FACTOR. */
 function parseFactor(text: string): { name: string; factor: number } {
   const [name, factor] = text.split('=');
   if (name === undefined || !(Number(factor) > 0))
-    throw new InvalidInputError(`NAME=FACTOR is expected, not ${text}`);
+    throw new InvalidInputError(`expected NAME=FACTOR with a factor above 0, got ${text}`);
   return { name, factor: Number(factor) };
 }
 
 function changeOf(options: Options): SiteChange {
   const change: SiteChange = {};
-  for (const name of NUMBERS) if (options[name] !== undefined) change[name] = options[name];
+  for (const name of NUMERIC_CHANGES) if (options[name] !== undefined) change[name] = options[name];
   if (options.zone !== undefined) {
     const { name, factor } = parseFactor(options.zone);
     change.zone = { name, capacity: factor };
@@ -52,30 +52,30 @@
   return change;
 }
 
-function main(site: string, out: string, options: Options): void {
-  const folder = dirname(resolve(out));
-  const path = writeChangedSite(resolve(site), folder, basename(out, '.toml'), changeOf(options));
+function main(site: string, outputFile: string, options: Options): void {
+  const folder = dirname(resolve(outputFile));
+  const path = writeChangedSite(resolve(site), folder, basename(outputFile, '.toml'), changeOf(options));
   process.stdout.write(`${path}\n`);
 }
 
 const program = new Command('scaled-sites')
-  .description("a copy of one of the kit's sites with other numbers, for the users' bench")
+  .description("write a changed copy of one of the kit's sites, for the users' bench")
   .argument('<site>', 'site file')
   .argument('<out>', 'file to write, outside the repository and not below /tmp')
-  .option('--capacity <factor>', 'machines', Number)
-  .option('--zone <name=factor>', 'machines of one zone')
-  .option('--images <factor>', 'images of each class', Number)
-  .option('--load <factor>', 'arrivals and jobs at the start', Number)
+  .option('--capacity <factor>', 'factor on the number of machines', Number)
+  .option('--zone <name=factor>', 'factor on the number of machines of one zone')
+  .option('--images <factor>', 'factor on the number of images of each class', Number)
+  .option('--load <factor>', 'factor on arrivals and on the jobs at the start', Number)
   .option('--zones <n>', 'number of zones', Number)
   .option('--controllers <n>', 'number of controllers', Number)
-  .option('--restart-s <seconds>', 'after which a controller that ends is back', Number)
-  .option('--run-s <factor>', 'how long tasks run', Number)
-  .option('--cancelled <part>', "of each class's jobs", Number)
-  .option('--quotas <factor>', 'what teams are guaranteed and limited to', Number)
-  .option('--team <name=factor>', "a team's weight")
-  .option('--teams <n>', 'teams with quotas in place of those of the site', Number)
-  .option('--mix <type=factor...>', 'machines of some types')
-  .option('--gangs <n>', 'tasks of the largest gangs', Number)
-  .option('--arrays <n>', 'tasks of the largest arrays', Number)
+  .option('--restart-s <seconds>', 'time after which a controller that ended is restarted', Number)
+  .option('--run-s <factor>', 'factor on the run time of tasks', Number)
+  .option('--cancelled <part>', "fraction of each class's jobs that users cancel", Number)
+  .option('--quotas <factor>', 'factor on the guarantees and limits of teams', Number)
+  .option('--team <name=factor>', "factor on a team's weight")
+  .option('--teams <n>', "replace the site's teams by this many teams with quotas", Number)
+  .option('--mix <type=factor...>', 'factors on the numbers of machines of some types')
+  .option('--gangs <n>', 'number of tasks of the largest gangs', Number)
+  .option('--arrays <n>', 'number of tasks of the largest arrays', Number)
   .action(main);
 program.parse();
--- a/scripts/site-changes.ts
+++ b/scripts/site-changes.ts
@@ -1,12 +1,12 @@
-// Changed copies of the sites of the users' kit: other numbers of machines, zones and controllers, or other
-// teams. Pure but for `writeChangedSite`, which writes outside the repository: nothing of the kit is kept in
-// it.
+// Makes changed copies of the sites of the users' kit, with other numbers of machines, zones and controllers,
+// or other teams. Only `writeChangedSite` does I/O; it is to write outside the repository, which must not
+// contain files of the kit.
 import { copyFileSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { parse, stringify } from 'smol-toml';
 import { InvalidInputError } from './errors.ts';
 
-/** What is changed of a site; what is absent stays. */
+/** Changes to a site; absent fields leave the site unchanged. */
 export interface SiteChange {
   /** Factor on every count of machines. */
   capacity?: number;
@@ -17,27 +17,30 @@
   /** Factor on arrivals and on the jobs at the start. */
   load?: number;
   /**
-   * Zones that machines are in: the first so many, or new ones, each with a copy of what the zones have in
-   * turn.
+   * Number of zones that have machines. Zones are removed from the end of the list, or new ones are added;
+   * the machines of each type are distributed evenly over the zones.
    */
   zones?: number;
   /** Number of controllers. */
   controllers?: number;
-  /** Seconds after which a controller that ends is back. */
+  /** Seconds after which a controller that ended is restarted. */
   restartS?: number;
-  /** Factor on what teams are guaranteed and limited to. */
+  /** Factor on the guarantees and limits of teams. */
   quotas?: number;
-  /** Factor on how long tasks run. */
+  /** Factor on the run time of tasks. */
   runS?: number;
-  /** The part of each class's jobs that their users cancel. */
+  /** Fraction of each class's jobs that their users cancel. */
   cancelled?: number;
   /** Factor on a team's weight. */
   team?: { name: string; weight: number };
-  /** So many teams with quotas in place of those of the site, which share out the classes as those do. */
+  /**
+   * Number of teams with quotas that replace the site's teams; the classes of jobs are distributed among them
+   * as among the site's teams.
+   */
   teams?: number;
-  /** Factors on the machines of some types, beside `capacity`. */
+  /** Factors on the counts of machines of some types, in addition to `capacity`. */
   mix?: Record<string, number>;
-  /** Tasks of the largest gangs and of the largest arrays. */
+  /** Number of tasks of the largest gangs and of the largest arrays. */
   gangs?: number;
   arrays?: number;
 }
@@ -53,7 +56,7 @@
   spot: number;
 }
 
-/** How many tasks jobs of a class have. */
+/** Distribution of the number of tasks of a class's jobs. */
 interface SiteTasks {
   sizes?: number[];
   weights?: number[];
@@ -79,12 +82,12 @@
 
 type SiteTeam = { name: string; weight?: number } & { [Amount in Quota]?: number };
 
-/** What is changed of a site; the rest is passed through. */
+/** The fields of a site file that can be changed; all others are copied unchanged. */
 export interface Site {
   name: string;
   nodes: { count: number; zones: string[]; restart_delay_s?: number };
   capacity: SiteCapacity[];
-  /** Up at the start. */
+  /** Machines that run at the start. */
   machines?: { type: string; zone: string; count: number }[];
   jobs: SiteJobs[];
   machine_types?: { name: string; cpus: number; gpus?: number }[];
@@ -92,27 +95,28 @@
   day?: { faults?: { zone?: string }[] }[];
 }
 
-/** Weight of gangs as large as the largest, beside those that the site has. */
+/** Weight of the added gangs of the largest size, relative to the total weight of the site's gangs. */
 const LARGE_GANGS_WEIGHT = 0.02;
-/** Arrays with the most tasks that are asked for are rare: one in twenty has a third of that. */
-const P95_OF_MAX = 1 / 3;
 /**
- * Part of its even share of all machines that a team is guaranteed, and how many times that share it may use.
+ * 95th percentile of the number of tasks of arrays, as a fraction of the new maximum: large arrays are rare.
  */
-const GUARANTEED = 0.5;
-const AT_MOST = 4;
-/** Teams ask for between this and four times as much. */
-const LEAST_WEIGHT = 0.5;
+const P95_OF_MAX = 1 / 3;
+/** Guarantee and limit of a team, as factors on an equal share of all machines. */
+const QUOTA_GUARANTEED_FACTOR = 0.5;
+const QUOTA_MAX_FACTOR = 4;
+/** The lowest weight of a team; weights go up to four times this. */
+const MIN_TEAM_WEIGHT = 0.5;
 
 const scaled = (count: number, factor: number): number => Math.max(1, Math.round(count * factor));
 
-/** Reads the text of a site. */
+/** Parses the text of a site file. */
 export const parseSite = (text: string): Site => parse(text) as unknown as Site;
 
 /**
- * The text of a changed copy. The names of zones that faults speak of are kept where there are as many.
+ * Returns the text of a changed copy of a site. Faults in a zone that no longer exists are moved to the last
+ * zone.
  *
- * @throws InvalidInputError if the change is for a team that the site does not have
+ * @throws InvalidInputError if the change refers to a team that the site does not have
  */
 export function changedSite(text: string, name: string, change: SiteChange): string {
   const site = parseSite(text);
@@ -130,7 +134,9 @@
   return stringify(site);
 }
 
-/** Writes a changed copy, with what the bench looks for beside it; returns its path. */
+/**
+ * Writes a changed copy with the file wire.json, which the bench expects next to it; returns the copy's path.
+ */
 export function writeChangedSite(site: string, dir: string, name: string, change: SiteChange): string {
   mkdirSync(dir, { recursive: true });
   const path = join(dir, `${name}.toml`);
@@ -168,36 +174,36 @@
   }
 }
 
-/** Adds gangs of a size, and twice as many of an eighth of it. */
-function addLargeGangs({ sizes, weights }: SiteTasks, largest: number): void {
+/** Adds gangs of the given size, and twice as many of an eighth of that size. */
+function addLargeGangs({ sizes, weights }: SiteTasks, largestSize: number): void {
   if (sizes === undefined || weights === undefined) return;
   const totalWeight = weights.reduce((sum, weight) => sum + weight, 0);
-  for (const size of [largest / 8, largest]) {
+  for (const size of [largestSize / 8, largestSize]) {
     if (sizes.includes(size)) continue;
     sizes.push(Math.max(1, Math.round(size)));
-    weights.push(totalWeight * LARGE_GANGS_WEIGHT * (size === largest ? 1 : 2));
+    weights.push(totalWeight * LARGE_GANGS_WEIGHT * (size === largestSize ? 1 : 2));
   }
 }
 
-/** Each team of the site gives its place in the classes to an even part of the new ones. */
+/** Replaces the teams; each former team is replaced in the classes by an equal number of new ones. */
 function replaceTeams(site: Site, count: number): void {
-  const earlier = (site.teams ?? []).map((team) => team.name);
+  const formerNames = (site.teams ?? []).map((team) => team.name);
   const total = totalCapacity(site);
   const names = Array.from({ length: count }, (_, i) => `team${String(i + 1).padStart(3, '0')}`);
-  const quota = (all: number, times: number): number => Math.round((all / count) * times);
+  const quota = (all: number, factor: number): number => Math.round((all / count) * factor);
   site.teams = names.map((name, i) => ({
     name,
-    weight: LEAST_WEIGHT * 2 ** (i % 3),
-    cpus: quota(total.cpus, GUARANTEED),
-    cpus_max: quota(total.cpus, AT_MOST),
-    gpus: quota(total.gpus, GUARANTEED),
-    gpus_max: quota(total.gpus, AT_MOST),
+    weight: MIN_TEAM_WEIGHT * 2 ** (i % 3),
+    cpus: quota(total.cpus, QUOTA_GUARANTEED_FACTOR),
+    cpus_max: quota(total.cpus, QUOTA_MAX_FACTOR),
+    gpus: quota(total.gpus, QUOTA_GUARANTEED_FACTOR),
+    gpus_max: quota(total.gpus, QUOTA_MAX_FACTOR),
   }));
-  if (earlier.length === 0) return;
+  if (formerNames.length === 0) return;
   for (const jobs of site.jobs) {
     const { teams } = jobs;
     if (teams === undefined) continue;
-    jobs.teams = names.filter((_, i) => teams.includes(earlier[i % earlier.length]!));
+    jobs.teams = names.filter((_, i) => teams.includes(formerNames[i % formerNames.length]!));
   }
 }
 
@@ -217,7 +223,7 @@
   team.weight = (team.weight ?? 1) * weight;
 }
 
-/** The whole capacity of each type in so many zones, as evenly as it goes. */
+/** Distributes the total capacity of each type over `count` zones as evenly as possible. */
 function changeZones(site: Site, count: number): void {
   const names = [...new Set(site.capacity.map((machines) => machines.zone))];
   while (names.length < count) names.push(`zone${names.length + 1}`);
@@ -239,7 +245,7 @@
       if (fault.zone !== undefined && !zones.includes(fault.zone)) fault.zone = zones.at(-1)!;
 }
 
-/** The machines of each type, of all zones together. */
+/** The machines of each type, summed over all zones. */
 function capacityByType(site: Site): SiteCapacity[] {
   const types = new Map<string, SiteCapacity>();
   for (const machines of site.capacity) {
